--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -161,7 +161,8 @@
         ["counter calls a try of leased firms", "1.2 to 1.5",
         f"{figure(min(calls))} to {figure(max(calls))}, by tries a second"],
         ["`benchmarks.membership --sizes 890`", "does not end in four minutes",
-         f"joining alone takes {figure(trial.at(SIZE['ingresses']))} s of processor time by the fit ({trial.text()}, "
+         f"joining alone takes {figure(trial.at(SIZE['ingresses']))} s of processor time by the fit "
+         f"({trial.text()}, "
          f"which leaves {trial.over:+.0%} over: it grows faster) and is done three times; `Protocol._is_alive` "
          "compares each new member with all that are known; `Queue.take` sorts nothing any more, it walks the order "
          "that is kept and puts back what has to be told again (still the first two of a profile of 200 that join)"],
--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -40,7 +40,9 @@
 
 
 @app.command("show")
-def show_state(path: Path = "", control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def show_state(path: Path = "",
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False) -> None:
     """Where the ledger stands, from a daemon (--control) or its folder (--path)."""
     if path:
         store = _open(path)
@@ -148,7 +150,8 @@
 
 @app.command()
 def replay(first: Annotated[int, typer.Option("--from", help="The first entry that billing lost.")],
-           control: Where = [], path: Path = "", as_json: AsJson = False) -> None:  # noqa: B006
+    control: Where = [],  # noqa: B006
+    path: Path = "", as_json: AsJson = False) -> None:
     """Send entries again, under the ids that they have: billing was restored from an older backup."""
     if path:
         store = _open(path, write=True)
--- a/brackenpulley/commands/plans.py
+++ b/brackenpulley/commands/plans.py
@@ -61,7 +61,8 @@
 @app.command("show")
 def show_one(name: Annotated[str, typer.Argument(help="A plan's name, or a firm (16 hexadecimal digits).")],
              when: Annotated[float, typer.Option("--when", help="As of this Unix time.")] = 0.0,
-             control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False) -> None:
     """A plan's figures or a firm's plan, now or at any past moment."""
     one, query = controls(control)[0], f"?when={when:.6f}" if when else ""
     firm = len(name) == 16 and all(c in "0123456789abcdef" for c in name.lower())
@@ -75,7 +76,9 @@
              open_most: Annotated[int, typer.Option("--open", help="Attempts out at once; 0 = no cap.")] = 0,
              price: float = 1.0, over_worth: float = 0.0, over_cost: float = 0.0, ceiling_rate: float = 0.0,
              ceiling_burst: float = 0.0, ceiling_slack: float = 0.0, lead: Lead = LEAD, since: Since = 0.0,
-             note: Note = "", control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+             note: Note = "",
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False) -> None:
     """New figures for a plan, or a new plan."""
     figures = {"rate": rate, "burst": burst, "open": open_most, "price": price, "over_worth": over_worth,
                "over_cost": over_cost, "ceiling_rate": ceiling_rate, "ceiling_burst": ceiling_burst,
@@ -84,8 +87,9 @@
 
 
 @app.command()
-def move(firm: str, plan: str, lead: Lead = LEAD, since: Since = 0.0, note: Note = "", control: Where = [],  # noqa: B006
-         as_json: AsJson = False) -> None:
+def move(firm: str, plan: str, lead: Lead = LEAD, since: Since = 0.0, note: Note = "",
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False) -> None:
     """Put a firm on a plan. What is missing from its store goes on missing."""
     _decide(control, as_json, kind="move", firm=firm, plan=plan, lead=lead, since=since, note=note)
 
@@ -118,7 +122,9 @@
 
 
 @app.command()
-def sync(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def sync(
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False) -> None:
     """Tell each daemon the changes that it has missed, from the one that has most."""
     found = controls(control)
     revisions = {one: int(call(one, "GET", "/v1/plans")["revision"]) for one in found}
--- a/brackenpulley/commands/reservations.py
+++ b/brackenpulley/commands/reservations.py
@@ -29,7 +29,9 @@
 def reserve(firm: str, units: float, lifetime: Annotated[float, typer.Option(help="Seconds until it ends.")] = 10.0,
             ident: Annotated[str, typer.Option("--id", help="Made up where not given; the same one may be sent again.")]
             = "", plan: Annotated[str, typer.Option(help="Where the book does not know the firm.")] = "",
-            spread: int = 1, first: int = 0, control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+            spread: int = 1, first: int = 0,
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False) -> None:
     """Hold units for a firm; a message names them with X-Reservation."""
     body = {"id": ident or secrets.token_hex(8), "firm": firm, "units": units, "lifetime": lifetime, "plan": plan,
             "spread": spread, "first": first}
