--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -55,8 +55,7 @@
 
 
 def _vote_forgotten(self: Disk, step: Store) -> bool:
-    return _store(self, raft.Store(step.term, "", step.unsure, step.floor, step.first, step.entries,
-                                   step.snapshot))
+    return _store(self, raft.Store(step.term, "", step.unsure, step.floor, step.first, step.entries, step.snapshot))
 
 
 def _answered_before_sync(self: Disk, step: Store) -> bool:
@@ -73,8 +72,9 @@
 
 
 def _commit_of_older_term(self: Node) -> None:
-    matches = sorted((self.last if name == self.name else self.peers[name].match for name in self.config.voters),
-                     reverse=True)
+    matches = sorted(
+        (self.last if name == self.name else self.peers[name].match for name in self.config.voters), reverse=True
+    )
     self._commit_to(max(self.commit, matches[self.config.majority - 1]))
 
 
@@ -104,8 +104,9 @@
         self.index = snapshot.index
     if fresh:
         self.index = fresh[-1].index
-    return snapshot, [Entry(self.index - len(fresh) + 1 + at, e.term, e.kind, e.data, e.at)
-                      for at, e in enumerate(fresh)]
+    return snapshot, [
+        Entry(self.index - len(fresh) + 1 + at, e.term, e.kind, e.data, e.at) for at, e in enumerate(fresh)
+    ]
 
 
 def _done_again(self: Machine, entry: Entry) -> Any:
@@ -209,33 +210,62 @@
 
 def scripted(name: str, seed: int) -> Ran:
     rate = 0.2 if name in QUIET else 20.0
-    return run(seed, 16.0, lines=parse(SCRIPTS[name]), rate=rate, spoil=True, skew=0.04, links=Links(Link(
-        delay=0.02, spread=0.01)))
+    return run(
+        seed,
+        16.0,
+        lines=parse(SCRIPTS[name]),
+        rate=rate,
+        spoil=True,
+        skew=0.04,
+        links=Links(Link(delay=0.02, spread=0.01)),
+    )
 
 
 def one(seed: int) -> Ran:
     """Three voters, or five; faults come thick, in the phases of elections too. Some have slow ways and much to say."""
     if seed % 10 == 7:
-        return run(seed, SECONDS, voters=5, every=0.4, rate=12.0, skew=0.04, links=Links(Link(
-            delay=0.03, spread=0.02, loss=0.02, double=0.02)))
-    return run(seed, SECONDS, voters=3 if seed % 2 else 5, every=EVERY * (0.3 + seed % 3 * 0.6), rate=3.0,
-               skew=0.04, prepare=small_log if seed % 4 == 0 else None)
+        return run(
+            seed,
+            SECONDS,
+            voters=5,
+            every=0.4,
+            rate=12.0,
+            skew=0.04,
+            links=Links(Link(delay=0.03, spread=0.02, loss=0.02, double=0.02)),
+        )
+    return run(
+        seed,
+        SECONDS,
+        voters=3 if seed % 2 else 5,
+        every=EVERY * (0.3 + seed % 3 * 0.6),
+        rate=3.0,
+        skew=0.04,
+        prepare=small_log if seed % 4 == 0 else None,
+    )
 
 
 def small_log(cluster: Voters) -> None:
     """Snapshots every few entries."""
     import brackenpulley.consensus.agreement as agreement
+
     agreement.COMPACT = 20
 
 
 def _seed(seed: int) -> dict[str, Any]:
     import brackenpulley.consensus.agreement as agreement
+
     try:
         ran = one(seed)
     finally:
         agreement.COMPACT = COMPACT
-    return {"seed": seed, "events": ran.events, "told": ran.told, "lost": ran.lost, "elections": ran.elections,
-            "broken": ran.broken}
+    return {
+        "seed": seed,
+        "events": ran.events,
+        "told": ran.told,
+        "lost": ran.lost,
+        "elections": ran.elections,
+        "broken": ran.broken,
+    }
 
 
 def seeds(first: int, count: int, jobs: int) -> dict[str, Any]:
@@ -245,9 +275,14 @@
             rows = pool.map(_seed, range(first, first + count), chunksize=10)
     else:
         rows = [_seed(seed) for seed in range(first, first + count)]
-    return {"seeds": count, "broken": [(row["seed"], row["broken"]) for row in rows if row["broken"]],
-            "events": sum(row["events"] for row in rows), "told": sum(row["told"] for row in rows),
-            "elections": sum(row["elections"] for row in rows), "wallS": round(time.monotonic() - began, 1)}
+    return {
+        "seeds": count,
+        "broken": [(row["seed"], row["broken"]) for row in rows if row["broken"]],
+        "events": sum(row["events"] for row in rows),
+        "told": sum(row["told"] for row in rows),
+        "elections": sum(row["elections"] for row in rows),
+        "wallS": round(time.monotonic() - began, 1),
+    }
 
 
 def _find(name: str) -> dict[str, Any]:
@@ -347,9 +382,21 @@
         rows = []
         for name in NAMES:
             n, d = self.nodes[name], self.disks[name].kept
-            rows.append((n.role, n.term, n.vote, n.commit, n.leader, frozenset(n.votes), tuple(
-                (e.term, e.kind) for e in n.entries), tuple((p, n.peers[p].next, n.peers[p].match) for p in sorted(
-                    n.peers)), d.term, d.vote, tuple((e.term, e.kind) for e in d.entries)))
+            rows.append(
+                (
+                    n.role,
+                    n.term,
+                    n.vote,
+                    n.commit,
+                    n.leader,
+                    frozenset(n.votes),
+                    tuple((e.term, e.kind) for e in n.entries),
+                    tuple((p, n.peers[p].next, n.peers[p].match) for p in sorted(n.peers)),
+                    d.term,
+                    d.vote,
+                    tuple((e.term, e.kind) for e in d.entries),
+                )
+            )
         return tuple(rows), self.sent, self.crashes, self.asked
 
 
@@ -379,9 +426,13 @@
     """Every scope, up to `most` states each."""
     rows = [explore(*scope, most=most) for scope in SCOPES]
     broken = next((row for row in rows if row["broken"]), None)
-    return {"states": sum(row["states"] for row in rows), "whole": [row["whole"] for row in rows],
-            "depth": [row["depth"] for row in rows], "broken": broken["broken"] if broken else "",
-            "path": broken["path"] if broken else []}
+    return {
+        "states": sum(row["states"] for row in rows),
+        "whole": [row["whole"] for row in rows],
+        "depth": [row["depth"] for row in rows],
+        "broken": broken["broken"] if broken else "",
+        "path": broken["path"] if broken else [],
+    }
 
 
 def explore(terms: int, crashes: int, commands: int, beats: bool, most: int) -> dict[str, Any]:
@@ -404,8 +455,7 @@
                 else:
                     wrong = made.do(name, call(made.nodes[name]))
                 if wrong:
-                    return {"states": len(seen), "depth": depth, "whole": False, "broken": wrong,
-                            "path": [*path, what]}
+                    return {"states": len(seen), "depth": depth, "whole": False, "broken": wrong, "path": [*path, what]}
                 key = made.key()
                 if key not in seen:
                     seen.add(key)
@@ -424,8 +474,13 @@
     server = Server("a", "m", 1.0, True)
     facts, bounds = Facts({f"s{n}": server for n in range(3)}, 0.0, [True, True], 1), Bounds(1, 1)
     lives = ("x@1", "y@1", "y@2")
-    fixed: list[Command] = [Ask("p", "o", ["s0"], zone="a"), Ask("q", "o", ["s1"], zone="a", urgency=1),
-                            Step(facts, bounds, 0.0, 9e9, ["p", "q"]), Enter("y", "y@2"), Leave("x", "x@1")]
+    fixed: list[Command] = [
+        Ask("p", "o", ["s0"], zone="a"),
+        Ask("q", "o", ["s1"], zone="a", urgency=1),
+        Step(facts, bounds, 0.0, 9e9, ["p", "q"]),
+        Enter("y", "y@2"),
+        Leave("x", "x@1"),
+    ]
     first = Permits()
     for name in ("x", "y"):
         first.apply(0.0, pack_command(Enter(name, f"{name}@1")))
@@ -438,8 +493,11 @@
                 commands.append(Withdraw(name, "o"))
                 commands += [Override(name, "o")] if not job.overrides else []
                 for token in {job.token, max(1, job.token - 1)} if job.token else ():
-                    commands += [Begin(name, token), Finish(name, token),
-                                 *(Said(name, token, life[0], life) for life in lives)]
+                    commands += [
+                        Begin(name, token),
+                        Finish(name, token),
+                        *(Said(name, token, life[0], life) for life in lives),
+                    ]
             for command in commands:
                 made = Permits()
                 made.load(state.dump())
@@ -466,8 +524,12 @@
         if job.state == "at work" and before.state not in ("clear", "at work"):
             return f"{job.id} is worked on and was {before.state}"
         missing = [life for life in new.roster.values() if life not in job.said]
-        if job.state == "clear" and before.state == "clearing" and missing and len(job.overrides) == len(
-                before.overrides):
+        if (
+            job.state == "clear"
+            and before.state == "clearing"
+            and missing
+            and len(job.overrides) == len(before.overrides)
+        ):
             return f"{job.id} is clear without the word of {missing}"
         shown = isinstance(command, Begin | Finish | Said) and command.id == job.id
         if shown and command.token != before.token and job != before:  # type: ignore[union-attr]
@@ -477,8 +539,9 @@
 
 def pack_state(permits: Permits) -> bytes:
     """What tells states apart: not how often one was passed over."""
-    rows = [(job.id, job.state, job.token, sorted(job.said), job.was, len(job.overrides))
-            for job in permits.jobs.values()]
+    rows = [
+        (job.id, job.state, job.token, sorted(job.said), job.was, len(job.overrides)) for job in permits.jobs.values()
+    ]
     return msgspec.msgpack.encode((permits.token, rows, sorted(permits.roster.items())))
 
 
@@ -514,6 +577,7 @@
         votes = [word for whom, word in do(name, node._effects()) if whom == voter]
         answers = [word for vote in votes for whom, word in do(voter, asked.receive(0.0, name, vote))]
         return [pair for answer in answers for pair in do(name, node.receive(0.0, voter, answer))]
+
     Node.after.__defaults__ = (1,)
     try:
         stand("a", "b")  # its first entry reaches nobody
@@ -538,6 +602,7 @@
 
     def count(host: Any, send: Any) -> None:
         sent[host.name] = sent.get(host.name, 0) + len(send.body.data) + 60  # the envelope and its seal
+
     cluster.proposing = False
     world = cluster.world
     world.until(lambda: bool(cluster.leader()) and cluster.agreed(), 20.0)
@@ -549,18 +614,31 @@
     def ask(number: int) -> None:
         part, when = cluster.part(asker), world.now
         assert part is not None
-        part.propose(asker.clock(when), "register", b"x" * 80 + str(number).encode(), 10.0,
-                     lambda outcome: took.append(world.now - when))
+        part.propose(
+            asker.clock(when),
+            "register",
+            b"x" * 80 + str(number).encode(),
+            10.0,
+            lambda outcome: took.append(world.now - when),
+        )
         world.do(asker, asker.driven.said())  # type: ignore[union-attr]
+
     for number in range(int(seconds * rate)):
         world.at(begin + number / rate, lambda number=number: ask(number))  # type: ignore[misc]
     world.run(begin + seconds + 2.0)
     took.sort()
     voters = [sent.get(name, 0) / seconds for name in cluster.names]
     told = [sent.get(f"f{n}", 0) / seconds for n in range(followers)]
-    return {"followers": followers, "entriesASecond": rate, "done": len(took), "medianMs": round(
-        took[len(took) // 2] * 1000, 1), "mostMs": round(took[-1] * 1000, 1), "voterBytesASecond": round(max(voters)),
-        "followerBytesASecond": round(max(told)), "bytesAFollower": round(sum(voters) / followers)}
+    return {
+        "followers": followers,
+        "entriesASecond": rate,
+        "done": len(took),
+        "medianMs": round(took[len(took) // 2] * 1000, 1),
+        "mostMs": round(took[-1] * 1000, 1),
+        "voterBytesASecond": round(max(voters)),
+        "followerBytesASecond": round(max(told)),
+        "bytesAFollower": round(sum(voters) / followers),
+    }
 
 
 def main() -> int:
@@ -583,14 +661,25 @@
         return int(not found["broken"])
     report: dict[str, Any] = {
         "seeds": seeds(0, told.seeds, told.jobs),
-        "stories": [(name, seed, wrong) for name in SCRIPTS for seed in range(20)
-                    if (wrong := scripted(name, seed).broken)],
-        "figure8": figure_8(), "model": model_check(most=told.states), "permits": permits_check(told.states),
-        "plants": plants(sorted(PLANTS), told.jobs), "costs": [costs(40), costs(200)]}
+        "stories": [
+            (name, seed, wrong) for name in SCRIPTS for seed in range(20) if (wrong := scripted(name, seed).broken)
+        ],
+        "figure8": figure_8(),
+        "model": model_check(most=told.states),
+        "permits": permits_check(told.states),
+        "plants": plants(sorted(PLANTS), told.jobs),
+        "costs": [costs(40), costs(200)],
+    }
     print(json.dumps(report, indent=None if told.json else 1))
-    wrong = (report["seeds"]["broken"] or report["stories"] or report["figure8"] or report["model"]["broken"]
-             or report["permits"]["broken"] or any(not row["broken"] for row in report["plants"])
-             or any(row["bytesAFollower"] > BYTES_A_FOLLOWER for row in report["costs"]))
+    wrong = (
+        report["seeds"]["broken"]
+        or report["stories"]
+        or report["figure8"]
+        or report["model"]["broken"]
+        or report["permits"]["broken"]
+        or any(not row["broken"] for row in report["plants"])
+        or any(row["bytesAFollower"] > BYTES_A_FOLLOWER for row in report["costs"])
+    )
     return int(bool(wrong))
 
 
--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -50,7 +50,7 @@
 def piece(at: int, size: int, seed: int) -> bytes:
     """Bytes of the endless body `seed`, from `at` on."""
     start = (at + seed * 4099) % len(NOISE)
-    return NOISE[start:start + size] + NOISE[:max(0, start + size - len(NOISE))]
+    return NOISE[start : start + size] + NOISE[: max(0, start + size - len(NOISE))]
 
 
 def digest(size: int, seed: int) -> str:
@@ -76,15 +76,27 @@
     down_cut: int = -1  # the server does
 
     def query(self) -> str:
-        return (f"size={self.down}&seed={self.seed}&form={self.down_form}&pace={self.down_pace}&cut={self.down_cut}"
-                f"&up={digest(self.up, self.seed + 1) if self.up_cut < 0 and self.up else ''}")
+        return (
+            f"size={self.down}&seed={self.seed}&form={self.down_form}&pace={self.down_pace}&cut={self.down_cut}"
+            f"&up={digest(self.up, self.seed + 1) if self.up_cut < 0 and self.up else ''}"
+        )
 
 
 class Writer:
     """Writes a body to a line at a pace, and breaks off where it is told to."""
 
-    def __init__(self, loop: Loop, send: Callable[[bytes], None], drained: Callable[[Callable[[], None]], None],
-                 size: int, seed: int, form: str, pace: str, cut: int, end: Callable[[bool], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        send: Callable[[bytes], None],
+        drained: Callable[[Callable[[], None]], None],
+        size: int,
+        seed: int,
+        form: str,
+        pace: str,
+        cut: int,
+        end: Callable[[bool], None],
+    ) -> None:
         self.loop, self.send, self.drained, self.size, self.seed = loop, send, drained, size, seed
         self.form, self.pace, self.cut, self.end, self.at = form, pace, cut, end, 0
         self.rng = random.Random(seed)
@@ -132,6 +144,7 @@
             if stream.whole:
                 stream.drop()
                 self._answer(line, payload, seen.hexdigest())
+
         stream.begin()
         stream.changed = more
         more()
@@ -141,8 +154,11 @@
         if told["up"] and told["up"] != seen:
             self.wrong["a server got a wrong body"] += 1
         size, form = int(told["size"]), told["form"]
-        head = {"length": f"Content-Length: {size}\r\n", "chunked": "Transfer-Encoding: chunked\r\n",
-                "close": "Connection: close\r\n"}[form]
+        head = {
+            "length": f"Content-Length: {size}\r\n",
+            "chunked": "Transfer-Encoding: chunked\r\n",
+            "close": "Connection: close\r\n",
+        }[form]
         line.send(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode())
 
         def end(whole: bool) -> None:
@@ -151,15 +167,26 @@
             elif form == "close":
                 line.drained = line.close
                 line.send(b"")
-        Writer(self.loop, line.send, lambda call: setattr(line, "drained", call), size, int(told["seed"]), form,
-               told["pace"], int(told["cut"]), end).go()
+
+        Writer(
+            self.loop,
+            line.send,
+            lambda call: setattr(line, "drained", call),
+            size,
+            int(told["seed"]),
+            form,
+            told["pace"],
+            int(told["cut"]),
+            end,
+        ).go()
 
 
 class Asker:
     """One client with one plan: what became of it is one word."""
 
-    def __init__(self, loop: Loop, at: tuple[str, int], plan: Plan, ident: int,
-                 done: Callable[[Asker, str], None]) -> None:
+    def __init__(
+        self, loop: Loop, at: tuple[str, int], plan: Plan, ident: int, done: Callable[[Asker, str], None]
+    ) -> None:
         self.loop, self.plan, self.done, self.began = loop, plan, done, loop.clock()
         self.sock = socket.create_connection(at)
         self.sock.setblocking(False)
@@ -170,12 +197,25 @@
         self.taking = plan.take != "never"
         loop.register(self.sock, READ, self._event)
         framing = f"Content-Length: {plan.up}\r\n" if plan.up_form == "length" else "Transfer-Encoding: chunked\r\n"
-        self.send((f"{'POST' if plan.up else 'GET'} /{'submit-result' if plan.up else 'load-sim'}/{ident:016x}"
-                   f"?{plan.query()} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {ident:016x}\r\nX-Tariff: county\r\n"
-                   f"X-Timeout: 7000m\r\n{framing if plan.up else ''}\r\n").encode())
+        self.send(
+            (
+                f"{'POST' if plan.up else 'GET'} /{'submit-result' if plan.up else 'load-sim'}/{ident:016x}"
+                f"?{plan.query()} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {ident:016x}\r\nX-Tariff: county\r\n"
+                f"X-Timeout: 7000m\r\n{framing if plan.up else ''}\r\n"
+            ).encode()
+        )
         if plan.up:
-            Writer(loop, self.send, lambda call: setattr(self, "drained", call), plan.up, plan.seed + 1, plan.up_form,
-                   plan.up_pace, plan.up_cut, lambda whole: None if whole else self._end("left")).go()
+            Writer(
+                loop,
+                self.send,
+                lambda call: setattr(self, "drained", call),
+                plan.up,
+                plan.seed + 1,
+                plan.up_form,
+                plan.up_pace,
+                plan.up_cut,
+                lambda whole: None if whole else self._end("left"),
+            ).go()
         self.timer = loop.call_in(PATIENCE + (plan.up + plan.down) / SLOW, lambda: self._end("lost"))
         if not self.taking:
             loop.call_in(3.0, lambda: self._end("left"))
@@ -256,7 +296,7 @@
     def _chunks(self) -> bool:
         while True:
             if self.left > 0:
-                part, self.data = self.data[:self.left], self.data[self.left:]
+                part, self.data = self.data[: self.left], self.data[self.left :]
                 self.seen.update(part)
                 self.size, self.left = self.size + len(part), self.left - len(part)
                 if self.left:
@@ -342,6 +382,7 @@
             while len(out) < CLIENTS and time.monotonic() < end:
                 out.add(self.ask(at, drawn(rng, rng.randrange(1 << 20)), done))
             short()
+
         self.turn(seconds, each)
         last = time.monotonic() + 40.0
         while out and time.monotonic() < last:
@@ -365,6 +406,7 @@
         def done(one: Asker, word: str) -> None:
             if word == "whole":
                 self.times.append(self.trial.loop.clock() - one.began)
+
         self.trial.ask(self.at, Plan(0, 200, self.trial.ident), done)
 
     def high(self) -> float:
@@ -400,7 +442,7 @@
                     break
                 data = bytes(memoryview(buffer)[:count])
                 try:
-                    data = data[there.send(data):]
+                    data = data[there.send(data) :]
                 except BlockingIOError:
                     pass
                 except OSError:
@@ -410,7 +452,7 @@
                     selector.modify(there, back.events | selectors.EVENT_WRITE, [back.data[0], data])
                     selector.unregister(here)
             elif events & selectors.EVENT_WRITE:
-                data = waiting[here.send(waiting):]
+                data = waiting[here.send(waiting) :]
                 if not data:
                     selector.modify(here, selectors.EVENT_READ, [there, b""])
                     selector.register(there, selectors.EVENT_READ, [here, b""])
@@ -428,6 +470,7 @@
         def done(one: Asker, word: str, left: list[int] = left) -> None:
             left[0] -= 1
             trial.words["relayed" if word == "whole" else f"relayed {word}"] += 1
+
         for n in range(left[0]):
             size = 4 << 20
             plan = Plan(size, 200, n) if n % 2 else Plan(0, size, n)
@@ -445,10 +488,27 @@
     trial = Trial(memory_mb)
     with tempfile.TemporaryDirectory(prefix="bracken-bodies-") as name:
         ports = free_ports(2)
-        daemon = Process(Path(name), "daemon", ports[0], trial.discovery.listener.text, "127.0.0.1:1", "",
-                         limits={"memory_mb": memory_mb, "sockets": 1024})
-        relay = subprocess.Popen([sys.executable, "-m", "benchmarks.bodies", "--bare", str(ports[1]), "--to",
-                                  str(trial.servers[0].listener.at[1])], cwd=ROOT)
+        daemon = Process(
+            Path(name),
+            "daemon",
+            ports[0],
+            trial.discovery.listener.text,
+            "127.0.0.1:1",
+            "",
+            limits={"memory_mb": memory_mb, "sockets": 1024},
+        )
+        relay = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.bodies",
+                "--bare",
+                str(ports[1]),
+                "--to",
+                str(trial.servers[0].listener.at[1]),
+            ],
+            cwd=ROOT,
+        )
         try:
             trial.turn(3.0)
             at = ("127.0.0.1", ports[0])
@@ -460,6 +520,7 @@
             def watched() -> None:
                 beside()
                 peak[0] = max(peak[0], daemon.resident_kb()) if len(beside.times) % 5 == 0 else peak[0]
+
             trial.mix(at, seconds, seed, watched)
             mixed = dict(trial.words)
             per_mb = cost(trial, [daemon.process.pid, relay.pid], ports, rounds)
@@ -469,14 +530,20 @@
                 process.wait()
         last = [row for row in Path(name, "daemon.log").read_text().splitlines() if "longest_turn_us=" in row][-1:]
     turn_ms = int(last[0].partition("longest_turn_us=")[2].split()[0]) / 1000 if last else -1.0
-    return {"seconds": seconds, "memoryMb": memory_mb, "outcomes": mixed,
-            "wrong": mixed.get("wrong", 0) + sum(trial.wrong.values()),
-            "lost": mixed.get("lost", 0), "cutOffForNothing": mixed.get("cut off for nothing", 0),
-            "idleMb": round(idle / 1024, 1), "peakOverIdleMb": round((peak[0] - idle) / 1024, 1),
-            "longestTurnMs": round(turn_ms, 2),
-            "cpuMsAMegabyte": [round(ms, 3) for ms in per_mb],
-            "ratio": round(per_mb[0] / per_mb[1], 2) if per_mb[1] else 0.0,
-            "shortP99Ms": [round(alone.high(), 2), round(beside.high(), 2)]}
+    return {
+        "seconds": seconds,
+        "memoryMb": memory_mb,
+        "outcomes": mixed,
+        "wrong": mixed.get("wrong", 0) + sum(trial.wrong.values()),
+        "lost": mixed.get("lost", 0),
+        "cutOffForNothing": mixed.get("cut off for nothing", 0),
+        "idleMb": round(idle / 1024, 1),
+        "peakOverIdleMb": round((peak[0] - idle) / 1024, 1),
+        "longestTurnMs": round(turn_ms, 2),
+        "cpuMsAMegabyte": [round(ms, 3) for ms in per_mb],
+        "ratio": round(per_mb[0] / per_mb[1], 2) if per_mb[1] else 0.0,
+        "shortP99Ms": [round(alone.high(), 2), round(beside.high(), 2)],
+    }
 
 
 def main() -> int:
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -57,6 +57,7 @@
 def measure(raw: dict[str, Any], kinds: list[str], seed: int, path: Path) -> None:
     """Each kind is written as soon as it is there."""
     from .kinds import KINDS
+
     for kind in kinds:
         began, stick = time.monotonic(), yardstick()
         new = KINDS[kind](seed)
@@ -73,8 +74,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--only", default="", metavar="KIND",
-        help="kinds, by commas; `second` for the counted second sources")
+    words.add_argument(
+        "--only", default="", metavar="KIND", help="kinds, by commas; `second` for the counted second sources"
+    )
     words.add_argument("--page", action="store_true")
     words.add_argument("--check", action="store_true")
     words.add_argument("--walk", action="store_true")
@@ -85,6 +87,7 @@
     told = words.parse_args(argv)
     from .page import faults, text, walked
     from .sheet import ROWS
+
     raw = read(told.file)
     if told.check:
         found = faults(raw, told.out.read_text(encoding="utf-8") if told.out.exists() else "")
@@ -92,18 +95,24 @@
         return int(bool(found))
     if told.walk:
         from .line import Measured
+
         print("\n".join(walked(Measured(raw), ROWS)))
         return 0
     if told.take:
         from .second import hollow
+
         new = hollow(json.loads(Path(told.take).read_text(encoding="utf-8")))
         names = {(row["key"], row["n"], row["how"]) for row in new}
-        raw["source2"] = [row for row in raw["source2"] if row["source"] != "hollow" or (row["key"],
-        row["n"], row["how"]) not in names] + new
+        raw["source2"] = [
+            row
+            for row in raw["source2"]
+            if row["source"] != "hollow" or (row["key"], row["n"], row["how"]) not in names
+        ] + new
         write(told.file, raw)
     elif not told.page:
         from .kinds import KINDS
         from .second import counted
+
         kinds = told.only.split(",") if told.only else [*KINDS, "second"]
         if unknown := [kind for kind in kinds if kind not in KINDS and kind != "second"]:
             words.error(f"no kind {', '.join(unknown)}: {', '.join([*KINDS, 'second'])}")
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -15,7 +15,11 @@
 LOOSE = 0.15  # and where repeats differ by more than this, it is a slope that has to explain them
 FAR = 4.0  # times the largest size measured: beyond it a second source is wanted
 FORMS: dict[str, Callable[[float], float]] = {
-    "constant": lambda n: 0.0, "log n": lambda n: math.log(max(1.0, n)), "n": lambda n: n, "n squared": lambda n: n * n}
+    "constant": lambda n: 0.0,
+    "log n": lambda n: math.log(max(1.0, n)),
+    "n": lambda n: n,
+    "n squared": lambda n: n * n,
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,8 +55,9 @@
 
 def _left(points: Sequence[tuple[float, float]], form: str) -> float:
     base, slope = _line(points, form)
-    return math.sqrt(statistics.mean(
-        ((base + slope * FORMS[form](n) - y) / max(abs(y), 1e-12)) ** 2 for n, y in points))
+    return math.sqrt(
+        statistics.mean(((base + slope * FORMS[form](n) - y) / max(abs(y), 1e-12)) ** 2 for n, y in points)
+    )
 
 
 def fit(points: Sequence[tuple[float, float]], spread: float = 0.0) -> Fit:
@@ -61,8 +66,11 @@
         raise ValueError(f"{len(points)} points: four sizes at least")
     points = sorted(points)
     left = {form: _left(points, form) for form in FORMS}
-    form = "constant" if left["constant"] <= max(FLAT, min(LOOSE, spread / 2)) else min(
-        (name for name in FORMS if name != "constant"), key=lambda name: left[name])
+    form = (
+        "constant"
+        if left["constant"] <= max(FLAT, min(LOOSE, spread / 2))
+        else min((name for name in FORMS if name != "constant"), key=lambda name: left[name])
+    )
     base, slope = _line(points, form)
     largest, seen = points[-1]
     told = base + slope * FORMS[form](largest)
--- a/benchmarks/capacity/kinds/agreed.py
+++ b/benchmarks/capacity/kinds/agreed.py
@@ -36,6 +36,7 @@
     def count(host: Host, send: Any) -> None:
         sent[host.name] += len(_encode(Envelope(host.name, 1, 1, send.body))) + OVERHEAD
         words[host.name] += 1
+
     world.sent = count
     world.run(world.now + REST)
     rest, rest_words = Counter(sent), Counter(words)
@@ -48,6 +49,7 @@
         made.asked[body] = world.now
         part.propose(leader.clock(world.now), "register", body, 20.0, lambda outcome: None)
         world.do(leader, part_effects(leader))
+
     began = world.now
     for n in range(int(BUSY * RATE)):
         body = n.to_bytes(4, "big") * (BODY // 4)
@@ -64,35 +66,61 @@
         late.append(world.now - when)
     voters, others = made.names, [f"f{n}" for n in range(followers)]
     heard = sum(busy[v] for v in voters) / followers / span
-    return {"rest": max(rest[v] for v in voters) / REST, "busy": max(busy[v] for v in voters) / span,
-            "words": max(rest_words[v] for v in voters) / REST,
-            "follower": sum(rest[f] for f in others) / followers / REST, "heard": heard, "all": max(late)}
+    return {
+        "rest": max(rest[v] for v in voters) / REST,
+        "busy": max(busy[v] for v in voters) / span,
+        "words": max(rest_words[v] for v in voters) / REST,
+        "follower": sum(rest[f] for f in others) / followers / REST,
+        "heard": heard,
+        "all": max(late),
+    }
 
 
 def snapshot(askers: int) -> dict[str, float]:
     """Each ingress has entered and asked 32 times: what the machine remembers of it, and its place in the roster."""
+
     def make() -> Machine:
         machine = Machine({"permits": Permits()})
         index = 0
         for n in range(askers):
             for number in range(32):
                 index += 1
-                machine.apply(Entry(index, 1, "op", encode(Command(
-                    f"ingress-{n}@1764651600{n:03d}", number + 1, "permits",
-                    pack(Enter(f"ingress-{n}", f"ingress-{n}@1764651600{n:03d}")))), 1000.0))
+                machine.apply(
+                    Entry(
+                        index,
+                        1,
+                        "op",
+                        encode(
+                            Command(
+                                f"ingress-{n}@1764651600{n:03d}",
+                                number + 1,
+                                "permits",
+                                pack(Enter(f"ingress-{n}", f"ingress-{n}@1764651600{n:03d}")),
+                            )
+                        ),
+                        1000.0,
+                    )
+                )
         return machine
+
     kept, _, machine = memory(make)
     data = machine.dump()
     fresh = Machine({"permits": Permits()})
-    return {"memory": kept / 1e6, "bytes": len(data), "dump": cpu(machine.dump) * 1000,
-            "restore": cpu(lambda: fresh.restore(Snapshot(index=1, term=1, data=data))) * 1000}
+    return {
+        "memory": kept / 1e6,
+        "bytes": len(data),
+        "dump": cpu(machine.dump) * 1000,
+        "restore": cpu(lambda: fresh.restore(Snapshot(index=1, term=1, data=data))) * 1000,
+    }
 
 
 def entry(askers: int) -> float:
     """us of one command applied, with so many askers remembered."""
     machine = Machine({"register": Register()})
-    entries = [Entry(n + 1, 1, "op", encode(Command(f"i{n % askers}", n + 1, "register", b"x" * BODY)), 1000.0)
-               for n in range(2 * askers + 500)]
+    entries = [
+        Entry(n + 1, 1, "op", encode(Command(f"i{n % askers}", n + 1, "register", b"x" * BODY)), 1000.0)
+        for n in range(2 * askers + 500)
+    ]
     turn = iter(entries)
     return cpu(lambda: machine.apply(next(turn)), len(entries)) * 1e6
 
@@ -103,25 +131,83 @@
 
     def rows(found: dict[int, list[dict[str, float]]], name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     virtual = "virtual time"
     return [
-        slope("log.rest", "bytes a second that the voter with most followers sends at rest", "followers", "bytes/s",
-              rows(ran, "rest"), source=virtual, seed=seed),
-        slope("log.busy", f"the same at {RATE:g} commands of {BODY} bytes a second", "followers", "bytes/s",
-              rows(ran, "busy"), source=virtual, seed=seed),
-        slope("log.words", "messages a second that this voter sends at rest", "followers", "/s", rows(ran, "words"),
-              source=virtual, seed=seed),
-        slope("log.follower", "bytes a second that a follower sends", "followers", "bytes/s", rows(ran, "follower"),
-              source=virtual, seed=seed),
-        slope("log.heard", f"bytes a second that a follower hears at {RATE:g} commands of {BODY} bytes", "followers",
-              "bytes/s", rows(ran, "heard"), source=virtual, seed=seed),
-        slope("log.all", "a command applied by all, the slowest", "followers", "s", rows(ran, "all"), source=virtual,
-              seed=seed),
-        slope("log.entry", "processor time of one command applied", "askers", "us",
-              [(n, [entry(n) for _ in range(REPEATS)]) for n in askers], "least", seed=seed),
-        slope("log.snapshot", "a snapshot with the roster and 32 answers of each asker", "askers", "bytes",
-              rows(kept, "bytes"), seed=seed),
+        slope(
+            "log.rest",
+            "bytes a second that the voter with most followers sends at rest",
+            "followers",
+            "bytes/s",
+            rows(ran, "rest"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "log.busy",
+            f"the same at {RATE:g} commands of {BODY} bytes a second",
+            "followers",
+            "bytes/s",
+            rows(ran, "busy"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "log.words",
+            "messages a second that this voter sends at rest",
+            "followers",
+            "/s",
+            rows(ran, "words"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "log.follower",
+            "bytes a second that a follower sends",
+            "followers",
+            "bytes/s",
+            rows(ran, "follower"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "log.heard",
+            f"bytes a second that a follower hears at {RATE:g} commands of {BODY} bytes",
+            "followers",
+            "bytes/s",
+            rows(ran, "heard"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "log.all",
+            "a command applied by all, the slowest",
+            "followers",
+            "s",
+            rows(ran, "all"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "log.entry",
+            "processor time of one command applied",
+            "askers",
+            "us",
+            [(n, [entry(n) for _ in range(REPEATS)]) for n in askers],
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "log.snapshot",
+            "a snapshot with the roster and 32 answers of each asker",
+            "askers",
+            "bytes",
+            rows(kept, "bytes"),
+            seed=seed,
+        ),
         slope("log.dump", "the turn that makes a snapshot", "askers", "ms", rows(kept, "dump"), "least", seed=seed),
-        slope("log.restore", "the turn that takes a snapshot", "askers", "ms", rows(kept, "restore"), "least",
-        seed=seed),
-        slope("log.memory", "the machine's state", "askers", "MB", rows(kept, "memory"), seed=seed)]
+        slope(
+            "log.restore", "the turn that takes a snapshot", "askers", "ms", rows(kept, "restore"), "least", seed=seed
+        ),
+        slope("log.memory", "the machine's state", "askers", "MB", rows(kept, "memory"), seed=seed),
+    ]
--- a/benchmarks/capacity/kinds/apart.py
+++ b/benchmarks/capacity/kinds/apart.py
@@ -24,6 +24,7 @@
         if missing:
             net.do(member, member.join([missing[int(net.now / SEEK) % len(missing)]]))
         net.at(net.now + SEEK, lambda: seek(address))
+
     for n, address in enumerate(list(net.members)):
         net.at(net.now + SEEK * n / size, lambda address=address: seek(address))  # type: ignore[misc]
     net.blocked = lambda a, b: (a in side) != (b in side)
@@ -34,7 +35,7 @@
     most = 0.0
     while not net.agree() and net.now < healed + PATIENCE:
         net.run(net.now + 0.25)
-        known = sum(len(member.alive()) + 1 for member in net.members.values()) / size ** 2
+        known = sum(len(member.alive()) + 1 for member in net.members.values()) / size**2
         most = most or (net.now - healed if known >= 0.99 else 0.0)
     return {"took": net.now - healed, "most": most or net.now - healed, "bytes": max(net.bytes.values(), default=0)}
 
@@ -44,11 +45,33 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     return [
-        slope("apart.took", "a third back after 80 s apart, until all know each other", "members", "s", rows("took"),
-              source="virtual time", seed=seed),
-        slope("apart.most", "the same, until 99 in 100 pairs do", "members", "s", rows("most"), source="virtual time",
-              seed=seed),
-        slope("apart.bytes", "bytes that the busiest member, a seed, sends until then", "members", "bytes",
-        rows("bytes"),
-              source="virtual time", seed=seed)]
+        slope(
+            "apart.took",
+            "a third back after 80 s apart, until all know each other",
+            "members",
+            "s",
+            rows("took"),
+            source="virtual time",
+            seed=seed,
+        ),
+        slope(
+            "apart.most",
+            "the same, until 99 in 100 pairs do",
+            "members",
+            "s",
+            rows("most"),
+            source="virtual time",
+            seed=seed,
+        ),
+        slope(
+            "apart.bytes",
+            "bytes that the busiest member, a seed, sends until then",
+            "members",
+            "bytes",
+            rows("bytes"),
+            source="virtual time",
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/configuration.py
+++ b/benchmarks/capacity/kinds/configuration.py
@@ -29,8 +29,9 @@
 
 def change(number: int) -> Change:
     """A plan and its firms, as `size_run` makes them."""
-    return Change(number - 1, "trial", {"p": Figures(float(number), 9.0)},
-                  {number << 20 | firm: "p" for firm in range(ENTRIES)})
+    return Change(
+        number - 1, "trial", {"p": Figures(float(number), 9.0)}, {number << 20 | firm: "p" for firm in range(ENTRIES)}
+    )
 
 
 def heard(followers: int, seed: int) -> dict[str, float]:
@@ -44,6 +45,7 @@
         fleet.sent.clear()
         world.run(world.now + seconds)
         return statistics.mean(fleet.sent.get(f"to f{n}", 0) for n in range(followers))
+
     rest = told(CALM) / CALM
     found = []
     for number in range(1, TOLD + 1):
@@ -56,8 +58,13 @@
 def of(firms: int, seed: int) -> dict[str, float]:
     """One process with so many firms on plans: wall time of its turns, the middle one of five."""
     ran: dict[str, Any] = tenants(firms, seed)
-    return {"memory": ran["memoryMb"], "start": float(ran["wordBytes"]), "begin": ran["loadMs"] + ran["firstInForceMs"],
-            "copy": ran["ownCopyMs"], "dump": ran["dumpMs"]}
+    return {
+        "memory": ran["memoryMb"],
+        "start": float(ran["wordBytes"]),
+        "begin": ran["loadMs"] + ran["firstInForceMs"],
+        "copy": ran["ownCopyMs"],
+        "dump": ran["dumpMs"],
+    }
 
 
 def measured(seed: int, sizes: tuple[int, ...] = FOLLOWERS, firms: tuple[int, ...] = FIRMS) -> list[Slope]:
@@ -67,23 +74,88 @@
 
     def rows(found: dict[int, list[dict[str, float]]], name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     virtual = "virtual time"
     return [
-        slope("configuration.soon", "a change in force at 99 in 100 of those that can be reached", "followers", "s",
-              rows(ran, "soon"), "most", virtual, seed),
-        slope("configuration.all", "the same at all that can be reached, restarted ones too", "followers", "s",
-              rows(ran, "all"), "most", virtual, seed),
-        slope("configuration.rest", "bytes a second of the log that an ingress hears at rest", "followers", "bytes/s",
-              rows(ran, "rest"), source=virtual, seed=seed),
-        slope("configuration.change", f"bytes that a change of a plan and {ENTRIES} firms adds at an ingress",
-              "followers", "bytes", rows(ran, "change"), source=virtual, seed=seed),
-        slope("configuration.memory", "the log's part and what is in force", "firms on plans", "MB",
-              rows(held, "memory"), seed=seed),
-        slope("configuration.start", "bytes that one who starts is told", "firms on plans", "bytes",
-              rows(held, "start"), seed=seed),
-        slope("configuration.begin", "the turn of a start: a snapshot taken and in force, wall time", "firms on plans",
-              "ms", rows(held, "begin"), "least", seed=seed),
-        slope("configuration.copy", "the own copy made, wall time", "firms on plans", "ms", rows(held, "copy"), "least",
-              seed=seed),
-        slope("configuration.dump", "a voter's snapshot of it made, wall time", "firms on plans", "ms",
-              rows(held, "dump"), "least", seed=seed)]
+        slope(
+            "configuration.soon",
+            "a change in force at 99 in 100 of those that can be reached",
+            "followers",
+            "s",
+            rows(ran, "soon"),
+            "most",
+            virtual,
+            seed,
+        ),
+        slope(
+            "configuration.all",
+            "the same at all that can be reached, restarted ones too",
+            "followers",
+            "s",
+            rows(ran, "all"),
+            "most",
+            virtual,
+            seed,
+        ),
+        slope(
+            "configuration.rest",
+            "bytes a second of the log that an ingress hears at rest",
+            "followers",
+            "bytes/s",
+            rows(ran, "rest"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "configuration.change",
+            f"bytes that a change of a plan and {ENTRIES} firms adds at an ingress",
+            "followers",
+            "bytes",
+            rows(ran, "change"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "configuration.memory",
+            "the log's part and what is in force",
+            "firms on plans",
+            "MB",
+            rows(held, "memory"),
+            seed=seed,
+        ),
+        slope(
+            "configuration.start",
+            "bytes that one who starts is told",
+            "firms on plans",
+            "bytes",
+            rows(held, "start"),
+            seed=seed,
+        ),
+        slope(
+            "configuration.begin",
+            "the turn of a start: a snapshot taken and in force, wall time",
+            "firms on plans",
+            "ms",
+            rows(held, "begin"),
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "configuration.copy",
+            "the own copy made, wall time",
+            "firms on plans",
+            "ms",
+            rows(held, "copy"),
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "configuration.dump",
+            "a voter's snapshot of it made, wall time",
+            "firms on plans",
+            "ms",
+            rows(held, "dump"),
+            "least",
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/counter.py
+++ b/benchmarks/capacity/kinds/counter.py
@@ -39,6 +39,7 @@
                 push(now + ANSWER, "answer", effect.name)
             elif isinstance(effect, Grant):
                 levels[effect.firm] = levels.get(effect.firm, 0.0) + effect.units
+
     begin = 1000.0
     for firm in range(1, FIRMS + 1):
         push(begin + rng.expovariate(rate), "try", firm)
@@ -63,9 +64,17 @@
 
 
 def measured(seed: int, rates: tuple[float, ...] = RATES) -> list[Slope]:
-    return [slope("counter.leased", "counter calls a try of a leased firm", "tries a second of a firm at an ingress",
-                  "calls", [(rate, [leased(rate, seed + k) for k in range(REPEATS)]) for rate in rates],
-                  source="virtual time", seed=seed)]
+    return [
+        slope(
+            "counter.leased",
+            "counter calls a try of a leased firm",
+            "tries a second of a firm at an ingress",
+            "calls",
+            [(rate, [leased(rate, seed + k) for k in range(REPEATS)]) for rate in rates],
+            source="virtual time",
+            seed=seed,
+        )
+    ]
 
 
 def connections(seed: int, places: tuple[tuple[int, int], ...] = PLACES, seconds: float = 10.0) -> list[Slope]:
@@ -76,15 +85,31 @@
             world = World(seed + k, gateways, servers, seconds=seconds)
             world.run()
             told = world.count
-            found.setdefault(gateways, []).append({
-                "kept": sum(len(s.conns) for s in world.servers.values()) / servers,
-                "calls": told["calls"] / seconds})
+            found.setdefault(gateways, []).append(
+                {"kept": sum(len(s.conns) for s in world.servers.values()) / servers, "calls": told["calls"] / seconds}
+            )
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     virtual = "virtual time"
     return [
-        slope("connections.server", f"ingresses that a server has a connection from after {seconds:g} s", "ingresses",
-              "connections", rows("kept"), source=virtual, seed=seed),
-        slope("connections.calls", "counter calls a second of all ingresses, quotas by shares", "ingresses", "calls/s",
-              rows("calls"), source=virtual, seed=seed)]
+        slope(
+            "connections.server",
+            f"ingresses that a server has a connection from after {seconds:g} s",
+            "ingresses",
+            "connections",
+            rows("kept"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "connections.calls",
+            "counter calls a second of all ingresses, quotas by shares",
+            "ingresses",
+            "calls/s",
+            rows("calls"),
+            source=virtual,
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -25,8 +25,10 @@
 
 def leased(firms: int) -> list[dict[str, float]]:
     kept, _, made = memory(lambda: keeper(firms))
-    return [{"memory": kept / 1e6, "sweep": cpu(lambda: made.sweep(1000.5, lambda firm: 0.0)) * 1000}
-            for _ in range(REPEATS)]
+    return [
+        {"memory": kept / 1e6, "sweep": cpu(lambda: made.sweep(1000.5, lambda firm: 0.0)) * 1000}
+        for _ in range(REPEATS)
+    ]
 
 
 def charged(firms: int) -> Tally:
@@ -42,8 +44,7 @@
     found = []
     for _ in range(REPEATS):
         made = charged(firms)
-        found.append({"memory": kept / 1e6,
-        "close": cpu(lambda made=made: made.close(2000.0)) * 1000})  # type: ignore[misc]
+        found.append({"memory": kept / 1e6, "close": cpu(lambda made=made: made.close(2000.0)) * 1000})  # type: ignore[misc]
     return found
 
 
@@ -57,6 +58,7 @@
         for _ in range(100):
             loop.call_at(-1.0, lambda: None)
         loop.turn(0.0)
+
     spent = cpu(each, 20) / 100 * 1e6
     loop.close()
     return spent
@@ -67,15 +69,56 @@
     ledger = {n: closed(n) for n in sizes}
     size = len(encode(name_of("debt", 12345, 1 << 32), 12.345678, TTL)) + len(b"$9\r\n123.45678\r\n")
     return [
-        slope("firms.leases", "a lease each of so many firms", "firms held", "MB",
-              [(n, [one["memory"] for one in some]) for n, some in found.items()], seed=seed),
-        slope("firms.sweep", "the turn that looks for unused leases", "firms held", "ms",
-              [(n, [one["sweep"] for one in some]) for n, some in found.items()], "least", seed=seed),
-        slope("firms.ledger", "the open sums of so many firms that were charged", "firms held", "MB",
-              [(n, [one["memory"] for one in some]) for n, some in ledger.items()], seed=seed),
-        slope("firms.close", "the turn that closes their period", "firms held", "ms",
-              [(n, [one["close"] for one in some]) for n, some in ledger.items()], "least", seed=seed),
-        slope("firms.call", "bytes of a call to the counter and its answer", "firms held", "bytes",
-              [(n, [float(size)] * REPEATS) for n in sizes], source="counting", seed=seed),
-        slope("firms.timer", "processor time of a timer set and run", "timers that wait", "us",
-              [(n, [timer(n) for _ in range(REPEATS)]) for n in timers], "least", seed=seed)]
+        slope(
+            "firms.leases",
+            "a lease each of so many firms",
+            "firms held",
+            "MB",
+            [(n, [one["memory"] for one in some]) for n, some in found.items()],
+            seed=seed,
+        ),
+        slope(
+            "firms.sweep",
+            "the turn that looks for unused leases",
+            "firms held",
+            "ms",
+            [(n, [one["sweep"] for one in some]) for n, some in found.items()],
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "firms.ledger",
+            "the open sums of so many firms that were charged",
+            "firms held",
+            "MB",
+            [(n, [one["memory"] for one in some]) for n, some in ledger.items()],
+            seed=seed,
+        ),
+        slope(
+            "firms.close",
+            "the turn that closes their period",
+            "firms held",
+            "ms",
+            [(n, [one["close"] for one in some]) for n, some in ledger.items()],
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "firms.call",
+            "bytes of a call to the counter and its answer",
+            "firms held",
+            "bytes",
+            [(n, [float(size)] * REPEATS) for n in sizes],
+            source="counting",
+            seed=seed,
+        ),
+        slope(
+            "firms.timer",
+            "processor time of a timer set and run",
+            "timers that wait",
+            "us",
+            [(n, [timer(n) for _ in range(REPEATS)]) for n in timers],
+            "least",
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/kept.py
+++ b/benchmarks/capacity/kinds/kept.py
@@ -30,8 +30,9 @@
         self.unused: dict[str, list[float]] = {}  # server: since when each has stood
         self.out: list[tuple[float, str, str, bool]] = []
         self.attempts = self.new = 0
-        self.tell(i.ServerList("full", [
-            i.ServerEntry(f"s{n}", f"r{n % 3}-z{n % 12}", n // 12 % 100) for n in range(servers)]))
+        self.tell(
+            i.ServerList("full", [i.ServerEntry(f"s{n}", f"r{n % 3}-z{n % 12}", n // 12 % 100) for n in range(servers)])
+        )
 
     def tell(self, event: i.Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -58,8 +59,7 @@
         self.now = when
 
     def held(self) -> int:
-        return len(self.out) + sum(
-            self.now - since < IDLE for stood in self.unused.values() for since in stood)
+        return len(self.out) + sum(self.now - since < IDLE for stood in self.unused.values() for since in stood)
 
 
 def of(servers: int, seed: int) -> dict[str, float]:
@@ -75,8 +75,18 @@
         if when < begin + SPAN - LOOK:
             seen = made.attempts, made.new
         serial += 1
-        made.tell(i.Request(f"m{serial}", ("load-sim", "save-progress", "submit-result")[serial % 3], "county",
-                            serial % 500, 4.0, 1.0, 1, 0))
+        made.tell(
+            i.Request(
+                f"m{serial}",
+                ("load-sim", "save-progress", "submit-result")[serial % 3],
+                "county",
+                serial % 500,
+                4.0,
+                1.0,
+                1,
+                0,
+            )
+        )
     return {"held": made.held(), "new": (made.new - seen[1]) / max(1, made.attempts - seen[0])}
 
 
@@ -85,8 +95,24 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     return [
-        slope("kept.held", "connections that an ingress holds, at the line's requests for so many servers", "servers",
-              "connections", rows("held"), source="virtual time", seed=seed),
-        slope("kept.new", "part of its attempts that need a handshake", "servers", "part", rows("new"),
-              source="virtual time", seed=seed)]
+        slope(
+            "kept.held",
+            "connections that an ingress holds, at the line's requests for so many servers",
+            "servers",
+            "connections",
+            rows("held"),
+            source="virtual time",
+            seed=seed,
+        ),
+        slope(
+            "kept.new",
+            "part of its attempts that need a handshake",
+            "servers",
+            "part",
+            rows("new"),
+            source="virtual time",
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/lists.py
+++ b/benchmarks/capacity/kinds/lists.py
@@ -25,10 +25,19 @@
 def entries(servers: int, seed: int = 1) -> list[dict[str, Any]]:
     """In the form of the protocol page; three regions of four zones."""
     rng = random.Random(seed)
-    return [{"instanceId": f"s-{rng.getrandbits(32):08x}",
-        "hostPort": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:8000",
-             "zone": f"r{n % 3}-z{n % 12}", "machineType": f"m{n % 4}", "cell": n // 12 % 100, "lifecycle": "SERVING",
-             "weight": 1.0, "startedAtMs": 1764651600000 + n} for n in range(servers)]
+    return [
+        {
+            "instanceId": f"s-{rng.getrandbits(32):08x}",
+            "hostPort": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:8000",
+            "zone": f"r{n % 3}-z{n % 12}",
+            "machineType": f"m{n % 4}",
+            "cell": n // 12 % 100,
+            "lifecycle": "SERVING",
+            "weight": 1.0,
+            "startedAtMs": 1764651600000 + n,
+        }
+        for n in range(servers)
+    ]
 
 
 def whole(rows: list[dict[str, Any]]) -> bytes:
@@ -59,8 +68,8 @@
     def takes(self, data: bytes) -> bytes:
         """All parts but the last one, which is returned."""
         for at in range(0, len(data) - PART, PART):
-            assert not list(self.objects.feed(data[at:at + PART]))
-        return data[max(0, (len(data) - 1) // PART * PART):]
+            assert not list(self.objects.feed(data[at : at + PART]))
+        return data[max(0, (len(data) - 1) // PART * PART) :]
 
     def rest(self, seconds: float) -> None:
         """The module's own timers and no messages."""
@@ -76,16 +85,25 @@
     kept, highest, made = memory(lambda: taken(Listed(), data))
     fresh = Listed()
     parts = cpu(lambda: None) if len(data) <= PART else cpu(lambda: fresh.takes(data))
-    last = data[max(0, (len(data) - 1) // PART * PART):]
+    last = data[max(0, (len(data) - 1) // PART * PART) :]
     hold = cpu(lambda: fresh.told(last))
-    changed = [whole([{**rows[n % len(rows)], "lifecycle": "DRAINING"}]).replace(b'"reset":true', b'"reset":false')
-               for n in range(8)]
+    changed = [
+        whole([{**rows[n % len(rows)], "lifecycle": "DRAINING"}]).replace(b'"reset":true', b'"reset":false')
+        for n in range(8)
+    ]
     turn = iter(changed)
     change = cpu(lambda: fresh.told(next(turn)), len(changed))
     rest = cpu(lambda: fresh.rest(5.0)) / 5.0
-    return {"bytes": len(data), "cpu": parts + hold, "hold": hold * 1000, "memory": kept / 1e6,
+    return {
+        "bytes": len(data),
+        "cpu": parts + hold,
+        "hold": hold * 1000,
+        "memory": kept / 1e6,
         "highest": highest / 1e6,
-            "change": change * 1000, "rest": rest * 100, "changeBytes": len(changed[0])}, fresh
+        "change": change * 1000,
+        "rest": rest * 100,
+        "changeBytes": len(changed[0]),
+    }, fresh
 
 
 def taken(made: Listed, data: bytes) -> Listed:
@@ -98,20 +116,39 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in ran]) for n, ran in found.items()]
+
     return [
         slope("list.bytes", "a whole list as discovery tells it", "servers", "bytes", rows("bytes"), seed=seed),
         slope("list.change_bytes", "one change of one server", "servers", "bytes", rows("changeBytes"), seed=seed),
         slope("list.cpu", "processor time to take a whole list", "servers", "s", rows("cpu"), "least", seed=seed),
         slope("list.hold", "the turn in which a whole list ends", "servers", "ms", rows("hold"), "least", seed=seed),
         slope("list.change", "processor time of one change", "servers", "ms", rows("change"), "least", seed=seed),
-        slope("list.rest", "the module's timers, no messages", "servers", "% of a core", rows("rest"), "least",
-        seed=seed),
-        slope("list.memory", "a list that is held, with the module's records", "servers", "MB", rows("memory"),
-        seed=seed),
-        slope("list.highest", "the same at its highest point, while it is taken", "servers", "MB", rows("highest"),
-              seed=seed)]
+        slope(
+            "list.rest", "the module's timers, no messages", "servers", "% of a core", rows("rest"), "least", seed=seed
+        ),
+        slope(
+            "list.memory", "a list that is held, with the module's records", "servers", "MB", rows("memory"), seed=seed
+        ),
+        slope(
+            "list.highest",
+            "the same at its highest point, while it is taken",
+            "servers",
+            "MB",
+            rows("highest"),
+            seed=seed,
+        ),
+    ]
 
 
 def message(seed: int, sizes: tuple[int, ...] = MESSAGES, messages: int = 1500) -> list[Slope]:
-    return [slope("module.message", "a message in the decision module, 500 a second", "servers", "us",
-                  [(n, [micros(n, messages, seed + k) for k in range(REPEATS)]) for n in sizes], "least", seed=seed)]
+    return [
+        slope(
+            "module.message",
+            "a message in the decision module, 500 a second",
+            "servers",
+            "us",
+            [(n, [micros(n, messages, seed + k) for k in range(REPEATS)]) for n in sizes],
+            "least",
+            seed=seed,
+        )
+    ]
--- a/benchmarks/capacity/kinds/members.py
+++ b/benchmarks/capacity/kinds/members.py
@@ -45,8 +45,15 @@
         began = time.thread_time()
         net.run(net.now + CALM)
         spent = time.thread_time() - began
-        found.append({"bytes": statistics.mean(net.bytes.values()) / CALM, "messages": net.messages / size / CALM,
-                      "cpu": spent / size / CALM * 100, "joined": joined, "death": float(PATIENCE)})
+        found.append(
+            {
+                "bytes": statistics.mean(net.bytes.values()) / CALM,
+                "messages": net.messages / size / CALM,
+                "cpu": spent / size / CALM * 100,
+                "joined": joined,
+                "death": float(PATIENCE),
+            }
+        )
     net.measure = False
     for number, told in enumerate(found):  # after the calm: the dead are looked for a while, and that costs bytes
         victim, when = f"a{size - 1 - number}", net.now
@@ -63,8 +70,9 @@
 
 
 def updates(size: int) -> list[Update]:
-    return [Update(f"ingress-{n}@1764651600{n:03d}", f"10.0.{n >> 8}.{n & 255}:9300", 1, ALIVE,
-        "") for n in range(size)]
+    return [
+        Update(f"ingress-{n}@1764651600{n:03d}", f"10.0.{n >> 8}.{n & 255}:9300", 1, ALIVE, "") for n in range(size)
+    ]
 
 
 def exchange(size: int) -> dict[str, float]:
@@ -75,9 +83,14 @@
         made = Protocol("me@1", "10.9.9.9:1", random.Random(1), 1000.0)
         made.receive(1000.0, "x", body)
         return made
+
     kept, _, made = memory(joins)
-    return {"hold": cpu(joins) * 1000, "again": cpu(lambda: made.receive(1001.0, "x", body)) * 1000,
-            "bytes": len(_encode(Envelope("me@1", 1, 1, body))) + OVERHEAD, "memory": kept / 1e6}
+    return {
+        "hold": cpu(joins) * 1000,
+        "again": cpu(lambda: made.receive(1001.0, "x", body)) * 1000,
+        "bytes": len(_encode(Envelope("me@1", 1, 1, body))) + OVERHEAD,
+        "memory": kept / 1e6,
+    }
 
 
 def measured(seed: int, sizes: tuple[int, ...] = SIZES, wide: tuple[int, ...] = WIDE) -> list[Slope]:
@@ -86,25 +99,70 @@
 
     def rows(found: dict[int, list[dict[str, float]]], name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     virtual = "virtual time"
     return [
-        slope("members.bytes", "bytes a second a member sends, in a calm fleet", "members", "bytes/s", rows(ran,
-        "bytes"),
-              source=virtual, seed=seed),
-        slope("members.messages", "messages a second a member sends", "members", "/s", rows(ran, "messages"),
-              source=virtual, seed=seed),
-        slope("members.cpu", "processor time of the protocol without sockets and seals", "members", "% of a core",
-              rows(ran, "cpu"), "least", virtual, seed),
+        slope(
+            "members.bytes",
+            "bytes a second a member sends, in a calm fleet",
+            "members",
+            "bytes/s",
+            rows(ran, "bytes"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "members.messages",
+            "messages a second a member sends",
+            "members",
+            "/s",
+            rows(ran, "messages"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope(
+            "members.cpu",
+            "processor time of the protocol without sockets and seals",
+            "members",
+            "% of a core",
+            rows(ran, "cpu"),
+            "least",
+            virtual,
+            seed,
+        ),
         slope("members.death", "a death known to all", "members", "s", rows(ran, "death"), source=virtual, seed=seed),
-        slope("members.trial", "processor time of a trial in which all join one after another", "members", "s",
-              rows(ran, "joined"), "least", virtual, seed),
-        slope("members.hold", "the turn in which one that joins takes the whole exchange", "members", "ms",
-              rows(large, "hold"), "least", seed=seed),
-        slope("members.again", "the turn of a later exchange", "members", "ms", rows(large, "again"), "least",
-        seed=seed),
-        slope("members.exchange", "bytes of a whole exchange, one way", "members", "bytes", rows(large, "bytes"),
-              seed=seed),
-        slope("members.memory", "what a member holds of the others", "members", "MB", rows(large, "memory"), seed=seed)]
+        slope(
+            "members.trial",
+            "processor time of a trial in which all join one after another",
+            "members",
+            "s",
+            rows(ran, "joined"),
+            "least",
+            virtual,
+            seed,
+        ),
+        slope(
+            "members.hold",
+            "the turn in which one that joins takes the whole exchange",
+            "members",
+            "ms",
+            rows(large, "hold"),
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "members.again", "the turn of a later exchange", "members", "ms", rows(large, "again"), "least", seed=seed
+        ),
+        slope(
+            "members.exchange",
+            "bytes of a whole exchange, one way",
+            "members",
+            "bytes",
+            rows(large, "bytes"),
+            seed=seed,
+        ),
+        slope("members.memory", "what a member holds of the others", "members", "MB", rows(large, "memory"), seed=seed),
+    ]
 
 
 def table(size: int) -> dict[str, float]:
@@ -120,16 +178,20 @@
             for row in owner.of("ingress"):
                 mine._take(row)
         return mine, other
+
     kept, _, (mine, other) = memory(make)
     digest = mine.digest("10.0.0.1:9300")
     empty = Digest("10.0.0.2:9300", [])
     found = mine.compare(empty)
     assert found is not None
-    return {"memory": kept / 1e6, "digest": len(_encode(Envelope("me@1", 1, 1, digest))) + OVERHEAD,
-            "all": len(_encode(Envelope("me@1", 1, 1, found))) + OVERHEAD,
-            "compare": cpu(lambda: mine.compare(digest)) * 1000, "take": cpu(lambda: other.receive(1000.0,
-            found)) * 1000,
-            "news": cpu(lambda: mine.queue.take(1100, size)) * 1000}
+    return {
+        "memory": kept / 1e6,
+        "digest": len(_encode(Envelope("me@1", 1, 1, digest))) + OVERHEAD,
+        "all": len(_encode(Envelope("me@1", 1, 1, found))) + OVERHEAD,
+        "compare": cpu(lambda: mine.compare(digest)) * 1000,
+        "take": cpu(lambda: other.receive(1000.0, found)) * 1000,
+        "news": cpu(lambda: mine.queue.take(1100, size)) * 1000,
+    }
 
 
 def records(seed: int, sizes: tuple[int, ...] = WIDE) -> list[Slope]:
@@ -137,12 +199,26 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     return [
         slope("records.memory", "one record of each member", "members", "MB", rows("memory"), seed=seed),
         slope("records.digest", "bytes of a table's digest, one way", "members", "bytes", rows("digest"), seed=seed),
-        slope("records.all", "bytes of all records, told to one who holds none", "members", "bytes", rows("all"),
-              seed=seed),
+        slope(
+            "records.all",
+            "bytes of all records, told to one who holds none",
+            "members",
+            "bytes",
+            rows("all"),
+            seed=seed,
+        ),
         slope("records.take", "the turn that takes all records", "members", "ms", rows("take"), "least", seed=seed),
-        slope("records.news", "records for one datagram while all wait to be told", "members", "ms", rows("news"),
-        "least",
-              seed=seed)]
+        slope(
+            "records.news",
+            "records for one datagram while all wait to be told",
+            "members",
+            "ms",
+            rows("news"),
+            "least",
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/news.py
+++ b/benchmarks/capacity/kinds/news.py
@@ -20,16 +20,20 @@
     """One fleet, looked at in spans one after another."""
     world = World(seed, Links(Link()))
     rng = random.Random(seed)
+
     def make(host: Host) -> Station:
         return Station(f"{host.name}@{host.life}", host.address, random.Random(rng.random()), world.now)
+
     hosts = [world.add(f"i{n}", f"a{n}", make) for n in range(size)]
     first = hosts[0].address
+
     def publish(host: Host) -> None:
         station = host.driven
         assert isinstance(station, Station)
         station.records.publish("ingress", "", f"{world.now:.6f}".encode().ljust(BYTES))
         world.do(host, station.said())
         world.at(world.now + TOLD, lambda: publish(host))
+
     for host in hosts:
         station = host.driven
         assert isinstance(station, Station)
@@ -57,7 +61,17 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     virtual = "virtual time"
-    return [slope("news.late", "age of what a member is known to carry, 99 in 100", "members", "s", rows("late"),
-                  source=virtual, seed=seed),
-            slope("news.median", "the same, median", "members", "s", rows("median"), source=virtual, seed=seed)]
+    return [
+        slope(
+            "news.late",
+            "age of what a member is known to carry, 99 in 100",
+            "members",
+            "s",
+            rows("late"),
+            source=virtual,
+            seed=seed,
+        ),
+        slope("news.median", "the same, median", "members", "s", rows("median"), source=virtual, seed=seed),
+    ]
--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -35,7 +35,7 @@
 
     def __init__(self, loop: Loop, servers: list[Any], size: int) -> None:
         super().__init__(loop, servers)
-        self.rest = entries(size)[len(servers):]
+        self.rest = entries(size)[len(servers) :]
 
     def drained(self) -> None:
         self.generation += 1
@@ -85,6 +85,7 @@
                     state["out"] = True
                     Call(loop, ("127.0.0.1", port), "GET", "/ready", b"", 1.0, heard)
                 return state["ready"]
+
             start = wait(loop, ready, 30.0)
             wait(loop, lambda: bool(discovery.watchers), 30.0)
             spend(loop, 0.7)  # until the list of the watch is taken
@@ -113,13 +114,28 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [ran[name] for ran in some]) for n, some in found.items()]
+
     return [
         slope("process.start", "from the start of the process to /ready", "servers", "s", rows("start"), seed=seed),
         slope("process.rest", "a daemon at rest", "servers", "% of a core", rows("rest"), "least", seed=seed),
-        slope("process.resident", "a daemon's resident memory after its list", "servers", "MB", rows("resident"),
-              seed=seed),
-        slope("process.message", "a message relayed, closed loop of 16 connections", "servers", "us", rows("message"),
-              "least", seed=seed)]
+        slope(
+            "process.resident",
+            "a daemon's resident memory after its list",
+            "servers",
+            "MB",
+            rows("resident"),
+            seed=seed,
+        ),
+        slope(
+            "process.message",
+            "a message relayed, closed loop of 16 connections",
+            "servers",
+            "us",
+            rows("message"),
+            "least",
+            seed=seed,
+        ),
+    ]
 
 
 def fleet(instances: int, repeats: int = REPEATS, seconds: float = 2.0) -> list[dict[str, float]]:
@@ -128,6 +144,7 @@
 
     def pids() -> list[int]:
         return [row["pid"] for row in made.status()["places"] if row["state"] == "ready"]
+
     found = []
     try:
         made.run()
@@ -149,9 +166,15 @@
                 if time.monotonic() - began > 30.0:
                     raise TimeoutError("not started again")
                 spend(made.loop, 0.05)
-            found.append({"supervisor": (then - mine) / seconds * 100, "memory": usage(own)[1] / 1024,
-                          "again": time.monotonic() - began, "resident": resident, "instance": sum(
-                              b - a for a, b in zip(before, now, strict=True)) / instances / seconds * 100})
+            found.append(
+                {
+                    "supervisor": (then - mine) / seconds * 100,
+                    "memory": usage(own)[1] / 1024,
+                    "again": time.monotonic() - began,
+                    "resident": resident,
+                    "instance": sum(b - a for a, b in zip(before, now, strict=True)) / instances / seconds * 100,
+                }
+            )
     finally:
         made.close()
     return found
@@ -162,12 +185,34 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [ran[name] for ran in some]) for n, some in found.items()]
+
     return [
-        slope("supervisor.rest", "a supervisor at rest", "instances", "% of a core", rows("supervisor"), "least",
-              seed=seed),
+        slope(
+            "supervisor.rest",
+            "a supervisor at rest",
+            "instances",
+            "% of a core",
+            rows("supervisor"),
+            "least",
+            seed=seed,
+        ),
         slope("supervisor.memory", "a supervisor's resident memory", "instances", "MB", rows("memory"), seed=seed),
         slope("supervisor.again", "a killed instance, to all ready again", "instances", "s", rows("again"), seed=seed),
-        slope("supervisor.instance", "an instance at rest, with membership", "instances", "% of a core",
-              rows("instance"), "least", seed=seed),
-        slope("supervisor.resident", "an instance's resident memory, with membership", "instances", "MB",
-              rows("resident"), seed=seed)]
+        slope(
+            "supervisor.instance",
+            "an instance at rest, with membership",
+            "instances",
+            "% of a core",
+            rows("instance"),
+            "least",
+            seed=seed,
+        ),
+        slope(
+            "supervisor.resident",
+            "an instance's resident memory, with membership",
+            "instances",
+            "MB",
+            rows("resident"),
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/shares.py
+++ b/benchmarks/capacity/kinds/shares.py
@@ -58,12 +58,12 @@
     """Each ingress holds a connection at each server, as `Holder` asks from the first turn on."""
     made, listed = Limits(0.1), names(servers)
     for begin in range(0, servers, 1000):
-        made.apply(0.0, encode(Limit(dict.fromkeys(listed[begin:begin + 1000], LIMIT))))
+        made.apply(0.0, encode(Limit(dict.fromkeys(listed[begin : begin + 1000], LIMIT))))
     for n in range(ingresses):
         life = f"ingress-{n}@1764651600{n:03d}"
         made.apply(0.0, encode(Enter(life, f"10.0.{n >> 8}.{n & 255}:9300")))
         for serial, begin in enumerate(range(0, servers, 1000)):
-            made.apply(0.0, encode(Want(life, serial + 1, dict.fromkeys(listed[begin:begin + 1000], 1))))
+            made.apply(0.0, encode(Want(life, serial + 1, dict.fromkeys(listed[begin : begin + 1000], 1))))
     return made
 
 
@@ -76,20 +76,36 @@
         fresh = Limits(0.1)
         fresh.load(msgspec.msgpack.decode(data))
         return fresh
+
     kept = memory(loaded)[0]
-    holder = Holder("10.0.0.0:9300", Agreed(), lambda: made, Port(  # type: ignore[arg-type]
-        dict.fromkeys(names(servers), LIMIT)), 0.0)
+    holder = Holder(
+        "10.0.0.0:9300",
+        Agreed(),
+        lambda: made,
+        Port(  # type: ignore[arg-type]
+            dict.fromkeys(names(servers), LIMIT)
+        ),
+        0.0,
+    )
     clock = iter(range(10_000))
 
     def tick() -> None:
         holder.tick(float(next(clock)))
+
     tick()
     found = []
     for _ in range(REPEATS):
         look = cpu(tick, 8) / servers
-        found.append({"memory": kept / 1e6 / servers, "look": look * 1000, "rest": look / AGAIN * 100,
-                      "bytes": len(data) / servers, "dump": cpu(made.dump, 4) * 1000 / servers,
-                      "load": cpu(loaded, 4) * 1000 / servers})
+        found.append(
+            {
+                "memory": kept / 1e6 / servers,
+                "look": look * 1000,
+                "rest": look / AGAIN * 100,
+                "bytes": len(data) / servers,
+                "dump": cpu(made.dump, 4) * 1000 / servers,
+                "load": cpu(loaded, 4) * 1000 / servers,
+            }
+        )
     return found
 
 
@@ -98,19 +114,45 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in some]) for n, some in found.items()]
+
     by = "ingresses"
-    wants = [(n, [float(len(encode(Want("ingress-0@1764651600000", 1, dict.fromkeys(names(n), 1)))))] * REPEATS)
-             for n in WANTS]
+    wants = [
+        (n, [float(len(encode(Want("ingress-0@1764651600000", 1, dict.fromkeys(names(n), 1)))))] * REPEATS)
+        for n in WANTS
+    ]
     return [
-        slope("shares.memory", "the parts at one server that every process holds, as taken from a snapshot", by, "MB",
-        rows("memory"), seed=seed),
+        slope(
+            "shares.memory",
+            "the parts at one server that every process holds, as taken from a snapshot",
+            by,
+            "MB",
+            rows("memory"),
+            seed=seed,
+        ),
         slope("shares.look", "one look of the holder, for one server", by, "ms", rows("look"), "least", seed=seed),
-        slope("shares.rest", "its looks, four a second, for one server", by, "% of a core", rows("rest"), "least",
-        seed=seed),
+        slope(
+            "shares.rest",
+            "its looks, four a second, for one server",
+            by,
+            "% of a core",
+            rows("rest"),
+            "least",
+            seed=seed,
+        ),
         slope("shares.bytes", "the parts at one server in a snapshot", by, "bytes", rows("bytes"), seed=seed),
-        slope("shares.dump", "the turn that makes a snapshot, for one server", by, "ms", rows("dump"), "least",
-        seed=seed),
-        slope("shares.load", "the turn that takes a snapshot, for one server", by, "ms", rows("load"), "least",
-        seed=seed),
-        slope("shares.want", "what an ingress that starts asks for, as one command", "servers", "bytes", wants,
-              source="counting", seed=seed)]
+        slope(
+            "shares.dump", "the turn that makes a snapshot, for one server", by, "ms", rows("dump"), "least", seed=seed
+        ),
+        slope(
+            "shares.load", "the turn that takes a snapshot, for one server", by, "ms", rows("load"), "least", seed=seed
+        ),
+        slope(
+            "shares.want",
+            "what an ingress that starts asks for, as one command",
+            "servers",
+            "bytes",
+            wants,
+            source="counting",
+            seed=seed,
+        ),
+    ]
--- a/benchmarks/capacity/kinds/tenants.py
+++ b/benchmarks/capacity/kinds/tenants.py
@@ -47,12 +47,18 @@
         made = Firms()
         made.meet(firms)
         return made
+
     kept, _, made = memory(make)
     found = []
     for _ in range(REPEATS):
         rest = cpu(lambda: made.rest(2.0)) / 2.0
-        found.append({"memory": kept / 1e6, "rest": rest * 100, "hold": cpu(
-            lambda: made.gateway.customers.age(made.now - 60.0)) * 1000})
+        found.append(
+            {
+                "memory": kept / 1e6,
+                "rest": rest * 100,
+                "hold": cpu(lambda: made.gateway.customers.age(made.now - 60.0)) * 1000,
+            }
+        )
     return found
 
 
@@ -61,9 +67,17 @@
 
     def rows(name: str) -> list[tuple[float, list[float]]]:
         return [(n, [one[name] for one in ran]) for n, ran in found.items()]
+
     return [
         slope("tenants.memory", "firms met within the last minute", "firms held", "MB", rows("memory"), seed=seed),
-        slope("tenants.rest", "the module's timers with so many firms", "firms held", "% of a core", rows("rest"),
-        "least",
-              seed=seed),
-        slope("tenants.hold", "the turn that lets old firms go", "firms held", "ms", rows("hold"), "least", seed=seed)]
+        slope(
+            "tenants.rest",
+            "the module's timers with so many firms",
+            "firms held",
+            "% of a core",
+            rows("rest"),
+            "least",
+            seed=seed,
+        ),
+        slope("tenants.hold", "the turn that lets old firms go", "firms held", "ms", rows("hold"), "least", seed=seed),
+    ]
--- a/benchmarks/capacity/measure.py
+++ b/benchmarks/capacity/measure.py
@@ -38,11 +38,27 @@
         tracemalloc.stop()
 
 
-def slope(key: str, what: str, by: str, unit: str, rows: Iterable[tuple[float, list[float]]], take: str = "median",
-          source: str = "run", seed: int = 1) -> Slope:
+def slope(
+    key: str,
+    what: str,
+    by: str,
+    unit: str,
+    rows: Iterable[tuple[float, list[float]]],
+    take: str = "median",
+    source: str = "run",
+    seed: int = 1,
+) -> Slope:
     """`rows`: size and the figures of its repeats. `take`: which of them counts, `median`, `least`, or `most` for a
     time that has to hold with every seed."""
     kind = key.partition(".")[0]
-    return {"key": key, "what": what, "by": by, "unit": unit, "take": take, "source": source, "seed": seed,
-            "command": f"python -m benchmarks.capacity --only {kind}",
-            "points": [{"n": n, "values": [float(f"{v:.5g}") for v in values]} for n, values in rows]}
+    return {
+        "key": key,
+        "what": what,
+        "by": by,
+        "unit": unit,
+        "take": take,
+        "source": source,
+        "seed": seed,
+        "command": f"python -m benchmarks.capacity --only {kind}",
+        "points": [{"n": n, "values": [float(f"{v:.5g}") for v in values]} for n, values in rows],
+    }
--- a/benchmarks/capacity/needs.py
+++ b/benchmarks/capacity/needs.py
@@ -17,19 +17,30 @@
 
 def rest(at: At) -> float:
     """Processor time of control at rest of an ingress with everything on, % of a core."""
-    return (at.slope("supervisor.instance", 8) + at.slope("list.rest", at.servers) + at.slope("tenants.rest", at.met)
-            + at.slope("members.cpu", at.ingresses) + at.servers * at.slope("shares.rest", at.ingresses))
+    return (
+        at.slope("supervisor.instance", 8)
+        + at.slope("list.rest", at.servers)
+        + at.slope("tenants.rest", at.met)
+        + at.slope("members.cpu", at.ingresses)
+        + at.servers * at.slope("shares.rest", at.ingresses)
+    )
 
 
 def held(at: At) -> float:
     """MB of control that an ingress with everything on holds. `[configuration]` goes with neither `[plans]` nor
     `[leases]`: the larger of the two counts."""
-    return (at.slope("supervisor.resident", 8) - at.slope("process.resident", 60) + at.slope("list.memory", at.servers)
-            + at.slope("tenants.memory", at.met) + at.slope("firms.ledger", at.met)
-            + max(at.slope("firms.leases", at.met), at.slope("configuration.memory", at.tenants))
-            + at.slope("members.memory", at.ingresses)
-            + at.slope("records.memory", at.ingresses) + at.slope("log.memory", at.ingresses)
-            + at.servers * at.slope("shares.memory", at.ingresses))
+    return (
+        at.slope("supervisor.resident", 8)
+        - at.slope("process.resident", 60)
+        + at.slope("list.memory", at.servers)
+        + at.slope("tenants.memory", at.met)
+        + at.slope("firms.ledger", at.met)
+        + max(at.slope("firms.leases", at.met), at.slope("configuration.memory", at.tenants))
+        + at.slope("members.memory", at.ingresses)
+        + at.slope("records.memory", at.ingresses)
+        + at.slope("log.memory", at.ingresses)
+        + at.servers * at.slope("shares.memory", at.ingresses)
+    )
 
 
 def repair(at: At) -> float:
@@ -40,8 +51,13 @@
 
 def spoken(at: At) -> float:
     """Bytes a second in and out at rest: membership, records at their bound, the log, discovery's signs of life."""
-    return (2 * at.slope("members.bytes", at.ingresses) + 2 * 800.0 + repair(at)
-            + at.slope("log.follower", at.ingresses) + at.slope("log.heard", at.ingresses))
+    return (
+        2 * at.slope("members.bytes", at.ingresses)
+        + 2 * 800.0
+        + repair(at)
+        + at.slope("log.follower", at.ingresses)
+        + at.slope("log.heard", at.ingresses)
+    )
 
 
 def per_minute(at: At) -> float:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -10,9 +10,16 @@
 from .sheet import ROLES, ROWS, Row
 from .walk import Passed, deciding, following, walk
 
-HEAD = ("what", "grows with", "slope measured, at which sizes, by which command", "at the size", "limit",
+HEAD = (
+    "what",
+    "grows with",
+    "slope measured, at which sizes, by which command",
+    "at the size",
+    "limit",
     "limit over need",
-        "mechanism (module) that carries it", "what happens beyond it")
+    "mechanism (module) that carries it",
+    "what happens beyond it",
+)
 NEXT = 3
 
 
@@ -23,8 +30,11 @@
 
 
 def table(head: tuple[str, ...], rows: list[list[str]]) -> list[str]:
-    return ["| " + " | ".join(head) + " |", "| " + " | ".join("---" for _ in head) + " |",
-            *("| " + " | ".join(cell.replace("|", "/") for cell in row) + " |" for row in rows)]
+    return [
+        "| " + " | ".join(head) + " |",
+        "| " + " | ".join("---" for _ in head) + " |",
+        *("| " + " | ".join(cell.replace("|", "/") for cell in row) + " |" for row in rows),
+    ]
 
 
 def only(row: dict[str, Any]) -> str:
@@ -50,16 +60,29 @@
 def cells(row: Row, measured: Measured) -> list[str]:
     limit = row.says + ("" if row.source in ("letter", "issue") else f" ({row.source})")
     if row.need is None:
-        return [row.what, row.grows, "not measured" if not row.start else "nothing to measure: there is none",
-        "not measured",
-                limit, "0: none" if row.start else "open", row.mechanism,
-                row.beyond + (f" ({row.note})" if row.note else "")]
+        return [
+            row.what,
+            row.grows,
+            "not measured" if not row.start else "nothing to measure: there is none",
+            "not measured",
+            limit,
+            "0: none" if row.start else "open",
+            row.mechanism,
+            row.beyond + (f" ({row.note})" if row.note else ""),
+        ]
     at = At(measured, 1.0)
     need = row.need(at)
     over = "open" if row.limit is None else figure(row.limit / need) if need else "no need"
-    return [row.what, row.grows, slopes(at, measured) or "counting by the code and assumptions",
+    return [
+        row.what,
+        row.grows,
+        slopes(at, measured) or "counting by the code and assumptions",
         f"{figure(need)} {row.unit}".strip(),
-            limit, over, row.mechanism, row.beyond + (f" ({row.note})" if row.note else "")]
+        limit,
+        over,
+        row.mechanism,
+        row.beyond + (f" ({row.note})" if row.note else ""),
+    ]
 
 
 def measured_rows(measured: Measured) -> list[list[str]]:
@@ -67,9 +90,18 @@
     for key, row in measured.rows.items():
         fitted = measured.fits[key]
         points = ", ".join(f"{figure(float(p['n']))}: {figure(value(p, row['take']))}" for p in row["points"])
-        found.append([f"`{key}`", f"{row['what']} ({row['unit']})", row["by"], points,
-        f"{fitted.form}: {fitted.text()}",
-                      f"{fitted.over:+.0%}", f"{spread(row):.0%}", f"{row['source']}, {only(row)}"])
+        found.append(
+            [
+                f"`{key}`",
+                f"{row['what']} ({row['unit']})",
+                row["by"],
+                points,
+                f"{fitted.form}: {fitted.text()}",
+                f"{fitted.over:+.0%}",
+                f"{spread(row):.0%}",
+                f"{row['source']}, {only(row)}",
+            ]
+        )
     return found
 
 
@@ -83,17 +115,28 @@
 def walked(measured: Measured, rows: list[Row]) -> list[str]:
     found = walk(rows, measured)
     decide = deciding(found)
-    lines = table(("f (ingresses, servers)", "row", "role", "limit", "named by", "mechanism"), [
-        [place(one), one.row.what, one.row.role, one.row.says, one.row.source, one.row.mechanism] for one in found])
+    lines = table(
+        ("f (ingresses, servers)", "row", "role", "limit", "named by", "mechanism"),
+        [[place(one), one.row.what, one.row.role, one.row.says, one.row.source, one.row.mechanism] for one in found],
+    )
     if decide:
         first, after = decide[0], following(decide, NEXT)
-        lines += ["", f"**First: {first.row.what}** (f = {first.f:.4f}, mechanism: {first.row.mechanism}). "
-                      f"{first.row.note or first.row.beyond}."]
-        lines += ["", "The three next parts, each by its first row: " + "; ".join(
-            f"{one.row.part}, {one.row.what} (f = {one.f:.4f})" for one in after) + "."]
+        lines += [
+            "",
+            f"**First: {first.row.what}** (f = {first.f:.4f}, mechanism: {first.row.mechanism}). "
+            f"{first.row.note or first.row.beyond}.",
+        ]
+        lines += [
+            "",
+            "The three next parts, each by its first row: "
+            + "; ".join(f"{one.row.part}, {one.row.what} (f = {one.f:.4f})" for one in after)
+            + ".",
+        ]
     open_rows = [row for row in rows if row.need is None and not row.start]
-    lines += ["",
-        "Not measured, and so open: " + "; ".join(f"{row.what} ({row.role.lower()})" for row in open_rows) + "."]
+    lines += [
+        "",
+        "Not measured, and so open: " + "; ".join(f"{row.what} ({row.role.lower()})" for row in open_rows) + ".",
+    ]
     return lines
 
 
@@ -140,9 +183,11 @@
 
 def known(measured: Measured) -> list[list[str]]:
     """What was known before the page, beside the same measured here."""
+
     def at(key: str, size: float) -> float:
         points = {float(p["n"]): value(p, measured.rows[key]["take"]) for p in measured.rows[key]["points"]}
         return points[size] if size in points else measured.fits[key].at(size)
+
     size = SIZE["servers"]
     whole = at("list.bytes", size)
     calls = [value(p, "median") for p in measured.rows["counter.leased"]["points"]]
@@ -153,22 +198,39 @@
         ["the same in s of 14 KB a second", "147", figure(whole / BYTES)],
         ["the same as part of `LONGEST`", "half", figure(whole / (1 << 22))],
         ["the turn that takes it, ms", "some 64", figure(at("list.hold", size))],
-        ["what is held for it, MB", "5.8", f"{figure(at('list.memory', size))} with the module's records, "
-                                           f"{figure(at('list.highest', size))} at the highest point"],
-        ["a message in the module at 1,000 and at 12,000, us", "34, 88",
-         f"{figure(at('module.message', 1000.0))}, {figure(at('module.message', size))}"],
+        [
+            "what is held for it, MB",
+            "5.8",
+            f"{figure(at('list.memory', size))} with the module's records, "
+            f"{figure(at('list.highest', size))} at the highest point",
+        ],
+        [
+            "a message in the module at 1,000 and at 12,000, us",
+            "34, 88",
+            f"{figure(at('module.message', 1000.0))}, {figure(at('module.message', size))}",
+        ],
         ["44,000 firms met once, MB", "28", figure(at("tenants.memory", SIZE["tenants"]))],
-        ["counter calls a try of leased firms", "1.2 to 1.5",
-        f"{figure(min(calls))} to {figure(max(calls))}, by tries a second"],
-        ["`benchmarks.membership --sizes 890`", "does not end in four minutes",
-         f"joining alone takes {figure(trial.at(SIZE['ingresses']))} s of processor time by the fit "
-         f"({trial.text()}, "
-         f"which leaves {trial.over:+.0%} over: it grows faster) and is done three times; `Protocol._is_alive` "
-         "compares each new member with all that are known; `Queue.take` sorts nothing any more, it walks the order "
-         "that is kept and puts back what has to be told again (still the first two of a profile of 200 that join)"],
-        ["what carries a changed configuration to all", "nothing",
-         "`configuration/`, where `[configuration]` is on; on the platform nothing"],
-        ["what knows a service, a route or a region", "nothing", "nothing"]]
+        [
+            "counter calls a try of leased firms",
+            "1.2 to 1.5",
+            f"{figure(min(calls))} to {figure(max(calls))}, by tries a second",
+        ],
+        [
+            "`benchmarks.membership --sizes 890`",
+            "does not end in four minutes",
+            f"joining alone takes {figure(trial.at(SIZE['ingresses']))} s of processor time by the fit "
+            f"({trial.text()}, "
+            f"which leaves {trial.over:+.0%} over: it grows faster) and is done three times; `Protocol._is_alive` "
+            "compares each new member with all that are known; `Queue.take` sorts nothing any more, it walks the order "
+            "that is kept and puts back what has to be told again (still the first two of a profile of 200 that join)",
+        ],
+        [
+            "what carries a changed configuration to all",
+            "nothing",
+            "`configuration/`, where `[configuration]` is on; on the platform nothing",
+        ],
+        ["what knows a service, a route or a region", "nothing", "nothing"],
+    ]
 
 
 def text(raw: dict[str, Any], rows: list[Row] = ROWS) -> str:
@@ -177,17 +239,42 @@
     for role in ROLES:
         lines += [f"## {role}", "", *table(HEAD, [cells(row, measured) for row in rows if row.role == role]), ""]
     lines += [WALK, *walked(measured, rows), "", WHY, SLOPES]
-    lines += [*table(("slope", "what", "by", "measured", "fit", "over", "spread", "source, kind"),
-                     measured_rows(measured)), ""]
+    lines += [
+        *table(("slope", "what", "by", "measured", "fit", "over", "spread", "source, kind"), measured_rows(measured)),
+        "",
+    ]
     second = raw.get("source2", [])
     if second:
-        lines += ["## Second sources", "", *table(("slope", "source", "at", "value", "by the fit", "how"), [
-            [f"`{row['key']}`", row["source"], figure(row["n"]), figure(row["value"]),
-             figure(measured.fits[row["key"]].at(row["n"])) if row["key"] in measured.fits else "", row["how"]]
-            for row in second]), ""]
+        lines += [
+            "## Second sources",
+            "",
+            *table(
+                ("slope", "source", "at", "value", "by the fit", "how"),
+                [
+                    [
+                        f"`{row['key']}`",
+                        row["source"],
+                        figure(row["n"]),
+                        figure(row["value"]),
+                        figure(measured.fits[row["key"]].at(row["n"])) if row["key"] in measured.fits else "",
+                        row["how"],
+                    ]
+                    for row in second
+                ],
+            ),
+            "",
+        ]
     lines += ["## Known before, measured again", "", *table(("what", "known", "here"), known(measured)), ""]
-    lines += ["## Assumptions", "", *table(("figure", "what", "why"), [
-        [figure(number), what, reason] for number, what, reason in ASSUMED.values()]), "", HOLLOW, ""]
+    lines += [
+        "## Assumptions",
+        "",
+        *table(
+            ("figure", "what", "why"), [[figure(number), what, reason] for number, what, reason in ASSUMED.values()]
+        ),
+        "",
+        HOLLOW,
+        "",
+    ]
     return "\n".join(lines)
 
 
--- a/benchmarks/capacity/walk.py
+++ b/benchmarks/capacity/walk.py
@@ -27,6 +27,7 @@
         assert row.need is not None and row.limit is not None
         need = row.need(At(measured, f))
         return int(need + 1e-9) > row.limit if row.counted else need > row.limit
+
     if over(0.0):
         return 0.0
     if not over(1.0):
@@ -42,8 +43,9 @@
     """In order; at one place those of which nothing is there come first, then the letter's limits."""
     found = [Passed(row, f) for row in rows if (f := passes(row, measured)) is not None]
     order = {"letter": 0, "issue": 1, "platform": 2, "program": 3, "assumption": 4}
-    return sorted(found, key=lambda one: (round(one.f, 4), one.row.mechanism != "none", order[one.row.source],
-        one.row.what))
+    return sorted(
+        found, key=lambda one: (round(one.f, 4), one.row.mechanism != "none", order[one.row.source], one.row.what)
+    )
 
 
 def deciding(found: list[Passed]) -> list[Passed]:
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -87,9 +87,17 @@
         def machine() -> Machine:
             self.registers[host.name], self.logs[host.name] = register, log
             return self._machine({"register": register, PART: log})
+
         part = self._agreement(
-            f"{host.name}@{host.life}", host.name, self.seats, machine, random.Random(self.rng.random()),
-            host.clock(self.world.now), host.disk if host.name.startswith("v") else None, self.timing)
+            f"{host.name}@{host.life}",
+            host.name,
+            self.seats,
+            machine,
+            random.Random(self.rng.random()),
+            host.clock(self.world.now),
+            host.disk if host.name.startswith("v") else None,
+            self.timing,
+        )
         part.applied = lambda entry: self._entry(host, part, entry, register)
         part.restored = lambda: self._snapshot(host, part, register)
         self.force[host.name] = InForce(host.clock(self.world.now))
@@ -101,6 +109,7 @@
                 self.world.at(self.world.now + LOOK, look)
                 if not host.stopped:
                     self._look(host, part)
+
         self.world.at(self.world.now + 0.01, look)
         return Bare(host.address, {KIND: part})
 
@@ -111,7 +120,7 @@
             return
         data = copies[-1] if self.rng.random() < 0.5 else self.rng.choice(copies)
         if self.rng.random() < 0.3:
-            data = data[:self.rng.randrange(len(data))]
+            data = data[: self.rng.randrange(len(data))]
         try:
             number, at, mark, content = _copy.decode(unseal(data, FLEET))
         except (WireError, ValueError):
@@ -224,6 +233,7 @@
                     if self.contents[self.marks[number]] != self.contents[self.marks[back_to]]:
                         raise Broken(f"revision {number} is not {back_to} again")
                 self._count("taken")
+
         self._say(host, data, done)
 
     def _propose_bad(self, host: Host, kind: str, change: Change, data: bytes) -> None:
@@ -231,7 +241,7 @@
         rng = self.rng
         if kind == "torn":
             at = rng.randrange(len(data))
-            data = data[:at] if rng.random() < 0.5 else data[:at] + bytes((data[at] ^ 0x55,)) + data[at + 1:]
+            data = data[:at] if rng.random() < 0.5 else data[:at] + bytes((data[at] ^ 0x55,)) + data[at + 1 :]
         elif kind == "oversized":
             data = data + b"x" * 40_000
         elif kind == "other_fleet":
@@ -248,6 +258,7 @@
         def done(outcome: Outcome | None) -> None:
             if outcome is not None and wrong and "error" not in outcome.answer:
                 raise Broken(f"{kind} was taken as {outcome.answer}")
+
         self._say(host, data, done)
 
     def _say(self, host: Host, data: bytes, done: Any) -> None:
@@ -258,8 +269,11 @@
     def in_force(self) -> bool:
         """All have the last one that was agreed, and of its content."""
         mark = self.marks[max(self.marks)]
-        return all(force.mark == mark and pack(force.content) == self.contents[mark]
-                   for name, force in self.force.items() if self.world.host(name).driven is not None)
+        return all(
+            force.mark == mark and pack(force.content) == self.contents[mark]
+            for name, force in self.force.items()
+            if self.world.host(name).driven is not None
+        )
 
 
 class _Copy:
@@ -272,6 +286,7 @@
     @staticmethod
     def decode(data: bytes) -> tuple[int, float, bytes, bytes]:
         import msgspec
+
         return msgspec.msgpack.decode(data, type=tuple[int, float, bytes, bytes])
 
 
@@ -281,12 +296,16 @@
 def run(seed: int, lines: list[Line] | None = None, seconds: float = SECONDS) -> dict[str, Any]:
     """One run with faults drawn from the seed; at the end all is well, and then all must have the last revision."""
     import brackenpulley.consensus.agreement as agreement
+
     compact, agreement.COMPACT = agreement.COMPACT, 15 if seed % 2 else agreement.COMPACT
     fleet, broken = Fleet(seed), ""
     world = fleet.world
     try:
-        told = drawn(fleet.rng, [host.name for host in world.hosts.values()], seconds, EVERY * (0.4 + seed % 3 * 0.5),
-                     2) if lines is None else lines
+        told = (
+            drawn(fleet.rng, [host.name for host in world.hosts.values()], seconds, EVERY * (0.4 + seed % 3 * 0.5), 2)
+            if lines is None
+            else lines
+        )
         faults = Faults(world, told, fleet.leader, fleet.may_spoil)
         world.run(world.now + seconds)
         for host in world.hosts.values():
@@ -296,9 +315,11 @@
                 world.go_on(host)
         fleet.proposing = fleet.changing = False
         if not world.until(lambda: bool(fleet.leader()) and fleet.agreed() and fleet.in_force(), 40.0):
-            raise Broken(f"not the same 40 s after the last fault: "
-                         f"{[(name, force.number, force.source) for name, force in fleet.force.items()]}, "
-                         f"agreed {max(fleet.marks)}")
+            raise Broken(
+                f"not the same 40 s after the last fault: "
+                f"{[(name, force.number, force.source) for name, force in fleet.force.items()]}, "
+                f"agreed {max(fleet.marks)}"
+            )
         fleet.once()
     except Broken as error:
         broken = str(error)
@@ -311,9 +332,17 @@
     assert isinstance(log, Revisions)
     for cause, count in log.counts.items():
         refused[cause] = count
-    return {"seed": seed, "events": world.events, "revisions": max(fleet.marks), "reverts": fleet.reverts,
-            "counts": fleet.counts, "refused": refused, "faults": len(told), "lines": faults.done if broken else [],
-            "broken": broken}
+    return {
+        "seed": seed,
+        "events": world.events,
+        "revisions": max(fleet.marks),
+        "reverts": fleet.reverts,
+        "counts": fleet.counts,
+        "refused": refused,
+        "faults": len(told),
+        "lines": faults.done if broken else [],
+        "broken": broken,
+    }
 
 
 def seeds(first: int, count: int, jobs: int) -> dict[str, Any]:
@@ -327,10 +356,16 @@
     for row in rows:
         for name, number in [*row["counts"].items(), *((f"log_{k}", v) for k, v in row["refused"].items())]:
             total[name] = total.get(name, 0) + number
-    return {"seeds": count, "broken": [(row["seed"], row["broken"]) for row in rows if row["broken"]],
-            "revisions": sum(row["revisions"] for row in rows), "reverts": sum(row["reverts"] for row in rows),
-            "faults": sum(row["faults"] for row in rows), "events": sum(row["events"] for row in rows),
-            "counts": dict(sorted(total.items())), "wallS": round(time.monotonic() - began, 1)}
+    return {
+        "seeds": count,
+        "broken": [(row["seed"], row["broken"]) for row in rows if row["broken"]],
+        "revisions": sum(row["revisions"] for row in rows),
+        "reverts": sum(row["reverts"] for row in rows),
+        "faults": sum(row["faults"] for row in rows),
+        "events": sum(row["events"] for row in rows),
+        "counts": dict(sorted(total.items())),
+        "wallS": round(time.monotonic() - began, 1),
+    }
 
 
 def main() -> int:
@@ -350,10 +385,13 @@
     parts: dict[str, Callable[[], list[dict[str, Any]]]] = {
         "seeds": lambda: [seeds(0, told.seeds, told.jobs)],
         "sizes": lambda: [size_run(int(size)) for size in told.sizes.split(",")],
-        "tenants": lambda: [tenants(firms) for firms in (told.firms // 44, told.firms // 8, told.firms // 4,
-                                                         told.firms)],
+        "tenants": lambda: [
+            tenants(firms) for firms in (told.firms // 44, told.firms // 8, told.firms // 4, told.firms)
+        ],
         "compaction": lambda: [compaction(size, 10_000) for size in (30, 60, 120, 240)],
-        "processes": lambda: [processes()], "cost": lambda: [cost(30.0)]}
+        "processes": lambda: [processes()],
+        "cost": lambda: [cost(30.0)],
+    }
     wrong = False
     for name, play in parts.items():
         if told.only in ("", name):
--- a/benchmarks/configuration_processes.py
+++ b/benchmarks/configuration_processes.py
@@ -45,10 +45,15 @@
         def looked() -> bool:
             self.look()
             return done()
+
         if not self.fleet.until(looked, patience):
             rows = [(one.name, one.status.get("configuration", {})) for one in self.fleet.processes]
-            self.wrong.append(f"{what}: not within {patience:g} s: " + str([(
-                name, row.get("revision"), row.get("byRevision"), row.get("silentNamed")) for name, row in rows]))
+            self.wrong.append(
+                f"{what}: not within {patience:g} s: "
+                + str(
+                    [(name, row.get("revision"), row.get("byRevision"), row.get("silentNamed")) for name, row in rows]
+                )
+            )
         self.told[what] = round(time.monotonic() - begin, 2)
         return self.told[what]
 
@@ -71,14 +76,18 @@
             if out and out[0][0] in (0, 503):  # nothing was agreed in its time
                 out = self.post(which, path, body)
             return bool(out)
+
         self.until(f"revision {base + 1} proposed", taken)
-        if out and out[0] not in ((200, {"revision": base + 1, "taken": "now"}),
-                                  (200, {"revision": base + 1, "taken": "before"})):
+        if out and out[0] not in (
+            (200, {"revision": base + 1, "taken": "now"}),
+            (200, {"revision": base + 1, "taken": "before"}),
+        ):
             self.wrong.append(f"revision {base + 1}: {out[0]}")
 
     def has(self, number: int, names: list[int]) -> bool:
-        return all(self.fleet.processes[which].status.get("configuration", {}).get("revision") == number
-                   for which in names)
+        return all(
+            self.fleet.processes[which].status.get("configuration", {}).get("revision") == number for which in names
+        )
 
     def served(self, which: int) -> int:
         return sum(one.ingress == which and one.status == 200 for one in self.fleet.load.tries)
@@ -98,8 +107,13 @@
         for one in fleet.processes:
             one.start()
         fleet.watch()
-        trial.until("all ready", lambda: all(one.status.get("ready") and one.status["configuration"]["from"] == "file"
-                                             for one in fleet.processes), 40.0)
+        trial.until(
+            "all ready",
+            lambda: all(
+                one.status.get("ready") and one.status["configuration"]["from"] == "file" for one in fleet.processes
+            ),
+            40.0,
+        )
         if trial.wrong:
             return {"seed": seed, "processes": size, "s": trial.told, "inForceS": {}, "served": 0, "wrong": trial.wrong}
         fleet.front()
@@ -112,8 +126,14 @@
         before = trial.served(cut)
         trial.change(0, 1, plans=figures(2.0), firms={f"{7:016x}": "new"})
         trial.until("2 where it can be reached", lambda: trial.has(2, others))
-        trial.until("the one cut off says how old it is and serves", lambda: trial.has(1, [cut]) and fleet.processes[
-            cut].status["configuration"]["logSilentS"] > 2.0 and trial.served(cut) > before)
+        trial.until(
+            "the one cut off says how old it is and serves",
+            lambda: (
+                trial.has(1, [cut])
+                and fleet.processes[cut].status["configuration"]["logSilentS"] > 2.0
+                and trial.served(cut) > before
+            ),
+        )
         fleet.do(Line(0.0, "stop", ("n3",)))
         running = [which for which in others if which != 3]
         trial.change(0, 2, plans=figures(3.0))
@@ -133,8 +153,10 @@
         trial.until("4 at those that start anew", lambda: trial.has(4, others), 30.0)
         fleet.do(Line(0.0, "heal"))
         trial.until("4 at the one that was cut off", lambda: trial.has(4, everyone))
-        out = [trial.post(which, "/v1/configuration", {"base": 4, "by": f"n{which}", "plans": figures(5.0 + which)})
-               for which in (0, cut)]
+        out = [
+            trial.post(which, "/v1/configuration", {"base": 4, "by": f"n{which}", "plans": figures(5.0 + which)})
+            for which in (0, cut)
+        ]
         trial.until("two at once are answered", lambda: all(out))
         if sorted(found[0][0] for found in out) != [200, 409]:
             trial.wrong.append(f"two at once: {out}")
@@ -143,23 +165,39 @@
         trial.until("2 again as 6, everywhere", lambda: trial.has(6, everyone))
         shown: list[Any] = []
         for one in fleet.processes:
-            one.call("GET", "/v1/configuration", None, lambda status, body: shown.append(
-                (body["plans"]["new"]["rate"], body["firms"])))
+            one.call(
+                "GET",
+                "/v1/configuration",
+                None,
+                lambda status, body: shown.append((body["plans"]["new"]["rate"], body["firms"])),
+            )
         trial.until("contents are told", lambda: len(shown) == size)
         if set(shown) != {(2.0, 1)}:
             trial.wrong.append(f"6 is not 2 again: {shown}")
-        trial.until("who has which is known", lambda: all(
-            one.status["configuration"]["byRevision"] == {"6": size} for one in fleet.processes), KNOWN)
+        trial.until(
+            "who has which is known",
+            lambda: all(one.status["configuration"]["byRevision"] == {"6": size} for one in fleet.processes),
+            KNOWN,
+        )
         fleet.load.stop()
         fleet.until(lambda: not fleet.load.out, 12.0)
         killed = {number for _, number in fleet.killed}
         lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
         if lost:
             trial.wrong.append(f"{len(lost)} messages lost at ingresses that were not killed")
-        return {"seed": seed, "processes": size, "s": trial.told, "inForceS": {
-            str(number): round(max(s for (_, n), s in trial.since.items() if n == number), 2)
-            for number in sorted(trial.marks) if number}, "tries": len(fleet.load.tries),
-            "served": sum(one.status == 200 for one in fleet.load.tries), "wrong": trial.wrong + fleet.wrong}
+        return {
+            "seed": seed,
+            "processes": size,
+            "s": trial.told,
+            "inForceS": {
+                str(number): round(max(s for (_, n), s in trial.since.items() if n == number), 2)
+                for number in sorted(trial.marks)
+                if number
+            },
+            "tries": len(fleet.load.tries),
+            "served": sum(one.status == 200 for one in fleet.load.tries),
+            "wrong": trial.wrong + fleet.wrong,
+        }
     finally:
         fleet.close(keep=bool(trial.wrong))
 
@@ -182,18 +220,26 @@
                 before = [one.used() for one in fleet.processes]
                 answers: list[int] = []
                 for number in range(count):
-                    fleet.loop.call_in(seconds * number / count, lambda number=number, one=fleet.processes[3],  # type: ignore
-                                       answers=answers: one.call(
-                        "POST", "/v1/configuration", {"base": number, "by": "t", "plans": {
-                            "new": {"rate": number + 1.0, "burst": 9.0}}},
-                        lambda status, body: answers.append(status)))
+                    fleet.loop.call_in(
+                        seconds * number / count,
+                        lambda number=number,
+                        one=fleet.processes[3],  # type: ignore
+                        answers=answers: one.call(
+                            "POST",
+                            "/v1/configuration",
+                            {"base": number, "by": "t", "plans": {"new": {"rate": number + 1.0, "burst": 9.0}}},
+                            lambda status, body: answers.append(status),
+                        ),
+                    )
                 fleet.turn(seconds)
                 after = [one.used() for one in fleet.processes]
                 cpu = [(b[0] - a[0]) / seconds * 100 for a, b in zip(before, after, strict=True)]
-                found[name + what] = {"voters": round(sum(cpu[:3]) / 3, 2), "followers": round(sum(cpu[3:]) / 2, 2),
-                                      "residentMb": round(sum(b[1] for b in after) / 5 / 1024, 1),
-                                      "taken": answers.count(200)}
+                found[name + what] = {
+                    "voters": round(sum(cpu[:3]) / 3, 2),
+                    "followers": round(sum(cpu[3:]) / 2, 2),
+                    "residentMb": round(sum(b[1] for b in after) / 5 / 1024, 1),
+                    "taken": answers.count(200),
+                }
         finally:
             fleet.close()
     return found
-
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -84,9 +84,15 @@
 
     def _make(self, host: Host) -> Bare:
         log = Revisions(FLEET)
-        part = Agreement(f"{host.name}@{host.life}", host.name, self.seats, lambda: Machine({PART: log}),
-                         random.Random(self.rng.random()), self.world.now,
-                         host.disk if host.name in self.seats else None)
+        part = Agreement(
+            f"{host.name}@{host.life}",
+            host.name,
+            self.seats,
+            lambda: Machine({PART: log}),
+            random.Random(self.rng.random()),
+            self.world.now,
+            host.disk if host.name in self.seats else None,
+        )
         self.logs[host.name] = log
         force = self.force[host.name] = InForce(self.world.now)
 
@@ -98,6 +104,7 @@
         def told() -> None:
             self.snapshots += 1
             look()
+
         part.applied, part.restored = lambda entry: look(), told
         life = host.life
 
@@ -105,6 +112,7 @@
             if host.life == life and host.driven is not None:
                 self.world.at(self.world.now + LOOK * 2, tick)
                 look()
+
         self.world.at(self.world.now + 0.01 + LOOK * self.rng.random(), tick)
         return Bare(host.address, {KIND: part})
 
@@ -119,6 +127,7 @@
         def done(outcome: Outcome | None) -> None:
             if outcome is None:
                 self.change(name, change)
+
         self.agreement(name).propose(self.world.now, PART, data, 5.0, done)
         self.world.do(host, host.driven.said())  # type: ignore[union-attr]
 
@@ -158,18 +167,25 @@
             cut_off = {name for name in everyone if fleet.region(name) == 2}
         elif number == changes * 3 // 4 + 1:
             break
-        restarts = rng.sample([name for name in fleet.names if name[0] == "f" and name != proposer],
-                              max(1, size // 100))
+        restarts = rng.sample(
+            [name for name in fleet.names if name[0] == "f" and name != proposer], max(1, size // 100)
+        )
         for name in restarts:
             host = world.host(name)
             world.kill(host)
             world.at(world.now + 0.5 + 2.0 * rng.random(), lambda host=host: world.start(host))  # type: ignore[misc]
         asked[number], apart[number] = world.now, set(cut_off)
         plans: dict[str, Figures | None] = {"p": Figures(float(number), 9.0)}
-        fleet.change(proposer, Change(number - 1, "trial", plans, {
-            number << 20 | firm: "p" for firm in range(firms)}))
-        if not world.until(lambda number=number, apart=apart[number]: len(  # type: ignore[misc]
-                fleet.reached.get(number, {}).keys() - apart) >= len(everyone) - len(apart), LATE + 10.0):
+        fleet.change(proposer, Change(number - 1, "trial", plans, {number << 20 | firm: "p" for firm in range(firms)}))
+        if not world.until(
+            lambda number=number, apart=apart[number]: (
+                len(  # type: ignore[misc]
+                    fleet.reached.get(number, {}).keys() - apart
+                )
+                >= len(everyone) - len(apart)
+            ),
+            LATE + 10.0,
+        ):
             skipped = everyone - apart[number] - fleet.reached.get(number, {}).keys()
             if any(fleet.force[name].number < number for name in skipped):
                 wrong.append(f"revision {number} not in force at {len(skipped)} in time")
@@ -186,8 +202,12 @@
         wrong.append("not all caught up after the return")
     caught = world.now - heal
     back = sum(count for name, count in fleet.sent.items() if name[:3] == "to " and name[3:] in cut_off)
-    times = sorted(fleet.reached[number][name] - when for number, when in asked.items()
-                   for name in everyone - apart[number] if name in fleet.reached[number])
+    times = sorted(
+        fleet.reached[number][name] - when
+        for number, when in asked.items()
+        for name in everyone - apart[number]
+        if name in fleet.reached[number]
+    )
     worst, most = times[int(len(times) * 0.99)], times[-1]
     if worst > SOON or most > LATE:
         wrong.append(f"99 in 100 within {worst:.2f} s, all within {most:.2f} s")
@@ -195,14 +215,30 @@
 
     def mean(rows: dict[str, float], names: list[str], side: str) -> float:
         return round(sum(rows.get(side + name, 0.0) for name in names) / len(names), 1)
+
     each = pack_change(Change(0, "trial", {"p": Figures(1.0, 9.0)}, {1 << 20 | n: "p" for n in range(firms)}), FLEET)
-    return {"size": size, "changes": last, "changeBytes": len(each), "median": round(times[len(times) // 2], 3),
-        "of99In100": round(worst, 3), "all": round(most, 3), "cutOff": len(cut_off), "cutOffHave": sorted(set(
-            served.values())), "cutOffSayOldS": round(old, 1), "caughtUpS": round(caught, 2),
-        "returnBytesEach": round(back / max(1, len(cut_off))), "restBytesASecondIn": mean(rest, followers, "to "),
-        "restBytesASecondOut": mean(rest, followers, ""), "bytesASecondIn": mean(told, followers, "to "),
-        "voterBytesASecondOut": mean(told, list(fleet.seats), ""), "snapshots": fleet.snapshots - snapshots,
-        "streamsFull": world.full, "events": world.events, "wallS": round(time.monotonic() - began, 1), "wrong": wrong}
+    return {
+        "size": size,
+        "changes": last,
+        "changeBytes": len(each),
+        "median": round(times[len(times) // 2], 3),
+        "of99In100": round(worst, 3),
+        "all": round(most, 3),
+        "cutOff": len(cut_off),
+        "cutOffHave": sorted(set(served.values())),
+        "cutOffSayOldS": round(old, 1),
+        "caughtUpS": round(caught, 2),
+        "returnBytesEach": round(back / max(1, len(cut_off))),
+        "restBytesASecondIn": mean(rest, followers, "to "),
+        "restBytesASecondOut": mean(rest, followers, ""),
+        "bytesASecondIn": mean(told, followers, "to "),
+        "voterBytesASecondOut": mean(told, list(fleet.seats), ""),
+        "snapshots": fleet.snapshots - snapshots,
+        "streamsFull": world.full,
+        "events": world.events,
+        "wallS": round(time.monotonic() - began, 1),
+        "wrong": wrong,
+    }
 
 
 # What 44,000 tenants cost.
@@ -222,13 +258,14 @@
             call()
             found.append(time.perf_counter() - begin)
         return round(sorted(found)[times // 2] * 1000, 2)
+
     gc.collect()
     tracemalloc.start()
     begin = tracemalloc.get_traced_memory()[0]
     log.apply(1.0, pack_change(Change(0, "t", {name: Figures(1.0, 9.0) for name in plans}), FLEET))
     loads = 0
     for first in range(0, firms, 600):
-        rows: dict[int, str | None] = {firm: rng.choice(plans) for firm in numbers[first:first + 600]}
+        rows: dict[int, str | None] = {firm: rng.choice(plans) for firm in numbers[first : first + 600]}
         answer = log.apply(1.0, pack_change(Change(log.number, "t", {}, rows), FLEET))
         assert "revision" in answer, answer
         loads += 1
@@ -247,8 +284,12 @@
     first_force = took(lambda: InForce(0.0).look(1.0, log, Here(True, 1.0, True)))
     apply, look = [], []
     for number in range(40):
-        change = Change(log.number, "t", {"plan-1": Figures(2.0 + number, 9.0)}, {
-            firm: plans[number % 20] for firm in numbers[number * 5:number * 5 + 5]})
+        change = Change(
+            log.number,
+            "t",
+            {"plan-1": Figures(2.0 + number, 9.0)},
+            {firm: plans[number % 20] for firm in numbers[number * 5 : number * 5 + 5]},
+        )
         data = pack_change(change, FLEET)
         start = time.perf_counter()
         log.apply(2.0, data)
@@ -257,18 +298,29 @@
         apply.append(middle - start)
         look.append(time.perf_counter() - middle)
     assert len(told) < STREAM, "longer than a stream's word"
-    return {"firms": firms, "changesToLoad": loads, "memoryMb": round(held / 1e6, 2), "countedBytes": log.content.size,
-            "snapshotBytes": len(pack(log.content)), "historyBytes": sum(row.size for row in log.history),
-            "wordBytes": len(told), "secondsAt14KB": round(len(told) / 14_000, 1), "dumpMs": took(log.dump),
-            "loadMs": restore, "firstInForceMs": first_force, "applyMs": round(sorted(apply)[20] * 1000, 3),
-            "inForceMs": round(sorted(look)[20] * 1000, 3),
-            "ownCopyMs": took(lambda: seal(pack(force.content), FLEET))}
+    return {
+        "firms": firms,
+        "changesToLoad": loads,
+        "memoryMb": round(held / 1e6, 2),
+        "countedBytes": log.content.size,
+        "snapshotBytes": len(pack(log.content)),
+        "historyBytes": sum(row.size for row in log.history),
+        "wordBytes": len(told),
+        "secondsAt14KB": round(len(told) / 14_000, 1),
+        "dumpMs": took(log.dump),
+        "loadMs": restore,
+        "firstInForceMs": first_force,
+        "applyMs": round(sorted(apply)[20] * 1000, 3),
+        "inForceMs": round(sorted(look)[20] * 1000, 3),
+        "ownCopyMs": took(lambda: seal(pack(force.content), FLEET)),
+    }
 
 
 def compaction(size: int, firms: int) -> dict[str, Any]:
     """A region that was cut off returns after the voters' log has become a snapshot: all of it is told, not the
     difference. Those that followed meanwhile are told nothing more than the changes."""
     import brackenpulley.consensus.agreement as agreement
+
     compact, agreement.COMPACT = agreement.COMPACT, 10
     try:
         fleet = Regions(size, 1)
@@ -283,12 +335,16 @@
                 fleet.sent.clear()
                 snapshots = fleet.snapshots
             plans: dict[str, Figures | None] = {"p": Figures(1.0 + number, 9.0)}
-            rows: dict[int, str | None] = {firm: "p" for firm in numbers[number * 600:number * 600 + 600]}
+            rows: dict[int, str | None] = {firm: "p" for firm in numbers[number * 600 : number * 600 + 600]}
             fleet.change("f0", Change(number, "t", plans, rows))
             number += 1
             there = [force for name, force in fleet.force.items() if number <= loads or name not in apart]
-            world.until(lambda number=number, there=there: all(  # type: ignore[misc]
-                force.number == number for force in there), 20.0)
+            world.until(
+                lambda number=number, there=there: all(  # type: ignore[misc]
+                    force.number == number for force in there
+                ),
+                20.0,
+            )
         near = [fleet.sent.get(f"to {name}", 0) for name in fleet.names if name[0] == "f" and name not in apart]
         followed, before = fleet.snapshots - snapshots, fleet.snapshots
         fleet.sent.clear()
@@ -296,11 +352,18 @@
         fleet.heal()
         done = world.until(lambda: all(force.number == number for force in fleet.force.values()), 30.0)
         far = [fleet.sent.get(f"to {name}", 0) for name in apart if name[0] == "f"]
-        return {"followers": size, "firms": firms, "changes": number, "snapshotsWhileFollowing": followed,
-                "bytesEachWhileFollowing": round(sum(near) / len(near)), "returned": len(far),
-                "snapshotsAtReturn": fleet.snapshots - before, "bytesEachAtReturn": round(sum(far) / len(far)),
-                "caughtUpS": round(world.now - begin, 2), "streamsFull": world.full,
-                "wrong": [] if done else ["not all caught up"]}
+        return {
+            "followers": size,
+            "firms": firms,
+            "changes": number,
+            "snapshotsWhileFollowing": followed,
+            "bytesEachWhileFollowing": round(sum(near) / len(near)),
+            "returned": len(far),
+            "snapshotsAtReturn": fleet.snapshots - before,
+            "bytesEachAtReturn": round(sum(far) / len(far)),
+            "caughtUpS": round(world.now - begin, 2),
+            "streamsFull": world.full,
+            "wrong": [] if done else ["not all caught up"],
+        }
     finally:
         agreement.COMPACT = compact
-
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -63,6 +63,7 @@
             del self.out[sock]
             self.times.append(self.loop.clock() - began)
             self.failed += not seen.startswith(b"HTTP/1.1 200") and line.startswith("PUT") or not seen
+
         self.loop.register(sock, READ, heard)
 
     def worst(self) -> float:
@@ -86,6 +87,7 @@
         def done(one: Asker, word: str) -> None:
             self.short[word] += 1
             self.trial.loop.call_in(THINK, self._ask)
+
         if self.going:
             self.trial.ask(self.at, Plan(0, 200, self.trial.ident), done)
 
@@ -94,6 +96,7 @@
             self.flowing.discard(one)
             self.long[word] += 1
             self._flow()
+
         if not self.going:
             return
         slow, seed = self.rng.random() < 0.3, self.rng.randrange(1 << 20)
@@ -107,8 +110,16 @@
     trial = Trial(80)
     with tempfile.TemporaryDirectory(prefix="bracken-console-") as name:
         ports = free_ports(2)
-        daemon = Process(Path(name), "daemon", ports[0], trial.discovery.listener.text, "127.0.0.1:1", "",
-                         limits={"memory_mb": 80, "sockets": 1500}, console=f"127.0.0.1:{ports[1]}")
+        daemon = Process(
+            Path(name),
+            "daemon",
+            ports[0],
+            trial.discovery.listener.text,
+            "127.0.0.1:1",
+            "",
+            limits={"memory_mb": 80, "sockets": 1500},
+            console=f"127.0.0.1:{ports[1]}",
+        )
         try:
             trial.turn(3.0)
             load, calls = Load(trial, ("127.0.0.1", ports[0]), clients, bodies, seed), Calls(trial.loop, ports[1])
@@ -130,11 +141,21 @@
             daemon.process.wait()
         last = [row for row in Path(name, "daemon.log").read_text().splitlines() if "longest_turn_us=" in row][-1:]
     turn_ms = int(last[0].partition("longest_turn_us=")[2].split()[0]) / 1000 if last else -1.0
-    return {"calls": calls.count, "failed": calls.failed + len(calls.out), "worstMs": round(loaded * 1000, 1),
-            "worstInDrainMs": round(calls.worst() * 1000, 1), "short": dict(load.short), "long": dict(load.long),
-            "flowing": most, "flowingAtDrain": at_end, "lost": len(load.flowing) + load.long["lost"],
-            "wrong": load.long["wrong"] + sum(trial.wrong.values()), "endedInS": round(ended, 2),
-            "code": daemon.process.returncode, "longestTurnMs": round(turn_ms, 2)}
+    return {
+        "calls": calls.count,
+        "failed": calls.failed + len(calls.out),
+        "worstMs": round(loaded * 1000, 1),
+        "worstInDrainMs": round(calls.worst() * 1000, 1),
+        "short": dict(load.short),
+        "long": dict(load.long),
+        "flowing": most,
+        "flowingAtDrain": at_end,
+        "lost": len(load.flowing) + load.long["lost"],
+        "wrong": load.long["wrong"] + sum(trial.wrong.values()),
+        "endedInS": round(ended, 2),
+        "code": daemon.process.returncode,
+        "longestTurnMs": round(turn_ms, 2),
+    }
 
 
 def main() -> int:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -76,8 +76,16 @@
 class Trial:
     """A folder, stand-ins, a load with a front, and room for a supervisor; `run` starts it."""
 
-    def __init__(self, instances: int, seed: int, rate: float, full: float, members: bool = False,
-                 watchdog: float = 3.0, warm: int = 0) -> None:
+    def __init__(
+        self,
+        instances: int,
+        seed: int,
+        rate: float,
+        full: float,
+        members: bool = False,
+        watchdog: float = 3.0,
+        warm: int = 0,
+    ) -> None:
         self.instances, self.rng = instances, random.Random(seed)
         self.folder = Path(tempfile.mkdtemp(prefix="bracken-fleet-"))
         self.clock = wall_clock()
@@ -85,7 +93,8 @@
         count = warm or max(2, math.ceil(rate / full / BUSY) - 1)  # so that the cold one is needed, too
         self.servers: list[SimServer] = [
             ColdServer(self.loop, f"s-{n}", random.Random(seed + n), full, 1.0, 0.0, MULTIPLE, FALL)
-            for n in range(count)]
+            for n in range(count)
+        ]
         self.cold = ColdServer(self.loop, "cold", random.Random(seed), full, COLD_FROM, COLD, MULTIPLE, FALL)
         self.discovery, self.counter = Discovery(self.loop, [*self.servers, self.cold]), Counter(self.loop)
         ports = free_ports(2 * instances)
@@ -109,19 +118,26 @@
         raw["Report"] = {"Via": "piggyback", "Fields": ["busy_reqs"]}
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
-        (self.folder / "ingress.json").write_text(json.dumps({
-            "discovery": self.discovery.listener.text, "counter": self.counter.listener.text, "settings": raw}))
-        text = (f'[fleet]\nname = "trial"\nrun = "{self.folder}/run"\nconfig = "ingress.json"\n'
-                f'instances = {count}\nlisten = {json.dumps([f"{h}:{p}" for h, p in self.at])}\n')
+        (self.folder / "ingress.json").write_text(
+            json.dumps(
+                {"discovery": self.discovery.listener.text, "counter": self.counter.listener.text, "settings": raw}
+            )
+        )
+        text = (
+            f'[fleet]\nname = "trial"\nrun = "{self.folder}/run"\nconfig = "ingress.json"\n'
+            f"instances = {count}\nlisten = {json.dumps([f'{h}:{p}' for h, p in self.at])}\n"
+        )
         if self.members:
             (self.folder / "keys").write_text(KEY + "\n")
             (self.folder / "keys").chmod(0o600)
             (self.folder / "operator.toml").write_text(
-                f'[members]\nfleet = "trial"\nlisten = "{{member}}"\nseeds = [{{seeds}}]\n'
-                f'keys = "{self.folder}/keys"\n')
+                f'[members]\nfleet = "trial"\nlisten = "{{member}}"\nseeds = [{{seeds}}]\nkeys = "{self.folder}/keys"\n'
+            )
             text += f'operator = "operator.toml"\nmembers = {json.dumps(self.members)}\n'
-        text += ("[start]\nready_s = 30.0\nat_once = 100\n[stop]\nnotice_s = 1.0\ndeadline_s = 10.0\n"
-                 f"[watch]\nwatchdog_s = {watchdog}\n[restart]\ncrashes = 10\n")
+        text += (
+            "[start]\nready_s = 30.0\nat_once = 100\n[stop]\nnotice_s = 1.0\ndeadline_s = 10.0\n"
+            f"[watch]\nwatchdog_s = {watchdog}\n[restart]\ncrashes = 10\n"
+        )
         self.file.write_text(text)
 
     # Steps.
@@ -131,8 +147,9 @@
 
     def run(self) -> None:
         log = open(self.folder / "log", "ab")
-        self.supervisor = subprocess.Popen([sys.executable, "-m", "brackenpulley", "fleet", "run", str(self.file)],
-                                           cwd=ROOT, stdout=log, stderr=log)
+        self.supervisor = subprocess.Popen(
+            [sys.executable, "-m", "brackenpulley", "fleet", "run", str(self.file)], cwd=ROOT, stdout=log, stderr=log
+        )
         log.close()
 
     def ask(self, method: str, path: str, body: Any = None) -> Any:
@@ -177,8 +194,12 @@
 
     def warm(self) -> None:
         if self.colds and "worst" not in self.colds[-1]:
-            self.colds[-1].update(worst=round(self.cold.worst, 3), arrivals=len(self.cold.arrivals),
-                                  fell=self.cold.down, seen=list(self.cold.arrivals))
+            self.colds[-1].update(
+                worst=round(self.cold.worst, 3),
+                arrivals=len(self.cold.arrivals),
+                fell=self.cold.down,
+                seen=list(self.cold.arrivals),
+            )
 
     def kill(self, places: list[int]) -> None:
         """SIGKILL, all within a few ms."""
@@ -195,13 +216,20 @@
 
     def faults(self) -> list[str]:
         """Tries that a living instance took without exactly one answer."""
+
         def lost(one: Try) -> bool:
-            return any(place == one.ingress and one.sent < until and one.ended >= since - 0.01
-                       for place, since, until in self.killed)
+            return any(
+                place == one.ingress and one.sent < until and one.ended >= since - 0.01
+                for place, since, until in self.killed
+            )
+
         zero = self.marks[0][0]
-        return [f"try {one.id}: taken by instance {one.ingress} at {one.sent - zero:.2f} s, {one.answers} answers, "
-                f"ended at {one.ended - zero:.2f} s" for one in self.load.tries
-                if one.taken and one.answers != 1 and not lost(one)]
+        return [
+            f"try {one.id}: taken by instance {one.ingress} at {one.sent - zero:.2f} s, {one.answers} answers, "
+            f"ended at {one.ended - zero:.2f} s"
+            for one in self.load.tries
+            if one.taken and one.answers != 1 and not lost(one)
+        ]
 
     def close(self) -> None:
         """Nothing of it is left running, whatever went wrong."""
@@ -215,19 +243,39 @@
                 self.supervisor.kill()
         for one in search(self.folder / "run"):
             os.kill(one.pid, signal.SIGKILL)
-        for listener in (self.discovery.listener, self.counter.listener, *(s.listener for s in self.servers),
-                         self.cold.listener):
+        for listener in (
+            self.discovery.listener,
+            self.counter.listener,
+            *(s.listener for s in self.servers),
+            self.cold.listener,
+        ):
             listener.stop()
         self.loop.close()
 
 
-def trial(instances: int = 40, seed: int = 3, rate: float = 0.0, full: float = 40.0, pause: float = 4.0,
-          members: bool = False, quiet: bool = False, plot: str = "", at_once: int = 0) -> dict[str, Any]:
+def trial(
+    instances: int = 40,
+    seed: int = 3,
+    rate: float = 0.0,
+    full: float = 40.0,
+    pause: float = 4.0,
+    members: bool = False,
+    quiet: bool = False,
+    plot: str = "",
+    at_once: int = 0,
+) -> dict[str, Any]:
     """One run through all steps; the report that is also printed."""
     made = Trial(instances, seed, rate or 8.0 * instances, full, members)
     half, found = instances // 2, {}
-    steps = ("half start cold", "the other half at once", "half killed", "one stopped", "all restarted",
-             "supervisor killed", "end")
+    steps = (
+        "half start cold",
+        "the other half at once",
+        "half killed",
+        "one stopped",
+        "all restarted",
+        "supervisor killed",
+        "end",
+    )
     try:
         with Progress(console=Console(stderr=True), disable=quiet) as progress:
             task = progress.add_task("fleet", total=len(steps))
@@ -262,7 +310,8 @@
             made.killed.append((stopped, made.clock(), math.inf))
             os.kill(pid, signal.SIGSTOP)
             found["stoppedSeenSeconds"] = made.until(
-                lambda s: any(r["instance"] == stopped and r["pid"] not in (pid,) for r in s["places"]), 30, "watchdog")
+                lambda s: any(r["instance"] == stopped and r["pid"] not in (pid,) for r in s["places"]), 30, "watchdog"
+            )
             made.all_ready(instances, 60, "back after SIGSTOP")
             made.turn(2 * LOOK)
             made.back([stopped])
@@ -297,19 +346,29 @@
         faults = made.faults()
         faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.tries)] if n]
         faults += [f"cold server, {c['what']}: {c['worst']:.2f} of what it bears" for c in made.colds if c["fell"]]
-        for name, wanted in (("rolled", instances), ("adopted", instances), ("orphans", 0), ("exit", 0),
-                             ("rollingFailed", None)):
+        for name, wanted in (
+            ("rolled", instances),
+            ("adopted", instances),
+            ("orphans", 0),
+            ("exit", 0),
+            ("rollingFailed", None),
+        ):
             if found[name] != wanted:
                 faults.append(f"{name}: {found[name]}, not {wanted}")
         statuses = [one.status for one in made.load.tries]
-        found = {"instances": instances, **{k: round(v, 2) if isinstance(v, float) else v for k, v in found.items()},
-                 "tries": len(statuses), "served": statuses.count(200),
-                 "refused": statuses.count(429) + statuses.count(503), "failed": statuses.count(502),
-                 "misread": statuses.count(400),
-                 "unanswered": statuses.count(0), "takenUnanswered": sum(
-                     t.taken and not t.answers for t in made.load.tries),
-                 "cold": [{k: v for k, v in c.items() if k not in ("seen", "at")} for c in made.colds],
-                 "faults": faults}
+        found = {
+            "instances": instances,
+            **{k: round(v, 2) if isinstance(v, float) else v for k, v in found.items()},
+            "tries": len(statuses),
+            "served": statuses.count(200),
+            "refused": statuses.count(429) + statuses.count(503),
+            "failed": statuses.count(502),
+            "misread": statuses.count(400),
+            "unanswered": statuses.count(0),
+            "takenUnanswered": sum(t.taken and not t.answers for t in made.load.tries),
+            "cold": [{k: v for k, v in c.items() if k not in ("seen", "at")} for c in made.colds],
+            "faults": faults,
+        }
         if plot:
             draw(made, plot)
         return found
@@ -317,8 +376,17 @@
         made.close()
 
 
-def cold_start(instances: int, seed: int, believes: int = 0, reports: bool = False, starts: int = 1, small: float = 4.0,
-               warm: float = 0.0, load: float = 40.0, seconds: float = 9.0) -> dict[str, Any]:
+def cold_start(
+    instances: int,
+    seed: int,
+    believes: int = 0,
+    reports: bool = False,
+    starts: int = 1,
+    small: float = 4.0,
+    warm: float = 0.0,
+    load: float = 40.0,
+    seconds: float = 9.0,
+) -> dict[str, Any]:
     """All instances start at the same instant as a small server, beside one warm server that can't do it all, or alone
     (`warm` 0). With `believes` they have no supervisor and are told of so many ingresses, as before there was one;
     with `reports` they heed what the server says of itself. The fullest window of the small one's arrivals, over what
@@ -347,8 +415,15 @@
                     raw["settings"].update(NInstances=believes, MyNumber=number % believes)
                     path.write_text(json.dumps(raw))
                     env = {**os.environ, **({"BALANCER_CONTROL": f"unix:{path}.sock"} if reports else {})}
-                    processes.append(subprocess.Popen([sys.executable, "-m", "brackenpulley", "serve", "--config",
-                                                       str(path)], cwd=ROOT, stdout=log, stderr=log, env=env))
+                    processes.append(
+                        subprocess.Popen(
+                            [sys.executable, "-m", "brackenpulley", "serve", "--config", str(path)],
+                            cwd=ROOT,
+                            stdout=log,
+                            stderr=log,
+                            env=env,
+                        )
+                    )
         else:
             made.run()
         made.chill("start")
@@ -360,12 +435,18 @@
             made.turn(seconds)
             made.warm()
             found.append(made.colds[-1]["worst"])
-        return {"instances": instances, "believe": believes or "told", "reports": reports, "worst": found,
-                "fell": sum(c["fell"] for c in made.colds),
-                "arrivals": [c["arrivals"] for c in made.colds[1:]],
-                "served": sum(t.status == 200 for t in made.load.tries),
-                "refused": sum(t.status in (429, 503) for t in made.load.tries),
-                "failed": sum(t.status == 502 for t in made.load.tries), "tries": len(made.load.tries)}
+        return {
+            "instances": instances,
+            "believe": believes or "told",
+            "reports": reports,
+            "worst": found,
+            "fell": sum(c["fell"] for c in made.colds),
+            "arrivals": [c["arrivals"] for c in made.colds[1:]],
+            "served": sum(t.status == 200 for t in made.load.tries),
+            "refused": sum(t.status in (429, 503) for t in made.load.tries),
+            "failed": sum(t.status == 502 for t in made.load.tries),
+            "tries": len(made.load.tries),
+        }
     finally:
         for process in processes:
             process.terminate()
@@ -377,15 +458,20 @@
 def draw(made: Trial, path: str) -> None:
     """Instances ready, answers a second and the cold server's arrivals against what it bears, over the run."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     zero = made.marks[0][0]
     figure, (top, middle, low) = pyplot.subplots(3, 1, figsize=(12, 9), sharex=True)
     top.step([t - zero for t, _ in made.ready], [n for _, n in made.ready], where="post", color="tab:blue")
     top.set_ylabel("instances ready")
     seconds = int(made.marks[-1][0] - zero) + 1
-    for name, wanted, colour in (("served", (200,), "tab:green"), ("turned away", (429, 503), "tab:orange"),
-                                 ("no answer", (0,), "tab:red")):
+    for name, wanted, colour in (
+        ("served", (200,), "tab:green"),
+        ("turned away", (429, 503), "tab:orange"),
+        ("no answer", (0,), "tab:red"),
+    ):
         counts = [0] * (seconds + 20)
         for one in made.load.tries:
             if one.status in wanted:
@@ -396,8 +482,10 @@
     for cold in made.colds:
         begin = cold["at"]
         times = [begin + n * 0.25 for n in range(int(4 * COLD))]
-        bears = [MULTIPLE * FALL * made.cold.full * (
-            COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD) for t in times]
+        bears = [
+            MULTIPLE * FALL * made.cold.full * (COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD)
+            for t in times
+        ]
         seen = [sum(t - FALL < a <= t for a in cold.get("seen", [])) for t in times]
         low.plot([t - zero for t in times], bears, color="tab:red", label="bears" if cold is made.colds[0] else None)
         low.plot([t - zero for t in times], seen, color="tab:blue", label="sent" if cold is made.colds[0] else None)
@@ -419,15 +507,21 @@
     text = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text()
     return (int(text[11]) + int(text[12])) / TICK, next(
-        int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
+        int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS")
+    )
 
 
 def idle(instances: int, seconds: float) -> dict[str, Any]:
     """Fleets without and with membership, and lone ingresses, beside each other: means of an idle instance."""
     from benchmarks.ledger_cost import Process
+
     fleets = [Trial(instances, 1, 0.0, 40.0, members) for members in (False, True)]
-    lone = [Process(fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.text,
-                    fleets[0].counter.listener.text, "") for n, port in enumerate(free_ports(4))]
+    lone = [
+        Process(
+            fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.text, fleets[0].counter.listener.text, ""
+        )
+        for n, port in enumerate(free_ports(4))
+    ]
     try:
         for made in fleets:
             made.run()
@@ -454,11 +548,14 @@
         for name, pids in kinds.items():
             now = [usage(pid) for pid in pids]
             spent = sum(a[0] - b[0] for a, b in zip(now, before[name], strict=True)) / len(pids) / seconds
-            found[name] = {"cpuPercent": round(100 * spent, 3), "residentMb": round(
-                sum(a[1] for a in now) / len(pids) / 1024, 1)}
+            found[name] = {
+                "cpuPercent": round(100 * spent, 3),
+                "residentMb": round(sum(a[1] for a in now) / len(pids) / 1024, 1),
+            }
         for name in ("fleet", "members"):
-            found[f"{name}ToLone"] = {key: round(found[name][key] / max(1e-9, found["lone"][key]), 2)
-                                      for key in ("cpuPercent", "residentMb")}
+            found[f"{name}ToLone"] = {
+                key: round(found[name][key] / max(1e-9, found["lone"][key]), 2) for key in ("cpuPercent", "residentMb")
+            }
         return found
     finally:
         for p in lone:
@@ -481,8 +578,12 @@
     parser.add_argument("--json", default="", help="a file for the report")
     told = parser.parse_args()
     if told.cold:
-        report = {"pairs": [cold_start(20, told.seed, believes, reports, starts=5)
-                            for believes, reports in ((3, False), (3, True), (0, True))]}
+        report = {
+            "pairs": [
+                cold_start(20, told.seed, believes, reports, starts=5)
+                for believes, reports in ((3, False), (3, True), (0, True))
+            ]
+        }
         report["faults"] = [f"fell {pair['fell']} times" for pair in report["pairs"][2:] if pair["fell"]]
     elif told.idle:
         report = idle(min(told.instances, 12), told.seconds)
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -42,20 +42,48 @@
 class Process:
     """A daemon of its own."""
 
-    def __init__(self, folder: Path, name: str, port: int, discovery: str, counter: str, operator: str,
-                 limits: dict[str, int] | None = None, console: str = "") -> None:
+    def __init__(
+        self,
+        folder: Path,
+        name: str,
+        port: int,
+        discovery: str,
+        counter: str,
+        operator: str,
+        limits: dict[str, int] | None = None,
+        console: str = "",
+    ) -> None:
         self.at = ("127.0.0.1", port)
         raw = settings(1)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)  # the cost is asked for, not the quota
-        config = {"name": name, "listen": f"127.0.0.1:{port}", "discovery": discovery, "counter": counter,
-                  "settings": raw, "limits": limits or {}, "console": console}
+        config = {
+            "name": name,
+            "listen": f"127.0.0.1:{port}",
+            "discovery": discovery,
+            "counter": counter,
+            "settings": raw,
+            "limits": limits or {},
+            "console": console,
+        }
         (folder / f"{name}.json").write_text(json.dumps(config))
         (folder / f"{name}.toml").write_text(operator)
         with open(folder / f"{name}.log", "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "brackenpulley", "serve", "--config", str(folder / f"{name}.json"), "--operator",
-                 str(folder / f"{name}.toml")], cwd=ROOT, stdout=log, stderr=log)
+                [
+                    sys.executable,
+                    "-m",
+                    "brackenpulley",
+                    "serve",
+                    "--config",
+                    str(folder / f"{name}.json"),
+                    "--operator",
+                    str(folder / f"{name}.toml"),
+                ],
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+            )
 
     def cpu(self) -> float:
         """Seconds so far, user and system."""
@@ -75,10 +103,14 @@
     discovery, counter, billing = Discovery(loop, servers), Counter(loop), Billing(loop)
     with tempfile.TemporaryDirectory(prefix="bracken-cost-") as name:
         folder, ports = Path(name), free_ports(2)
-        told = (f'[ledger]\npath = "{folder}/ledger"\nperiod_s = 5.0\ngrace_s = 0.5\n[ledger.export]\n'
-                f'url = "http://{billing.listener.text}/use"\n')
-        daemons = [Process(folder, "off", ports[0], discovery.listener.text, counter.listener.text, ""),
-                   Process(folder, "on", ports[1], discovery.listener.text, counter.listener.text, told)]
+        told = (
+            f'[ledger]\npath = "{folder}/ledger"\nperiod_s = 5.0\ngrace_s = 0.5\n[ledger.export]\n'
+            f'url = "http://{billing.listener.text}/use"\n'
+        )
+        daemons = [
+            Process(folder, "off", ports[0], discovery.listener.text, counter.listener.text, ""),
+            Process(folder, "on", ports[1], discovery.listener.text, counter.listener.text, told),
+        ]
         firms = [Firm(n + 1, "county", rate / 20, 1, 0) for n in range(20)]
         loads = [Load(loop, [d.at], firms, random.Random(5)) for d in daemons]
         end = time.monotonic() + 5.0
@@ -113,8 +145,16 @@
             listener.stop()
         loop.close()
     off, on = (used[n] / taken[n] * 1e6 for n in (0, 1))
-    return {"rate": rate, "messages": taken, "served": served, "offUs": round(off, 1), "onUs": round(on, 1),
-            "ratio": round(on / off, 3), "grownKb": grown, "events": len(billing.events)}
+    return {
+        "rate": rate,
+        "messages": taken,
+        "served": served,
+        "offUs": round(off, 1),
+        "onUs": round(on, 1),
+        "ratio": round(on / off, 3),
+        "grownKb": grown,
+        "events": len(billing.events),
+    }
 
 
 def sizes(entries: int, progress: Progress) -> dict[str, Any]:
@@ -144,9 +184,13 @@
                 for done in files.export(store, f"{name}/{count}.{kind}", kind):
                     progress.update(task, completed=done)
                 rates[kind] = round(count / (time.perf_counter() - began))
-            found[str(count)] = {"recoverySeconds": round(recovery, 4), "verifyPerSecond": round(count / verify),
-                                 "faults": faults, "bytesPerEntry": round(store.used_bytes() / count, 1),
-                                 **{f"{kind}PerSecond": rate for kind, rate in rates.items()}}
+            found[str(count)] = {
+                "recoverySeconds": round(recovery, 4),
+                "verifyPerSecond": round(count / verify),
+                "faults": faults,
+                "bytesPerEntry": round(store.used_bytes() / count, 1),
+                **{f"{kind}PerSecond": rate for kind, rate in rates.items()},
+            }
             store.end()
     return found
 
@@ -179,16 +223,21 @@
     told = words.parse_args()
     with Progress(console=Console(stderr=True)) as progress:
         rates = [float(rate) for rate in told.rates.split(",") if rate]
-        report: dict[str, Any] = {"cost": [cost(told.seconds, rate, progress) for rate in rates],
-                                  "sizes": sizes(told.entries, progress) if told.entries else {}}
+        report: dict[str, Any] = {
+            "cost": [cost(told.seconds, rate, progress) for rate in rates],
+            "sizes": sizes(told.entries, progress) if told.entries else {},
+        }
     text = json.dumps(report, indent=1)
     print(text)
     if told.out:
         Path(told.out).write_text(text + "\n")
     slow = [f"{one['rate']:g} a second: ratio {one['ratio']}" for one in report["cost"] if one["ratio"] > MOST_RATIO]
     for count, one in report["sizes"].items():
-        if one["recoverySeconds"] > MOST_RECOVERY or one["faults"] or min(
-                one["verifyPerSecond"], one["jsonlPerSecond"], one["csvPerSecond"]) < LEAST_RATE:
+        if (
+            one["recoverySeconds"] > MOST_RECOVERY
+            or one["faults"]
+            or min(one["verifyPerSecond"], one["jsonlPerSecond"], one["csvPerSecond"]) < LEAST_RATE
+        ):
             slow.append(f"{count} entries: {one}")
     for line in slow:
         print(line, file=sys.stderr)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -169,15 +169,26 @@
         lossy.loss = loss
         lossy.heard.clear()
         lossy.run(lossy.now + seconds)
-        false[f"{loss:g}"] = {"deaths": sum(state == DEAD for *_, state in lossy.heard), "suspected": sum(
-            m.counts.get("suspected", 0) for m in lossy.members.values()), "memberSeconds": round(size * seconds)}
+        false[f"{loss:g}"] = {
+            "deaths": sum(state == DEAD for *_, state in lossy.heard),
+            "suspected": sum(m.counts.get("suspected", 0) for m in lossy.members.values()),
+            "memberSeconds": round(size * seconds),
+        }
     progress.update(task, advance=1)
     least = shortest(size, 1.0)
-    return {"members": size, "joinedAfter": joined, "allKnowMedian": round(statistics.median(times), 2),
-            "allKnow99th": round(sorted(times)[int(0.99 * (len(times) - 1))], 2), "missed": size * deaths - sum(
-                range(1, deaths + 1)) - len(times), "suspicionFrom": round(least, 2), "suspicionTo": round(
-                least * LONGEST, 2), "bytesAMemberASecond": round(statistics.mean(calm), 1),
-            "mostBytes": round(max(calm), 1), "longestDatagram": net.longest, "falseDeathsAtLoss": false}
+    return {
+        "members": size,
+        "joinedAfter": joined,
+        "allKnowMedian": round(statistics.median(times), 2),
+        "allKnow99th": round(sorted(times)[int(0.99 * (len(times) - 1))], 2),
+        "missed": size * deaths - sum(range(1, deaths + 1)) - len(times),
+        "suspicionFrom": round(least, 2),
+        "suspicionTo": round(least * LONGEST, 2),
+        "bytesAMemberASecond": round(statistics.mean(calm), 1),
+        "mostBytes": round(max(calm), 1),
+        "longestDatagram": net.longest,
+        "falseDeathsAtLoss": false,
+    }
 
 
 def main() -> int:
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -114,8 +114,10 @@
         profile.runcall(drive.run, told.messages)
         pstats.Stats(profile).sort_stats("tottime").print_stats(18)
         return 0
-    rows = [{"servers": n, "us": round(micros(n, told.messages), 1), "lines": round(lines(n, told.messages // 3), 1)}
-            for n in told.servers]
+    rows = [
+        {"servers": n, "us": round(micros(n, told.messages), 1), "lines": round(lines(n, told.messages // 3), 1)}
+        for n in told.servers
+    ]
     for row in rows:
         row["toFewest"] = round(row["lines"] / rows[0]["lines"], 2)
     print(json.dumps(rows, indent=1))
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -55,24 +55,43 @@
         self.folder.mkdir()
         self.process: subprocess.Popen[bytes] | None = None
         self.control = Control(f"unix:{self.folder}/control.sock")
-        config = {"name": f"n{number}", "listen": f"127.0.0.1:{port}", "discovery": trial.discovery.listener.text,
-                  "counter": trial.counter.listener.text, "seed": f"{trial.seed + number:x}",
-                  "settings": settings(GATEWAYS, number)}
+        config = {
+            "name": f"n{number}",
+            "listen": f"127.0.0.1:{port}",
+            "discovery": trial.discovery.listener.text,
+            "counter": trial.counter.listener.text,
+            "seed": f"{trial.seed + number:x}",
+            "settings": settings(GATEWAYS, number),
+        }
         (self.folder / "config.json").write_text(json.dumps(config))
         (self.folder / "operator.toml").write_text(
             f'[control]\nlisten = "unix:{self.folder}/control.sock"\n'
             f'[plans]\nsnapshot = "{self.folder}/plans"\n[reservations]\n'
-            + ('[leases]\n' if trial.exact else '') +
-            f'[ledger]\npath = "{self.folder}/ledger"\nperiod_s = {trial.period}\ngrace_s = 1.0\n'
+            + ("[leases]\n" if trial.exact else "")
+            + f'[ledger]\npath = "{self.folder}/ledger"\nperiod_s = {trial.period}\ngrace_s = 1.0\n'
             f'[ledger.export]\nurl = "http://{trial.billing.listener.text}/use"\nlongest_wait_s = 1.0\n'
-            'timeout_s = 1.0\nbatch = 40\n')
+            "timeout_s = 1.0\nbatch = 40\n"
+        )
 
     def start(self) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "brackenpulley", "serve", "--config", str(self.folder / "config.json"),
-                 "--operator", str(self.folder / "operator.toml")], cwd=ROOT, env=env, stdout=log, stderr=log)
+                [
+                    sys.executable,
+                    "-m",
+                    "brackenpulley",
+                    "serve",
+                    "--config",
+                    str(self.folder / "config.json"),
+                    "--operator",
+                    str(self.folder / "operator.toml"),
+                ],
+                cwd=ROOT,
+                env=env,
+                stdout=log,
+                stderr=log,
+            )
 
     def up(self) -> bool:
         try:
@@ -92,6 +111,7 @@
 
     def tell(self, change: Change) -> None:
         import msgspec
+
         self.control.call("POST", "/v1/changes", msgspec.to_builtins(change))
 
     def memory_kb(self) -> int:
@@ -123,8 +143,16 @@
         self.ingresses = [Ingress(self, n, ports[n]) for n in range(GATEWAYS)]
         names = sorted(PLANS)
         # A third of the firms ask for more than their plan lets in, the others stay under it.
-        self.firms = [Firm(0xB4D60000 + n, names[n % 2], (PLANS[names[n % 2]]["QuotaRate"] / 1.7) * (
-            1.6 if n % 3 == 0 else 0.5), 2 + n % 2, n % GATEWAYS) for n in range(FIRMS)]
+        self.firms = [
+            Firm(
+                0xB4D60000 + n,
+                names[n % 2],
+                (PLANS[names[n % 2]]["QuotaRate"] / 1.7) * (1.6 if n % 3 == 0 else 0.5),
+                2 + n % 2,
+                n % GATEWAYS,
+            )
+            for n in range(FIRMS)
+        ]
         self.load = Load(self.loop, [one.at for one in self.ingresses], self.firms, self.rng)
         self.changes: list[Change] = []
         self.killed: dict[str, set[str]] = {}
@@ -190,6 +218,7 @@
         while when < self.seconds - every / 4:
             at(when, partial(self._change, number))
             number, when = number + 1, when + every
+
         def speak(mode: str) -> None:
             self.billing.mode = mode
 
@@ -218,8 +247,9 @@
                 self._decide(kind="move", firm=firm_text(firm.key), plan=firm.plan, since=now + lead, at=now)
         elif kind == 2:
             name = self.rng.choice(sorted(PLANS))
-            figures = Figures(rate=PLANS[name]["QuotaRate"] * self.rng.choice((0.8, 1.0, 1.25)),
-                              burst=PLANS[name]["Burst"])
+            figures = Figures(
+                rate=PLANS[name]["QuotaRate"] * self.rng.choice((0.8, 1.0, 1.25)), burst=PLANS[name]["Burst"]
+            )
             self._decide(kind="set", plan=name, figures=figures, since=now + lead, at=now)
         elif kind == 3:  # comes late: it holds since a second ago, and takes effect where it is heard
             self._decide(kind="move", firm=firm_text(firm.key), plan="county", since=now - 1.0, at=now)
@@ -282,8 +312,11 @@
         for one in self.ingresses:
             assert one.process is not None
             one.process.send_signal(signal.SIGTERM)
-        self.turn_until(lambda: all(one.process is not None and one.process.poll() is not None
-                                    for one in self.ingresses), 20, "the daemons to end")
+        self.turn_until(
+            lambda: all(one.process is not None and one.process.poll() is not None for one in self.ingresses),
+            20,
+            "the daemons to end",
+        )
         codes = [one.process.returncode for one in self.ingresses if one.process is not None]
         counted: dict[audit.Key, int] = {}
         faults = [f"n{n} ended with {code}" for n, code in enumerate(codes) if code]
@@ -304,37 +337,61 @@
         faults += verdict.faults + self.billing.faults
         faults += audit.answered_once(self.load.tries, self.down_once)
         over = audit.excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
-        faults += [f"firm {one.firm:016x}: {one.over:.1f} units over an allowance of {one.allowed:.0f}"
-                   for one in over if one.share > MOST_OVER]
+        faults += [
+            f"firm {one.firm:016x}: {one.over:.1f} units over an allowance of {one.allowed:.0f}"
+            for one in over
+            if one.share > MOST_OVER
+        ]
         if self.plot:
             self._draw(ran, book, begin, end)
         statuses_now = [t.status for t in self.load.tries]
         return {
-            "seconds": round(end - begin, 1), "exact": self.exact, "changes": len(self.changes),
-            "tries": len(self.load.tries), "served": statuses_now.count(200),
-            "refused": statuses_now.count(429) + statuses_now.count(503), "unanswered": statuses_now.count(0),
-            "ranUnits": verdict.ran / audit.MICRO, "countedUnits": verdict.counted / audit.MICRO,
-            "exportedUnits": verdict.billed / audit.MICRO, "ranButNeverAnswered": verdict.unanswered,
-            "killed": {name: len(ids) for name, ids in self.killed.items()}, "entries": entries,
-            "eventsSent": sum(self.billing.had.values()), "eventsTwice": sum(
-                1 for count in self.billing.had.values() if count > 1),
+            "seconds": round(end - begin, 1),
+            "exact": self.exact,
+            "changes": len(self.changes),
+            "tries": len(self.load.tries),
+            "served": statuses_now.count(200),
+            "refused": statuses_now.count(429) + statuses_now.count(503),
+            "unanswered": statuses_now.count(0),
+            "ranUnits": verdict.ran / audit.MICRO,
+            "countedUnits": verdict.counted / audit.MICRO,
+            "exportedUnits": verdict.billed / audit.MICRO,
+            "ranButNeverAnswered": verdict.unanswered,
+            "killed": {name: len(ids) for name, ids in self.killed.items()},
+            "entries": entries,
+            "eventsSent": sum(self.billing.had.values()),
+            "eventsTwice": sum(1 for count in self.billing.had.values() if count > 1),
             "billingAnswers": dict(self.billing.answers),
-            "firms": {f"{one.firm:016x}": [round(one.over, 2), round(one.used, 1), round(one.allowed, 1)]
-                       for one in over},
+            "firms": {
+                f"{one.firm:016x}": [round(one.over, 2), round(one.used, 1), round(one.allowed, 1)] for one in over
+            },
             "mostExcess": round(max((one.share for one in over), default=0.0), 4),
-            "counterCalls": self.counter.calls, "callsATry": round(self.counter.calls / max(1, len(ran)), 3),
-            "memoryKb": self.memory, "ledgerBytes": [s["ledger"]["bytes"] for s in statuses],
-            "leases": [s.get("leases") for s in statuses], "revisions": [s["plans"]["revision"] for s in statuses],
+            "counterCalls": self.counter.calls,
+            "callsATry": round(self.counter.calls / max(1, len(ran)), 3),
+            "memoryKb": self.memory,
+            "ledgerBytes": [s["ledger"]["bytes"] for s in statuses],
+            "leases": [s.get("leases") for s in statuses],
+            "revisions": [s["plans"]["revision"] for s in statuses],
             "longestTurnUs": [c.get("longest_turn_us", 0) for c in counters],
-            "notes": self.notes, "faults": faults}
+            "notes": self.notes,
+            "faults": faults,
+        }
 
     def _draw(self, ran: list[Ran], book: Book, begin: float, end: float) -> None:
         """Use of the firms whose plans changed most, against what their plans let in, over the run."""
         import matplotlib
+
         matplotlib.use("Agg")
         from matplotlib import pyplot
-        moves = {firm.key: [c for c in book.history(firm=firm_text(firm.key)) if c.kind == "move"
-                            and c.revision not in book.withdrawn] for firm in self.firms}
+
+        moves = {
+            firm.key: [
+                c
+                for c in book.history(firm=firm_text(firm.key))
+                if c.kind == "move" and c.revision not in book.withdrawn
+            ]
+            for firm in self.firms
+        }
         shown = sorted(self.firms, key=lambda firm: (not moves[firm.key], -firm.rate))[:4]
         figure, axes = pyplot.subplots(2, 2, figsize=(13, 8), sharex=True)
         final = audit.due(ran)
@@ -349,8 +406,12 @@
             grid = [begin + (end - begin) * n / 400 for n in range(401)]
             plan = book.figures(book.plan_of(firm.key, begin, firm.plan)[0], begin)
             burst = plan[1].burst if plan else 0.0
-            axis.plot([t - begin for t in grid], [burst + book.integral(firm.key, firm.plan, begin, t) for t in grid],
-                      color="tab:orange", label="burst and integral of the rate")
+            axis.plot(
+                [t - begin for t in grid],
+                [burst + book.integral(firm.key, firm.plan, begin, t) for t in grid],
+                color="tab:orange",
+                label="burst and integral of the rate",
+            )
             axis.step(times, used, where="post", color="tab:blue", label="units that ran")
             for change in {change.since: change for change in moves[firm.key]}.values():  # at one instant the later
                 axis.axvline(change.since - begin, color="grey", linewidth=0.8, linestyle=":")
@@ -371,14 +432,19 @@
                 one.process.kill()
                 one.process.wait()
         self.load.close()
-        for listener in (self.discovery.listener, self.counter.listener, self.billing.listener,
-                         *(server.listener for server in self.servers)):
+        for listener in (
+            self.discovery.listener,
+            self.counter.listener,
+            self.billing.listener,
+            *(server.listener for server in self.servers),
+        ):
             listener.stop()
         self.loop.close()
 
 
 def free_ports(count: int) -> list[int]:
     import socket
+
     socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -386,8 +452,9 @@
     return ports
 
 
-def trial(seconds: float, exact: bool = True, seed: int = 7, every: float = 30.0, quiet: bool = False,
-          plot: str = "") -> dict[str, Any]:
+def trial(
+    seconds: float, exact: bool = True, seed: int = 7, every: float = 30.0, quiet: bool = False, plot: str = ""
+) -> dict[str, Any]:
     """One run; the report that is also printed. The folder is kept where something did not match."""
     made = Trial(seconds, exact, seed, every, plot)
     try:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -112,9 +112,13 @@
     def _ask(self, n: int) -> None:
         ident = f"{self.rng.getrandbits(64):016x}"
         self.out += 1
-        self.socks[n].send((f"GET /load-sim/{1 + n:016x} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {ident}\r\n"
-                            "X-Priority-Class: load-sim\r\nX-Tariff: county\r\nX-Timeout: 4000m\r\n"
-                            "X-Weight: units=1,spread=1,first=0\r\n\r\n").encode())
+        self.socks[n].send(
+            (
+                f"GET /load-sim/{1 + n:016x} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {ident}\r\n"
+                "X-Priority-Class: load-sim\r\nX-Tariff: county\r\nX-Timeout: 4000m\r\n"
+                "X-Weight: units=1,spread=1,first=0\r\n\r\n"
+            ).encode()
+        )
 
     def _readable(self, n: int) -> None:
         data = self.socks[n].recv(65536)
@@ -149,8 +153,10 @@
     with tempfile.TemporaryDirectory(prefix="bracken-relay-") as name:
         ports = free_ports(2)
         daemon = Process(Path(name), "daemon", ports[0], discovery.listener.text, "127.0.0.1:1", "")
-        relay = subprocess.Popen([sys.executable, "-m", "benchmarks.relay", "--bare", str(ports[1]), "--to",
-                                  str(servers[0].listener.at[1])], cwd=ROOT)
+        relay = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.relay", "--bare", str(ports[1]), "--to", str(servers[0].listener.at[1])],
+            cwd=ROOT,
+        )
         try:
             end = time.monotonic() + 4.0
             while time.monotonic() < end:
@@ -178,8 +184,13 @@
                 process.terminate()
                 process.wait()
     us = [used[n] / count[n] * 1e6 for n in (0, 1)]
-    return {"messages": count, "served": good, "daemonUs": round(us[0], 1), "bareUs": round(us[1], 1),
-            "ratio": round(us[0] / us[1], 2)}
+    return {
+        "messages": count,
+        "served": good,
+        "daemonUs": round(us[0], 1),
+        "bareUs": round(us[1], 1),
+        "ratio": round(us[0] / us[1], 2),
+    }
 
 
 def profile(path: str, seconds: float) -> None:
@@ -187,6 +198,7 @@
     from brackenpulley.config import decode
     from brackenpulley.serve import Daemon
     from brackenpulley.standins.settings import settings
+
     ready, told = socket.socketpair()
     child = os.fork()
     if not child:
@@ -207,8 +219,12 @@
     raw = settings(1, counter=False)
     for plan in raw["TiersOfService"]:
         plan.update(QuotaRate=1e6, Burst=1e6)
-    daemon = Daemon(decode({"name": "profiled", "listen": "127.0.0.1:0", "discovery": ready.recv(64).decode(),
-                            "settings": raw}, {}), structlog.get_logger())
+    daemon = Daemon(
+        decode(
+            {"name": "profiled", "listen": "127.0.0.1:0", "discovery": ready.recv(64).decode(), "settings": raw}, {}
+        ),
+        structlog.get_logger(),
+    )
     daemon.start(signals=False)
     assert daemon.north.listener is not None
     until = time.monotonic() + 1.0
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -46,9 +46,10 @@
             before = set(listener.lines)
             accept(events)
             self.most = max(self.most, len(listener.lines))
-            for line in [one for one in listener.lines if one not in before][max(0, limit - len(before)):]:
+            for line in [one for one in listener.lines if one not in before][max(0, limit - len(before)) :]:
                 self.beyond += 1
                 line.reset()
+
         listener._acceptable = counted  # type: ignore[method-assign]
         assert listener.sock is not None
         listener.loop.forget(listener.sock)
@@ -72,8 +73,12 @@
         for one in ones:
             if one.process is not None and one.process.poll() is None:
                 one.process.terminate()
-        if not fleet.until(lambda ones=ones: all(  # type: ignore[misc]
-                one.process is not None and one.process.poll() is not None for one in ones), 15.0):
+        if not fleet.until(
+            lambda ones=ones: all(  # type: ignore[misc]
+                one.process is not None and one.process.poll() is not None for one in ones
+            ),
+            15.0,
+        ):
             wrong.append(f"not ended 15 s after SIGTERM: {[one.name for one in ones]}")
         for one in ones:
             one.status = {}
@@ -85,6 +90,7 @@
 
 def faults(fleet: Fleet, rng: random.Random, seconds: float) -> None:
     """Between the processes, while they are rolled: a partition of a few, a killed one, a stopped one, in turn."""
+
     def one_more() -> None:
         if not fleet.rolling:  # type: ignore[attr-defined]
             fleet.relays.links.heal()
@@ -109,14 +115,16 @@
                     fleet.loop.call_in(1.5, lambda: one.signal(signal.SIGCONT))
         fleet.loop.call_in(1.5, fleet.relays.links.heal)
         fleet.loop.call_in(2.0 + rng.random(), one_more)
+
     fleet.loop.call_in(0.5, one_more)
 
 
 def trial(size: int, rolls: int, limit: int, seed: int, calm: float = 5.0, least: float = CALM) -> dict[str, Any]:
     """`least`: part of what is served in calm that the first roll has to serve; a short run's few tries scatter."""
     at_once = max(1, size // 3)
-    fleet = Fleet(size, seed, SERVERS, more=f"[drains]\nlimit = {limit}\nat_once = {at_once}\nspread = 2\n", rate=RATE,
-                  mean=MEAN)
+    fleet = Fleet(
+        size, seed, SERVERS, more=f"[drains]\nlimit = {limit}\nat_once = {at_once}\nspread = 2\n", rate=RATE, mean=MEAN
+    )
     wrong, rng = fleet.wrong, random.Random(seed)
     bounded = [Bounded(server.listener, limit) for server in fleet.servers]
     fleet.rolling, fleet.wave = False, set()  # type: ignore[attr-defined]
@@ -125,6 +133,7 @@
         """Served, of the tries that ended since."""
         ended = [one for one in fleet.load.tries[since:] if one.ended]
         return sum(one.status == 200 for one in ended) / max(1, len(ended))
+
     try:
         for one in fleet.processes:
             one.start()
@@ -167,11 +176,22 @@
                 wrong.append(f"roll {number} served {part:.3f}, in calm {served:.3f}")
         if at_once >= 3 and took and took[0] > TIME * alone:
             wrong.append(f"a roll took {took[0]:.1f} s, one at a time {alone:.1f}")
-        return {"seed": seed, "instances": size, "limit": limit, "waves": len(found), "rollsS": [
-            round(one, 1) for one in took], "oneAtATimeS": round(alone, 1), "servedCalm": round(served, 3),
-                "servedInRolls": [round(one, 3) for one in shares], "mostAtAServer": [one.most for one in bounded],
-                "beyond": sum(one.beyond for one in bounded), "killed": len(fleet.killed),
-                "tries": len(fleet.load.tries), "lost": len(lost), "wrong": wrong}
+        return {
+            "seed": seed,
+            "instances": size,
+            "limit": limit,
+            "waves": len(found),
+            "rollsS": [round(one, 1) for one in took],
+            "oneAtATimeS": round(alone, 1),
+            "servedCalm": round(served, 3),
+            "servedInRolls": [round(one, 3) for one in shares],
+            "mostAtAServer": [one.most for one in bounded],
+            "beyond": sum(one.beyond for one in bounded),
+            "killed": len(fleet.killed),
+            "tries": len(fleet.load.tries),
+            "lost": len(lost),
+            "wrong": wrong,
+        }
     finally:
         fleet.close(keep=bool(wrong))
 
@@ -180,10 +200,11 @@
     """Least time over all divisions into waves, as an integer programme: x[i, w] one goes in w, y[w] how long w is."""
     import numpy as np
     from scipy.optimize import Bounds, LinearConstraint, milp
+
     count = len(rows)
     size = count * count + count  # x by row and wave, then y
     cost = np.zeros(size)
-    cost[count * count:] = 1.0
+    cost[count * count :] = 1.0
     parts, least, most = [], [], []
 
     def add(terms: dict[int, float], low: float, high: float) -> None:
@@ -193,6 +214,7 @@
         parts.append(row)
         least.append(low)
         most.append(high)
+
     for n in range(count):
         add({n * count + w: 1.0 for w in range(count)}, 1.0, 1.0)
         for w in range(count):
@@ -208,11 +230,16 @@
             if len(members) == spread:
                 add({n * count + w: 1.0 for n in members}, 0.0, spread - 1)
     whole = np.ones(size)
-    whole[count * count:] = 0
+    whole[count * count :] = 0
     upper = np.ones(size)
-    upper[count * count:] = max(one.takes for one in rows)
-    found = milp(cost, constraints=LinearConstraint(np.array(parts), least, most), integrality=whole,
-                 bounds=Bounds(np.zeros(size), upper), options={"time_limit": 10.0})
+    upper[count * count :] = max(one.takes for one in rows)
+    found = milp(
+        cost,
+        constraints=LinearConstraint(np.array(parts), least, most),
+        integrality=whole,
+        bounds=Bounds(np.zeros(size), upper),
+        options={"time_limit": 10.0},
+    )
     return float(found.fun)
 
 
@@ -223,8 +250,12 @@
         rows = [Ingress(n, rng.choice("abc"), rng.choice((1.0, 1.0, 2.0, 5.0))) for n in range(count)]
         rules = Rules(rng.randrange(1, 4), rng.randrange(1, 3), rng.randrange(2, 4), count)
         ratios.append(lasts(waves(rows, rules)) / optimum(rows, rules))
-    return {"cases": cases, "optimal": sum(ratio < 1.001 for ratio in ratios), "mean": round(
-        sum(ratios) / cases, 3), "worst": round(max(ratios), 3)}
+    return {
+        "cases": cases,
+        "optimal": sum(ratio < 1.001 for ratio in ratios),
+        "mean": round(sum(ratios) / cases, 3),
+        "worst": round(max(ratios), 3),
+    }
 
 
 def main() -> int:
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -51,8 +51,17 @@
         self.rate = A_DAY / 86400 * told.factor / MACHINES  # restarts of one machine a second
         self.wrong: list[str] = []
         self.times: dict[str, Any] = {"agreedToAll": [], "deathKnown": []}
-        self.world = World(told.hollow, told.real, told.seed, told.servers, tuple(told.parts.split(",")), told.tries,
-                           told.voters, told.hollow_servers, told.profile)
+        self.world = World(
+            told.hollow,
+            told.real,
+            told.seed,
+            told.servers,
+            tuple(told.parts.split(",")),
+            told.tries,
+            told.voters,
+            told.hollow_servers,
+            told.profile,
+        )
         self.restarts, self.restarting = 0, False
 
     def step(self, what: str, call: Callable[[], Any]) -> Any:
@@ -78,9 +87,13 @@
         reals = world.reals()
         took = [row for state in world.states() for row in state["took"]]
         self.step("lists", lambda: world.until(lambda: all(one.whole_after for one in reals), SOON, "real lists"))
-        self.times.update(readyHollow=spread(row[0] for row in took), listWholeHollow=spread(row[1] for row in took),
-                          readyReal=spread(one.ready_after for one in reals),
-                          listWholeReal=spread(one.whole_after for one in reals), membersWhole=whole)
+        self.times.update(
+            readyHollow=spread(row[0] for row in took),
+            listWholeHollow=spread(row[1] for row in took),
+            readyReal=spread(one.ready_after for one in reals),
+            listWholeReal=spread(one.whole_after for one in reals),
+            membersWhole=whole,
+        )
         for host in world.hosts:
             host.ask("settle")
         world.turn(told.rest)  # what the start left to be told
@@ -105,17 +118,34 @@
         self.step("clients", lambda: world.until(lambda: not world.load.out, 12.0, "clients have their answers"))
         tries = world.load.tries
         served = sum(one.status == 200 for one in tries)
-        return {"hollow": told.hollow, "real": told.real, "voters": told.voters, "servers": told.servers,
-                "hollowServers": told.hollow_servers or told.servers,
-                "seed": told.seed, "parts": told.parts, "factor": told.factor, "tries": told.tries,
-                "machine": {"cores": os.cpu_count(), "loadBefore": round(load, 2),
-                            "loadAfter": round(os.getloadavg()[0], 2)},
-                "startS": {name: round(value, 2) for name, value in started.items()}, "times": self.times,
-                "calm": calm, "loaded": loaded, "trouble": trouble, "restartsOfIngresses": self.restarts,
-                "clients": {"tries": len(tries), "served": served},
-                "limits": limits(calm, loaded, calm["bare"]) if told.real else [],
-                "folder": str(world.folder), "processes": len(world.pids()) + 1,
-                "mostMb": round(world.most_mb), "wrong": self.wrong}
+        return {
+            "hollow": told.hollow,
+            "real": told.real,
+            "voters": told.voters,
+            "servers": told.servers,
+            "hollowServers": told.hollow_servers or told.servers,
+            "seed": told.seed,
+            "parts": told.parts,
+            "factor": told.factor,
+            "tries": told.tries,
+            "machine": {
+                "cores": os.cpu_count(),
+                "loadBefore": round(load, 2),
+                "loadAfter": round(os.getloadavg()[0], 2),
+            },
+            "startS": {name: round(value, 2) for name, value in started.items()},
+            "times": self.times,
+            "calm": calm,
+            "loaded": loaded,
+            "trouble": trouble,
+            "restartsOfIngresses": self.restarts,
+            "clients": {"tries": len(tries), "served": served},
+            "limits": limits(calm, loaded, calm["bare"]) if told.real else [],
+            "folder": str(world.folder),
+            "processes": len(world.pids()) + 1,
+            "mostMb": round(world.most_mb),
+            "wrong": self.wrong,
+        }
 
     def _loaded(self, seconds: float) -> None:
         """Traffic, and in it a change agreed and a death, one after the other, and ingresses that restart."""
@@ -155,9 +185,9 @@
             found.update(asked.ask("agreed"))
             if not found.get("index"):
                 return False
-            found["all"] = [when for host in world.hosts
-                            for when in host.ask("agreed", index=found["index"])["times"]]
+            found["all"] = [when for host in world.hosts for when in host.ask("agreed", index=found["index"])["times"]]
             return len(found["all"]) >= self.told.hollow
+
         try:
             world.until(known, KNOWN, "a change at all hollow ones")
         finally:
@@ -178,14 +208,19 @@
             world.turn(0.1)
             found[:] = [when for host in world.hosts for when in host.ask("deaths")[name] if when >= killed]
             return len(found) >= self.told.hollow - 1
+
         try:
             world.until(known, patience, f"the death of {name} at all hollow ones")
             world.until(lambda: all(one.dead(name) for one in world.reals()), 5.0, "and at real ones")
         finally:
-            self.times["deathKnown"].append({
-                **spread(when - killed for when in found),
-                "real": spread(when - killed for one in world.reals() for when in one.dead(name)[-1:]
-                                 if when >= killed)})
+            self.times["deathKnown"].append(
+                {
+                    **spread(when - killed for when in found),
+                    "real": spread(
+                        when - killed for one in world.reals() for when in one.dead(name)[-1:] if when >= killed
+                    ),
+                }
+            )
             world.hosts[-1].ask("start", names=[name])
             world.hosts[-1].ask("traffic", on=True)
             self.restarting = True
@@ -205,53 +240,75 @@
             link.ask("cut", region="r2", on=False)
         back = self.step("a region back", lambda: world.until(world.whole, told.patience, world.far))
         healed = world.counts()
-        found["cut"] = {"seconds": told.cut, "wholeAfterS": back, "during": window(first, cut, kinds, told.hollow),
-                        "after": window(cut, healed, kinds, told.hollow)}
+        found["cut"] = {
+            "seconds": told.cut,
+            "wholeAfterS": back,
+            "during": window(first, cut, kinds, told.hollow),
+            "after": window(cut, healed, kinds, told.hollow),
+        }
         self.say(f"the region is back after {back}")
         tenth = {host: world.names[host.name][::10] for host in world.hosts}
         for host, names in tenth.items():
             host.tell("kill", names=names, again=True)
         for host in tenth:
             host.answer("kill", SOON)
-        ready = self.step("a tenth ready", lambda: world.until(
-            lambda: not any(row["waits"] for row in world.states()), told.patience, "a tenth is ready"))
+        ready = self.step(
+            "a tenth ready",
+            lambda: world.until(
+                lambda: not any(row["waits"] for row in world.states()), told.patience, "a tenth is ready"
+            ),
+        )
         took = [row for state in world.states() for row in state["took"]]
         again = self.step("a tenth back", lambda: world.until(world.whole, told.patience, world.far))
         last = world.counts()
-        found["tenth"] = {"killed": sum(len(names) for names in tenth.values()), "readyS": ready,
-                          "wholeAfterS": again, "ready": spread(row[0] for row in took),
-                          "listWhole": spread(row[1] for row in took),
-                          "after": window(healed, last, kinds, told.hollow)}
+        found["tenth"] = {
+            "killed": sum(len(names) for names in tenth.values()),
+            "readyS": ready,
+            "wholeAfterS": again,
+            "ready": spread(row[0] for row in took),
+            "listWhole": spread(row[1] for row in took),
+            "after": window(healed, last, kinds, told.hollow),
+        }
         self.say(f"the tenth is back after {again}")
         return found
 
 
 def table(report: dict[str, Any]) -> str:
-    lines = [f"{report['hollow']} hollow, {report['real']} real, {report['voters']} voters, {report['servers']} "
-             f"servers, seed {report['seed']}; {report['processes']} processes, {report['mostMb']} MB at most"]
+    lines = [
+        f"{report['hollow']} hollow, {report['real']} real, {report['voters']} voters, {report['servers']} "
+        f"servers, seed {report['seed']}; {report['processes']} processes, {report['mostMb']} MB at most"
+    ]
     for phase in ("calm", "loaded"):
         part = report[phase]
         lines.append(f"\n{phase}, {part['seconds']} s          CPU %   MB      hold ms   control bytes/s")
         for kind in ("hollow", "real", "voter", "bare"):
             if kind in part:
                 row = part[kind]
-                lines.append(f"  {kind:12} x {row['processes']:4}   {row['cpuPercent']['median']:8.2f} "
-                             f"{row['residentMb']['median']:7.1f} {row['longestHoldMs']['most']:9.1f} "
-                             f"{row['controlBytesASecond']:12.0f}")
+                lines.append(
+                    f"  {kind:12} x {row['processes']:4}   {row['cpuPercent']['median']:8.2f} "
+                    f"{row['residentMb']['median']:7.1f} {row['longestHoldMs']['most']:9.1f} "
+                    f"{row['controlBytesASecond']:12.0f}"
+                )
                 for where in ("members", "discovery", "counter"):
                     for name, figures in row[where].items():
-                        lines.append(f"      {where:9} {name:14} " + "  ".join(
-                            f"{key} {value:g}" for key, value in sorted(figures.items())))
+                        lines.append(
+                            f"      {where:9} {name:14} "
+                            + "  ".join(f"{key} {value:g}" for key, value in sorted(figures.items()))
+                        )
         for kind in ("discovery", "counter", "links"):
             row = part[kind]
-            lines.append(f"  {kind:12}          {row['cpuPercent']:8.2f} {row['residentMb']:7.1f} "
-                         f"{row['longestHoldMs']:9.1f}   {row['aSecond']}")
+            lines.append(
+                f"  {kind:12}          {row['cpuPercent']:8.2f} {row['residentMb']:7.1f} "
+                f"{row['longestHoldMs']:9.1f}   {row['aSecond']}"
+            )
     lines.append(f"\ntimes, s: {json.dumps(report['times'])}")
     if report.get("trouble"):
         lines.append(f"trouble: {json.dumps(report['trouble'])[:400]}")
     for row in report.get("compared", []):
-        lines.append(f"  {row['kind']:24} {row['what']:12} real {row['real']:10g} hollow {row['hollow']:10g} "
-                     f"ratio {row['ratio']} {'' if row['near'] else 'few' if row['near'] is None else 'FAR'}")
+        lines.append(
+            f"  {row['kind']:24} {row['what']:12} real {row['real']:10g} hollow {row['hollow']:10g} "
+            f"ratio {row['ratio']} {'' if row['near'] else 'few' if row['near'] is None else 'FAR'}"
+        )
     lines += [f"LIMIT: {text}" for text in report["limits"]] + [f"WRONG: {text}" for text in report["wrong"]]
     return "\n".join(lines)
 
@@ -297,8 +354,11 @@
             run.wrong.append(f"{late} processes had to be killed after SIGTERM")
     if told.compare:
         report["compared"] = compared(report["loaded"])
-        report["wrong"] += [f"hollow is unlike real: {row['kind']} {row['what']}: {row['ratio']}"
-                            for row in report["compared"] if row["near"] is False]
+        report["wrong"] += [
+            f"hollow is unlike real: {row['kind']} {row['what']}: {row['ratio']}"
+            for row in report["compared"]
+            if row["near"] is False
+        ]
     return report
 
 
--- a/benchmarks/scale/child.py
+++ b/benchmarks/scale/child.py
@@ -79,6 +79,7 @@
             if number:
                 out.write(json.dumps([number, answer]).encode() + b"\n")
                 out.flush()
+
         out = os.fdopen(os.dup(1), "wb")
         os.dup2(2, 1)
         Lines(self.loop, 0, heard, self.loop.stop)
@@ -88,8 +89,9 @@
 class Child:
     """The run's end of it."""
 
-    def __init__(self, loop: Loop, folder: Path, kind: str, name: str, told: dict[str, Any],
-                 descriptors: tuple[int, ...] = ()) -> None:
+    def __init__(
+        self, loop: Loop, folder: Path, kind: str, name: str, told: dict[str, Any], descriptors: tuple[int, ...] = ()
+    ) -> None:
         self.loop, self.kind, self.name = loop, kind, name
         self.answers: dict[int, Any] = {}
         self.asked: deque[int] = deque()
@@ -100,8 +102,13 @@
         file.write_text(json.dumps(told))
         with open(self.errors, "wb") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "benchmarks.scale.roles", kind, str(file)], cwd=ROOT, stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE, stderr=errors, pass_fds=descriptors)
+                [sys.executable, "-m", "benchmarks.scale.roles", kind, str(file)],
+                cwd=ROOT,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=errors,
+                pass_fds=descriptors,
+            )
         assert self.process.stdout is not None
         Lines(loop, self.process.stdout.fileno(), self._heard, self._over)
 
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -23,8 +23,13 @@
     rows = sorted(values)
     if not rows:
         return {}
-    return {"least": round(rows[0], 3), "median": round(statistics.median(rows), 3),
-            "most99": round(rows[int(0.99 * (len(rows) - 1))], 3), "most": round(rows[-1], 3), "of": len(rows)}
+    return {
+        "least": round(rows[0], 3),
+        "median": round(statistics.median(rows), 3),
+        "most99": round(rows[int(0.99 * (len(rows) - 1))], 3),
+        "most": round(rows[-1], 3),
+        "of": len(rows),
+    }
 
 
 def messages(counts: Tally[str], seconds: float, processes: int) -> dict[str, dict[str, float]]:
@@ -60,13 +65,17 @@
 
     def row(kind: str, counts: Tally[str], cpu: list[float], memory: list[float], count: int) -> dict[str, Any]:
         made: dict[str, Any] = {
-            "processes": count, "members": messages(counts, seconds, count),
-            "discovery": asked(lists, kind, seconds, count), "counter": asked(adds, kind, seconds, count),
+            "processes": count,
+            "members": messages(counts, seconds, count),
+            "discovery": asked(lists, kind, seconds, count),
+            "counter": asked(adds, kind, seconds, count),
             "triesASecond": round(counts["messages"] / seconds / count, 2),
             "leaseCallsASecond": round(counts["lease_calls"] / seconds / count, 2),
-            "cpuPercent": spread(cpu), "residentMb": spread(memory),
-            "streamsFull": counts["members_streams_full"], "dropped": sum(
-                value for name, value in counts.items() if name.startswith("members_dropped_"))}
+            "cpuPercent": spread(cpu),
+            "residentMb": spread(memory),
+            "streamsFull": counts["members_streams_full"],
+            "dropped": sum(value for name, value in counts.items() if name.startswith("members_dropped_")),
+        }
         made["controlBytesASecond"] = total_bytes(made)
         return made
 
@@ -96,16 +105,20 @@
         found["hollow"]["longestHoldMs"] = {**spread(holds), "since": "window, one call of one ingress"}
     for name in ("discovery", "counter", "links"):
         counted, used, resident, longest = after[name]
-        found[name] = {"cpuPercent": round((used - before[name][1]) / seconds * 100, 2),
-                       "residentMb": round(resident, 1), "longestHoldMs": longest / 1000}
+        found[name] = {
+            "cpuPercent": round((used - before[name][1]) / seconds * 100, 2),
+            "residentMb": round(resident, 1),
+            "longestHoldMs": longest / 1000,
+        }
     for name, sums in (("discovery", lists), ("counter", adds)):
         out: dict[str, float] = {}
         for key, value in sums.items():
             kind = key.rpartition(" ")[2]
             out[kind] = out.get(kind, 0.0) + value / seconds
         found[name]["aSecond"] = {key: round(value, 2) for key, value in sorted(out.items())}
-    found["links"]["aSecond"] = {key: round(value / seconds, 1)
-                                 for key, value in delta(before["links"][0], after["links"][0]).items()}
+    found["links"]["aSecond"] = {
+        key: round(value / seconds, 1) for key, value in delta(before["links"][0], after["links"][0]).items()
+    }
     return found
 
 
@@ -133,10 +146,22 @@
             real, hollow = (part[group][where].get(kind, {}) for group in ("real", "hollow"))
             for way in sorted({*real, *hollow}):
                 a, b = real.get(way, 0.0), hollow.get(way, 0.0)
-                few = part["seconds"] * part["real"]["processes"] * max(
-                    value for name, value in {**hollow, **real}.items() if "essages" in name) < 400 if any(
-                    "essages" in name for name in {**hollow, **real}) else False
-                rows.append({"kind": f"{where} {kind}", "what": way, "real": a, "hollow": b,
-                             "ratio": round(b / a, 3) if a else None,
-                             "near": None if few else bool(a and abs(b / a - 1) <= NEAR)})
+                few = (
+                    part["seconds"]
+                    * part["real"]["processes"]
+                    * max(value for name, value in {**hollow, **real}.items() if "essages" in name)
+                    < 400
+                    if any("essages" in name for name in {**hollow, **real})
+                    else False
+                )
+                rows.append(
+                    {
+                        "kind": f"{where} {kind}",
+                        "what": way,
+                        "real": a,
+                        "hollow": b,
+                        "ratio": round(b / a, 3) if a else None,
+                        "near": None if few else bool(a and abs(b / a - 1) <= NEAR),
+                    }
+                )
     return rows
