--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -1,6 +1,6 @@
 """The processes of a scale run that are no daemons: hollow ingresses, links, discovery, counter.
 
-    python -m benchmarks.scale.roles KIND FILE          started by `world`, told by the file, asked by lines"""
+python -m benchmarks.scale.roles KIND FILE          started by `world`, told by the file, asked by lines"""
 
 from __future__ import annotations
 
@@ -54,10 +54,22 @@
 
     def _make(self, name: str) -> None:
         row = self.rows[name]
-        place = Place(**{**row["place"], "seeds": tuple(row["place"]["seeds"]),
-                         "voters": tuple(tuple(pair) for pair in row["place"]["voters"])})
-        one = Hollow(self.loop, place, row["config"], operator(place, self.told["parts"]),
-                     [Firm(**firm) for firm in row["firms"]], Silent(), self.rng.getrandbits(32))
+        place = Place(
+            **{
+                **row["place"],
+                "seeds": tuple(row["place"]["seeds"]),
+                "voters": tuple(tuple(pair) for pair in row["place"]["voters"]),
+            }
+        )
+        one = Hollow(
+            self.loop,
+            place,
+            row["config"],
+            operator(place, self.told["parts"]),
+            [Firm(**firm) for firm in row["firms"]],
+            Silent(),
+            self.rng.getrandbits(32),
+        )
         one.dead, one.applied = self._dead, lambda entry: self._applied(entry.index)
         self.there[name] = one
         self.waits[name] = time.monotonic()
@@ -103,11 +115,17 @@
     def ask_state(self) -> dict[str, Any]:
         members = [one.members for one in self.there.values()] or [0]
         indexes = [one.index for one in self.there.values()] or [0]
-        entered = [one.daemon.maintenance is None or bool(one.daemon.maintenance.clerk.entered)
-                   for one in self.there.values()]
-        return {"there": len(members), "waits": len(self.waits) + len(self.queue),
-                "members": [min(members), max(members)], "index": [min(indexes), max(indexes)],
-                "entered": sum(entered), "took": self.took}
+        entered = [
+            one.daemon.maintenance is None or bool(one.daemon.maintenance.clerk.entered) for one in self.there.values()
+        ]
+        return {
+            "there": len(members),
+            "waits": len(self.waits) + len(self.queue),
+            "members": [min(members), max(members)],
+            "index": [min(indexes), max(indexes)],
+            "entered": sum(entered),
+            "took": self.took,
+        }
 
     def ask_counts(self) -> dict[str, Any]:
         counts = Tally(self.gone)
@@ -117,8 +135,10 @@
             busy += one.berth.busy
         del counts["longest_turn_us"]
         holds = sorted(one.daemon.metrics.counts.pop("longest_turn_us", 0) for one in self.there.values())
-        tries = [sum(one.traffic.tries for one in self.there.values()),
-                 sum(one.traffic.served for one in self.there.values())]
+        tries = [
+            sum(one.traffic.tries for one in self.there.values()),
+            sum(one.traffic.served for one in self.there.values()),
+        ]
         return {"counts": counts, "holds": holds, "busy": busy, "tries": tries}
 
     def ask_traffic(self, on: bool) -> bool:
@@ -157,6 +177,7 @@
             self._bury(name)
             self._make(name)
             self.there[name].traffic.start()
+
         one.ended = over
         one.end()
         return True
@@ -173,6 +194,7 @@
 
         def done(outcome: Any) -> None:
             self.agreed.update(answered=time.monotonic(), index=outcome.index if outcome is not None else 0)
+
         agreement = one.daemon.agreement
         agreement.agreement.propose(self.loop.clock(), "scale", b"", 10.0, done)
         agreement.said()
@@ -199,15 +221,15 @@
         for row in told["relays"]:
             self.relays.take(row["name"], tuple(row["listens"]), row["datagrams"], row["listener"])
         self.relays.links.sites = told["sites"]
-        self.usual = {(a, b): Way(delay=delay, spread=spread, loss=loss)
-                      for a, b, delay, spread, loss in told["ways"]}
+        self.usual = {(a, b): Way(delay=delay, spread=spread, loss=loss) for a, b, delay, spread, loss in told["ways"]}
         self.relays.links.ways = dict(self.usual)
 
     def ask_cut(self, region: str, on: bool) -> bool:
         """Nothing goes between that region and the others."""
         self.relays.links.ways = {
             (a, b): Way(cut=True) if on and (a.startswith(region) != b.startswith(region)) else way
-            for (a, b), way in self.usual.items()}
+            for (a, b), way in self.usual.items()
+        }
         return on
 
     def ask_counts(self) -> dict[str, int]:
@@ -240,8 +262,15 @@
             at = told["at"][number % len(told["at"])]
             zone = told["zones"][number % len(told["zones"])]
             name = f"sim-{number:05d}"
-            self.rows[name] = {"instanceId": name, "hostPort": at, "zone": zone, "cell": number // 48,
-                               "weight": 1.0, "lifecycle": "SERVING", "startedAtMs": 1764000000000 + number}
+            self.rows[name] = {
+                "instanceId": name,
+                "hostPort": at,
+                "zone": zone,
+                "cell": number // 48,
+                "weight": 1.0,
+                "lifecycle": "SERVING",
+                "startedAtMs": 1764000000000 + number,
+            }
         self.up = list(self.rows)
         self.encoded = {name: json.dumps(row) for name, row in self.rows.items()}
         self.whole: dict[int, tuple[int, bytes]] = {}  # by how many are listed
@@ -259,8 +288,10 @@
         most = self.told["listed"][group]
         if self.whole.get(most, (0,))[0] != self.generation:
             rows = ",".join(self.encoded[name] for name in self.up[:most] if name in self.encoded)
-            self.whole[most] = self.generation, (f'{{"generation": {self.generation}, "reset": true, "instances": '
-                                                 f'[{rows}]}}').encode()
+            self.whole[most] = (
+                self.generation,
+                (f'{{"generation": {self.generation}, "reset": true, "instances": [{rows}]}}').encode(),
+            )
         return self.whole[most][1]
 
     def _count(self, group: str, kind: str, size: int) -> None:
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -76,8 +76,21 @@
         env = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "brackenpulley", "serve", "--config", str(folder / "config.json"),
-                 "--operator", str(folder / "operator.toml")], cwd=ROOT, env=env, stdout=log, stderr=log)
+                [
+                    sys.executable,
+                    "-m",
+                    "brackenpulley",
+                    "serve",
+                    "--config",
+                    str(folder / "config.json"),
+                    "--operator",
+                    str(folder / "operator.toml"),
+                ],
+                cwd=ROOT,
+                env=env,
+                stdout=log,
+                stderr=log,
+            )
         self.began = time.monotonic()
         self._ready()
 
@@ -95,6 +108,7 @@
                 Call(self.world.loop, self.control, "GET", "/v1/status", b"", 5.0, heard)
             elif self.world.going:
                 self.world.loop.call_in(0.2, self._ready)
+
         Call(self.world.loop, self.control, "GET", "/v1/ready", b"", 2.0, ready)
 
     def ask(self, path: str) -> Any:
@@ -118,8 +132,19 @@
 
 
 class World:
-    def __init__(self, hollow: int, real: int, seed: int, servers: int, parts: tuple[str, ...], rate: float,
-                 voters: int = 3, hollow_servers: int = 0, profile: str = "", a_host: int = A_HOST) -> None:
+    def __init__(
+        self,
+        hollow: int,
+        real: int,
+        seed: int,
+        servers: int,
+        parts: tuple[str, ...],
+        rate: float,
+        voters: int = 3,
+        hollow_servers: int = 0,
+        profile: str = "",
+        a_host: int = A_HOST,
+    ) -> None:
         """`rate`: tries a second at each ingress; `hollow_servers`: so many of the list are told to hollow ones, 0 =
         all; `profile`: a file for what the first host of hollow ones spends its time with."""
         self.hollow, self.seed, self.servers, self.parts, self.rate = hollow, seed, servers, parts, rate
@@ -135,39 +160,74 @@
         (self.folder / "keys").chmod(0o600)
         self.sims = [SimServer(self.loop, f"sim-{n}", random.Random(seed + n)) for n in range(SIMS)]
         self.alone = Discovery(self.loop, self.sims)
-        self.discovery = self._child("discovery", "discovery", {
-            "seed": seed, "listed": self.listed, "at": [sim.listener.text for sim in self.sims], "groups": GROUPS,
-            "zones": [site(n) for n in range(ZONES)]})
+        self.discovery = self._child(
+            "discovery",
+            "discovery",
+            {
+                "seed": seed,
+                "listed": self.listed,
+                "at": [sim.listener.text for sim in self.sims],
+                "groups": GROUPS,
+                "zones": [site(n) for n in range(ZONES)],
+            },
+        )
         self.counter = self._child("counter", "counter", {"groups": GROUPS})
         self.lists, self.adds = self.discovery.ask("at"), self.counter.ask("at")
         names = [f"n{n}" for n in range(real)] + [f"v{n}" for n in range(voters)] + [f"h{n}" for n in range(hollow)]
         self.links = self._links(names, max(1, -(-len(names) // A_LINK)))
-        chosen = tuple((name, self.advertised[name]) for name in names[real:real + voters])
-        places = [Place(name, number, str(self.folder / name), self.listens[name], self.advertised[name],
-                        tuple(at for _, at in chosen), str(self.folder / "keys"), chosen)
-                  for number, name in enumerate(names)]
+        chosen = tuple((name, self.advertised[name]) for name in names[real : real + voters])
+        places = [
+            Place(
+                name,
+                number,
+                str(self.folder / name),
+                self.listens[name],
+                self.advertised[name],
+                tuple(at for _, at in chosen),
+                str(self.folder / "keys"),
+                chosen,
+            )
+            for number, name in enumerate(names)
+        ]
         bare = Place("bare", 0, str(self.folder / "bare"), f"127.{self.first}.0.1:0", "", (), "", ())
-        for kind, place in [("real", p) for p in places[:real]] + [("voter", p) for p in places[real:real + voters]] + [
-                ("bare", bare)]:
+        for kind, place in (
+            [("real", p) for p in places[:real]]
+            + [("voter", p) for p in places[real : real + voters]]
+            + [("bare", bare)]
+        ):
             self.daemons.append(Real(self, kind, place))
         hosts = max(1, -(-hollow // a_host))
         self.hosts: list[Child] = []
         self.names: dict[str, list[str]] = {}
         for number in range(hosts):
-            here = places[real + voters + number::hosts] if hollow else []
+            here = places[real + voters + number :: hosts] if hollow else []
             self._host(number, here)
-        self.load = Load(self.loop, [one.at for one in self.reals()], [
-            Customer(firm.key, firm.plan, firm.rate * firm.spread, firm.spread, firm.first)
-            for firm in self._firms(0, real)], self.rng)
+        self.load = Load(
+            self.loop,
+            [one.at for one in self.reals()],
+            [
+                Customer(firm.key, firm.plan, firm.rate * firm.spread, firm.spread, firm.first)
+                for firm in self._firms(0, real)
+            ],
+            self.rng,
+        )
         self.load.numbers = self.total
 
     # Where all stand.
 
     def _firms(self, base: int, count: int) -> list[Firm]:
         """Sets of SPREAD ingresses side by side, FIRMS firms each."""
-        return [Firm((base + first) * 1000 + n + 1, ("school", "county")[n % 2], self.rate / FIRMS,
-                     min(SPREAD, count - first), base + first)
-                for first in range(0, count, SPREAD) for n in range(FIRMS)]
+        return [
+            Firm(
+                (base + first) * 1000 + n + 1,
+                ("school", "county")[n % 2],
+                self.rate / FIRMS,
+                min(SPREAD, count - first),
+                base + first,
+            )
+            for first in range(0, count, SPREAD)
+            for n in range(FIRMS)
+        ]
 
     def _child(self, kind: str, name: str, told: dict[str, Any], descriptors: tuple[int, ...] = ()) -> Child:
         child = Child(self.loop, self.folder, kind, name, told, descriptors)
@@ -176,23 +236,43 @@
 
     def _host(self, number: int, here: list[Place]) -> None:
         firms = self._firms(self.total - self.hollow, self.hollow)
-        sets = {place.name: [asdict(firm) for firm in firms if firm.first <= place.number < firm.first + firm.spread]
-                for place in here}
-        rows = [{"place": asdict(place), "config": self.config(place, "hollow", "127.0.0.1:0"),
-                 "firms": sets[place.name]} for place in here]
+        sets = {
+            place.name: [asdict(firm) for firm in firms if firm.first <= place.number < firm.first + firm.spread]
+            for place in here
+        }
+        rows = [
+            {"place": asdict(place), "config": self.config(place, "hollow", "127.0.0.1:0"), "firms": sets[place.name]}
+            for place in here
+        ]
         for place in here:
             Path(place.folder).mkdir()
         name = f"host{number}"
         self.names[name] = [place.name for place in here]
-        self.hosts.append(self._child("hollows", name, {
-            "seed": self.seed * 1000 + number, "hollows": rows, "parts": self.parts, "servers": self.listed["hollow"],
-            "at_once": AT_ONCE, "profile": self.profile if not number else ""}))
+        self.hosts.append(
+            self._child(
+                "hollows",
+                name,
+                {
+                    "seed": self.seed * 1000 + number,
+                    "hollows": rows,
+                    "parts": self.parts,
+                    "servers": self.listed["hollow"],
+                    "at_once": AT_ONCE,
+                    "profile": self.profile if not number else "",
+                },
+            )
+        )
 
     def config(self, place: Place, kind: str, listen: str) -> dict[str, Any]:
         group = kind if kind in GROUPS else "real"
-        return {"name": place.name, "listen": listen, "counter": self.adds[group],
-                "discovery": self.alone.listener.text if kind == "bare" else self.lists[group],
-                "seed": f"{self.seed * 10000 + place.number:x}", "settings": settings(self.total, place.number)}
+        return {
+            "name": place.name,
+            "listen": listen,
+            "counter": self.adds[group],
+            "discovery": self.alone.listener.text if kind == "bare" else self.lists[group],
+            "seed": f"{self.seed * 10000 + place.number:x}",
+            "settings": settings(self.total, place.number),
+        }
 
     def _links(self, names: list[str], count: int) -> list[Child]:
         """Relays before all of them, whose sockets are opened here and handed on."""
@@ -216,11 +296,23 @@
                 listener, datagrams = made[number]
                 mine = number % count == part
                 host, _, port = self.listens[name].partition(":")
-                rows.append({"name": name, "listens": [host, int(port)], "datagrams": datagrams.fileno(),
-                             "listener": listener.fileno() if mine else None})
+                rows.append(
+                    {
+                        "name": name,
+                        "listens": [host, int(port)],
+                        "datagrams": datagrams.fileno(),
+                        "listener": listener.fileno() if mine else None,
+                    }
+                )
                 handed += [datagrams.fileno(), *([listener.fileno()] if mine else [])]
-            children.append(self._child("links", f"links{part}", {
-                "seed": self.seed + part, "relays": rows, "sites": sites, "ways": ways}, tuple(handed)))
+            children.append(
+                self._child(
+                    "links",
+                    f"links{part}",
+                    {"seed": self.seed + part, "relays": rows, "sites": sites, "ways": ways},
+                    tuple(handed),
+                )
+            )
         for child in children:
             child.ask("counts")
         for listener, datagrams in made:
@@ -282,8 +374,13 @@
             for one in self.daemons:
                 if one.kind in kinds:
                     one.start()
-            took[kinds[0]] = self.until(lambda kinds=kinds: all(  # type: ignore[misc]
-                one.ready_after for one in self.daemons if one.kind in kinds), patience, f"{kinds} are ready")
+            took[kinds[0]] = self.until(
+                lambda kinds=kinds: all(  # type: ignore[misc]
+                    one.ready_after for one in self.daemons if one.kind in kinds
+                ),
+                patience,
+                f"{kinds} are ready",
+            )
         began = time.monotonic()
         for host in self.hosts:
             host.ask("start", names=self.names[host.name])
@@ -295,6 +392,7 @@
                 looked = time.monotonic()
                 self.watch_memory()
             return not any(row["waits"] for row in self.states())
+
         self.until(ready, patience, "hollow ones are ready")
         took["hollow"] = time.monotonic() - began
         return took
@@ -318,8 +416,12 @@
         rows = self.states()
         there = self.total - missing
         indexes = {index for row in rows for index in row["index"]}
-        return all(row["members"] == [there, there] and row["entered"] == row["there"] and not row["waits"]
-                   for row in rows) and len(indexes) <= 1
+        return (
+            all(
+                row["members"] == [there, there] and row["entered"] == row["there"] and not row["waits"] for row in rows
+            )
+            and len(indexes) <= 1
+        )
 
     # What was counted.
 
@@ -338,8 +440,12 @@
             for child in children:
                 sums.update(child.ask("counts"))
             figures = [used(child.process.pid) for child in children]
-            found[name] = [sums, sum(row[0] for row in figures), sum(row[1] for row in figures),
-                           max(child.ask("longest") for child in children)]
+            found[name] = [
+                sums,
+                sum(row[0] for row in figures),
+                sum(row[1] for row in figures),
+                max(child.ask("longest") for child in children),
+            ]
         self.watch_memory()
         return found
 
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -21,10 +21,17 @@
 from brackenpulley.policy import interface as i
 from brackenpulley.policy.brain import Gateway
 
-CLASSES = [("load-sim", 2.9, 4.0, 2.0, "safe"), ("save-progress", 2.9, 7.5, 2.0, "safe"),
-           ("submit-result", 2.9, 7.5, 6.0, "keyed")]
-PLANS = [("starter", 1.7, 16.0, 0.5, 0.6, 0.25), ("school", 2.9, 16.0, 0.8, 1.2, 0.34),
-         ("county", 8.6, 33.0, 1.2, 0.5, 0.23), ("national", 18.0, 23.0, 1.6, 0.0, 0.18)]
+CLASSES = [
+    ("load-sim", 2.9, 4.0, 2.0, "safe"),
+    ("save-progress", 2.9, 7.5, 2.0, "safe"),
+    ("submit-result", 2.9, 7.5, 6.0, "keyed"),
+]
+PLANS = [
+    ("starter", 1.7, 16.0, 0.5, 0.6, 0.25),
+    ("school", 2.9, 16.0, 0.8, 1.2, 0.34),
+    ("county", 8.6, 33.0, 1.2, 0.5, 0.23),
+    ("national", 18.0, 23.0, 1.6, 0.0, 0.18),
+]
 WORK, UNIT, CORES, WAY = 0.33, 0.157, 3, 0.001  # s of work: a request on average, a unit; cores; s one way
 SLOTS, WAITING = 18, 45  # a server's slots and its waiting room
 
@@ -82,23 +89,59 @@
 
 
 class World:
-    def __init__(self, seed: int, gateways: int = 40, servers: int = 60, load: float = 0.55, seconds: float = 25.0,
-                 counter: float = 220.0, trouble: str = "") -> None:
+    def __init__(
+        self,
+        seed: int,
+        gateways: int = 40,
+        servers: int = 60,
+        load: float = 0.55,
+        seconds: float = 25.0,
+        counter: float = 220.0,
+        trouble: str = "",
+    ) -> None:
         self.rng, self.now, self.seconds = random.Random(seed), 1000.0 + seed % 17, seconds
         self.start, self.serial = self.now, 0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.count: Counter[str] = Counter()
         self.worth: Counter[str] = Counter()
         plans = [i.PlanSpec(n, r, b, 0, p, 0.0, o) for n, r, b, p, o, _ in PLANS]
-        classes = [i.ClassSpec(n, a, d, w, e, "cell" if e == "keyed" else "all", 4.0 if e == "keyed" else 0.0)
-                   for n, a, d, w, e in CLASSES]
+        classes = [
+            i.ClassSpec(n, a, d, w, e, "cell" if e == "keyed" else "all", 4.0 if e == "keyed" else 0.0)
+            for n, a, d, w, e in CLASSES
+        ]
         self.classes = classes
         self.servers = {f"s{n}": Server(f"s{n}", "abc"[n % 3]) for n in range(servers)}
-        self.gateways = [Gateway(i.Settings(
-            classes, plans, me=n, gateways=gateways, zone="abc"[n % 3], tick=0.002, max_attempts=6, cancel=True,
-            counter=True, retry_after=True, max_retry_after=2.0, drain_grace=1.0, cold_from=0.17, cold_time=18.0,
-            fall_multiple=2.5, fall_time=3.0, counter_timeout=0.03, meter_period=2.0, most_units=8, settles=True,
-            report_fields=["latency_ms"], report_via="answers"), seed * 1000 + n, self.now) for n in range(gateways)]
+        self.gateways = [
+            Gateway(
+                i.Settings(
+                    classes,
+                    plans,
+                    me=n,
+                    gateways=gateways,
+                    zone="abc"[n % 3],
+                    tick=0.002,
+                    max_attempts=6,
+                    cancel=True,
+                    counter=True,
+                    retry_after=True,
+                    max_retry_after=2.0,
+                    drain_grace=1.0,
+                    cold_from=0.17,
+                    cold_time=18.0,
+                    fall_multiple=2.5,
+                    fall_time=3.0,
+                    counter_timeout=0.03,
+                    meter_period=2.0,
+                    most_units=8,
+                    settles=True,
+                    report_fields=["latency_ms"],
+                    report_via="answers",
+                ),
+                seed * 1000 + n,
+                self.now,
+            )
+            for n in range(gateways)
+        ]
         self.held: list[dict[str, Ask]] = [{} for _ in range(gateways)]
         self.out: dict[tuple[int, str], tuple[Server, int, float]] = {}
         self.parts = [0.0, 0.0]  # when each part of the counter is free
@@ -115,8 +158,21 @@
                 skew = 0.9
                 weights = [1 / (k + 1) ** skew for k in range(spread)]
                 self.rng.shuffle(weights)
-                self.firms.append(Firm(self.rng.getrandbits(32), plan, kind, use, spread, self.rng.randrange(gateways),
-                                       weights, plan.burst, self.now, plan.burst, self.now))
+                self.firms.append(
+                    Firm(
+                        self.rng.getrandbits(32),
+                        plan,
+                        kind,
+                        use,
+                        spread,
+                        self.rng.randrange(gateways),
+                        weights,
+                        plan.burst,
+                        self.now,
+                        plan.burst,
+                        self.now,
+                    )
+                )
         for n in range(gateways):
             self.tell(n, i.ServerList("full", [self.entry(s) for s in self.servers.values()]))
         for firm in self.firms:
@@ -183,8 +239,19 @@
         ask.tries = 0
         self.held[ask.gateway][rid] = ask
         self.count["tries"] += 1
-        self.tell(ask.gateway, i.Request(rid, self.classes[ask.cls].name, ask.firm.plan.name, ask.firm.key,
-                                         ask.until - self.now, ask.units, ask.firm.spread, ask.firm.first))
+        self.tell(
+            ask.gateway,
+            i.Request(
+                rid,
+                self.classes[ask.cls].name,
+                ask.firm.plan.name,
+                ask.firm.key,
+                ask.until - self.now,
+                ask.units,
+                ask.firm.spread,
+                ask.firm.first,
+            ),
+        )
 
     # The module's actions
 
@@ -314,6 +381,7 @@
             total = self.totals[a.name]
             if answer - sent <= PATIENCE:
                 self.at(answer, lambda: self.tell(n, i.Counted(a.name, "ok", total, answer - sent)))
+
         self.at(done, add)
         if answer - sent > PATIENCE:
             self.count["calls late"] += 1
@@ -351,6 +419,7 @@
             for s in gone:
                 s.dead, s.state, s.started, s.work, s.queue, s.conns = False, "up", self.now, 0, [], set()
             self.list_all(gone)
+
         self.at(self.now + 4, told)
         self.at(self.now + 10, back)
 
@@ -360,9 +429,14 @@
         whole = w["served"] / w["asked"]
         price = w["over"] / w["asked"]
         counter = 0.02 * c["calls"] / c["asked"]
-        return {"g": round(0.75 * whole + 0.25 * min(plans.values()) - price - counter, 4), "whole": round(whole, 4),
-                "over": round(price, 4), "counter": round(counter, 4), "plans": plans,
-                "counts": dict(sorted(c.items()))}
+        return {
+            "g": round(0.75 * whole + 0.25 * min(plans.values()) - price - counter, 4),
+            "whole": round(whole, 4),
+            "over": round(price, 4),
+            "counter": round(counter, 4),
+            "plans": plans,
+            "counts": dict(sorted(c.items())),
+        }
 
 
 PATIENCE = 0.03
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -103,19 +103,31 @@
         raw = settings(fleet.size, self.number)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
-        (self.folder / "config.json").write_text(json.dumps({
-            "name": self.name, "listen": f"{self.at[0]}:{self.at[1]}", "discovery": fleet.discovery.listener.text,
-            "counter": fleet.counter.listener.text, "settings": raw}))
+        (self.folder / "config.json").write_text(
+            json.dumps(
+                {
+                    "name": self.name,
+                    "listen": f"{self.at[0]}:{self.at[1]}",
+                    "discovery": fleet.discovery.listener.text,
+                    "counter": fleet.counter.listener.text,
+                    "settings": raw,
+                }
+            )
+        )
         seeds = [one.address for one in fleet.processes[:3]]
-        voters = "\n".join(f'{one.name} = "{one.address}"' for one in fleet.processes[:fleet.voters])
+        voters = "\n".join(f'{one.name} = "{one.address}"' for one in fleet.processes[: fleet.voters])
         disk = f'path = "{self.folder}/log"\n' if self.number < fleet.voters else ""
-        agreed = (f'[consensus]\n{disk}[consensus.voters]\n{voters}\n[maintenance]\nout = {OUT}\nzone = {ZONE}\n'
-                  f'reserve = 0.0\nsettle_s = {SETTLE}\nlate_s = 120.0\n')
+        agreed = (
+            f"[consensus]\n{disk}[consensus.voters]\n{voters}\n[maintenance]\nout = {OUT}\nzone = {ZONE}\n"
+            f"reserve = 0.0\nsettle_s = {SETTLE}\nlate_s = 120.0\n"
+        )
         (self.folder / "operator.toml").write_text(
             f'[control]\nlisten = "{self.control[0]}:{self.control[1]}"\n'
             f'[members]\nfleet = "trial"\nlisten = "{self.host}:{self.fleet.relays.real[self.name][1]}"\n'
             f'advertise = "{self.address}"\nseeds = {json.dumps(seeds)}\nkeys = "{fleet.folder}/keys"\n'
-            + (agreed if fleet.agrees else "") + fleet.more)
+            + (agreed if fleet.agrees else "")
+            + fleet.more
+        )
 
     def used(self) -> tuple[float, int]:
         """s of CPU so far, and KB resident."""
@@ -133,9 +145,21 @@
         self.lives += 1
         with open(self.folder / "log.txt", "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "brackenpulley", "serve", "--config", str(self.folder / "config.json"),
-                 "--operator", str(self.folder / "operator.toml")], cwd=ROOT, stdout=log, stderr=log,
-                env={**os.environ, "BRACKENPULLEY_CLOCK": repr(self.fleet.offset)})
+                [
+                    sys.executable,
+                    "-m",
+                    "brackenpulley",
+                    "serve",
+                    "--config",
+                    str(self.folder / "config.json"),
+                    "--operator",
+                    str(self.folder / "operator.toml"),
+                ],
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+                env={**os.environ, "BRACKENPULLEY_CLOCK": repr(self.fleet.offset)},
+            )
         self.stopped = False
 
     def kill(self) -> None:
@@ -160,12 +184,21 @@
                 done(status, json.loads(data) if status else {})
             except ValueError:
                 done(0, {})
+
         Call(self.fleet.loop, self.control, method, path, json.dumps(body).encode() if body else b"", patience, heard)
 
 
 class Fleet:
-    def __init__(self, size: int, seed: int, machines: int, agrees: bool = True, more: str = "",
-                 rate: float = RATE, mean: float = 0.02) -> None:
+    def __init__(
+        self,
+        size: int,
+        seed: int,
+        machines: int,
+        agrees: bool = True,
+        more: str = "",
+        rate: float = RATE,
+        mean: float = 0.02,
+    ) -> None:
         """`more` of the operator's file; `mean` s that a server works on an attempt."""
         self.agrees, self.more = agrees, more  # the log and the work are on, not membership alone
         self.size, self.rng, self.voters = size, random.Random(seed), 5 if size >= 9 else 3
@@ -179,8 +212,11 @@
         self.servers = [SimServer(self.loop, f"s-{n}", random.Random(seed + n), mean) for n in range(machines)]
         self.discovery, self.counter = Discovery(self.loop, self.servers), Counter(self.loop)
         rows = self.discovery._rows
-        self.discovery._rows = lambda servers: [  # type: ignore[method-assign]
-            {**row, "zone": ZONES[int(str(row["instanceId"])[2:]) % 3]} for row in rows(servers)]
+        self.discovery._rows = (
+            lambda servers: [  # type: ignore[method-assign]
+                {**row, "zone": ZONES[int(str(row["instanceId"])[2:]) % 3]} for row in rows(servers)
+            ]
+        )
         self.processes: list[Process] = []
         for number in range(size):
             self.processes.append(Process(self, number))
@@ -211,7 +247,7 @@
 
     def may_lose(self, which: Process) -> bool:
         """All other voters are there and sure of their disks."""
-        others = [one.status.get("agreement", {}) for one in self.processes[:self.voters] if one is not which]
+        others = [one.status.get("agreement", {}) for one in self.processes[: self.voters] if one is not which]
         return all(row.get("proved") and row.get("role") in ("leader", "follower") for row in others)
 
     # Watching.
@@ -238,6 +274,7 @@
             if status == 200:
                 self._seen(one, body["index"], body["machines"])
             self.loop.call_in(0.15, lambda: self._ask(one))
+
         one.call("GET", "/v1/status", None, heard, 2.0)
 
     def _seen(self, one: Process, index: int, rows: list[dict[str, Any]]) -> None:
@@ -281,8 +318,11 @@
     def order(self, number: int) -> None:
         """A machine is one sim server; it comes again once it is done."""
         name = f"h{number}"
-        self.ask("/v1/work", {"id": name, "by": "trial", "servers": [f"s-{number}"], "zone": ZONES[number % 3],
-                              "urgency": number % 2}, lambda: name in self.jobs)
+        self.ask(
+            "/v1/work",
+            {"id": name, "by": "trial", "servers": [f"s-{number}"], "zone": ZONES[number % 3], "urgency": number % 2},
+            lambda: name in self.jobs,
+        )
 
     def work(self) -> None:
         for name, row in list(self.jobs.items()):
@@ -291,8 +331,11 @@
             server = row["servers"][0]
             if row["state"] == "clear" and (name, row["token"]) not in self.begun:
                 self.begun.add((name, row["token"]))
-                self.ask(f"/v1/work/{name}/begin", {"token": row["token"]},
-                         lambda name=name: self.jobs[name]["state"] != "clear")  # type: ignore[misc]
+                self.ask(
+                    f"/v1/work/{name}/begin",
+                    {"token": row["token"]},
+                    lambda name=name: self.jobs[name]["state"] != "clear",
+                )  # type: ignore[misc]
             elif row["state"] == "at work" and (name, row["token"]) not in self.worked:
                 self.worked.add((name, row["token"]))
                 self._begin(name, server, row["token"])
@@ -306,11 +349,13 @@
         def over() -> None:
             self.working.pop(server, None)
             self.ask(f"/v1/work/{name}/finish", {"token": token}, lambda: self.jobs[name]["state"] != "at work")
+
         self.loop.call_in(0.8, over)
 
     def audit(self) -> None:
         """What reached a server while it was away, by the server's own count."""
         for server in self.servers:
+
             def script(rng: random.Random, server: SimServer = server) -> str:
                 now = time.monotonic()
                 if server.name in self.working:
@@ -321,6 +366,7 @@
                     since = self.words.get((row["id"], row["token"], sender), now)
                     self.arrived.append((server.name, row["id"], row["token"], since, now))
                 return "ok"
+
             server.script = script
 
     def late(self) -> dict[str, float]:
@@ -342,8 +388,9 @@
             links.usual = type(links.usual)(delay=0.0, spread=0.0)
         elif line.what in ("loss", "double"):
             part = float(words[1])
-            links.usual = type(links.usual)(0.0, 0.0, part if line.what == "loss" else 0.0,
-                                            part if line.what == "double" else 0.0)
+            links.usual = type(links.usual)(
+                0.0, 0.0, part if line.what == "loss" else 0.0, part if line.what == "double" else 0.0
+            )
         elif line.what == "part":
             sides = [{self.named(name).name for name in side.split(",")} for side in words]
             links.part(sides[0], sides[1])
@@ -387,8 +434,9 @@
         return True
 
     def entered(self) -> bool:
-        return all(one.status.get("maintenance", {}).get("entered") and one.status.get("ready")
-                   for one in self.processes)
+        return all(
+            one.status.get("maintenance", {}).get("entered") and one.status.get("ready") for one in self.processes
+        )
 
     def front(self) -> None:
         """As the platform's: it admits an ingress that says it is ready, and notices a dead one late."""
@@ -417,14 +465,18 @@
 def ingress_goes(fleet: Fleet, place: int) -> float:
     """An ingress's host goes out under load: drained, ended, started anew, back. Seconds from asking to done."""
     one, begin = fleet.processes[place], time.monotonic()
-    fleet.ask("/v1/work", {"id": "ingress", "by": "trial", "ingress": one.name, "place": place, "zone": "hosts"},
-              lambda: "ingress" in fleet.jobs)
+    fleet.ask(
+        "/v1/work",
+        {"id": "ingress", "by": "trial", "ingress": one.name, "place": place, "zone": "hosts"},
+        lambda: "ingress" in fleet.jobs,
+    )
 
     def state() -> str:
         return str(fleet.jobs.get("ingress", {}).get("state", ""))
 
     def token() -> dict[str, int]:
         return {"token": fleet.jobs["ingress"]["token"]}
+
     if not fleet.until(lambda: state() == "clear", 15.0):
         fleet.wrong.append(f"the ingress is not clear: {fleet.jobs.get('ingress')}")
         return 0.0
@@ -463,9 +515,15 @@
         fleet.front()
         fleet.load.start()
         names = [one.name for one in fleet.processes]
-        lines = parse(script) if script else [
-            line for line in drawn(fleet.rng, names, seconds, 3.0, size - 1)
-            if line.what in ("kill", "start", "stop", "go", "cut", "part", "stall", "loss", "heal")]
+        lines = (
+            parse(script)
+            if script
+            else [
+                line
+                for line in drawn(fleet.rng, names, seconds, 3.0, size - 1)
+                if line.what in ("kill", "start", "stop", "go", "cut", "part", "stall", "loss", "heal")
+            ]
+        )
         begin = time.monotonic()
         for line in lines:
             fleet.loop.call_in(line.at, lambda line=line: fleet.do(line))  # type: ignore[misc]
@@ -482,6 +540,7 @@
 
         def done() -> bool:
             return len(fleet.jobs) == machines and all(row["state"] == "done" for row in fleet.jobs.values())
+
         if not fleet.until(done, max(20.0, 6.0 * machines)):
             wrong.append(f"not done: {[(r['id'], r['state'], r['why'], r['missing']) for r in fleet.jobs.values()]}")
         finished = time.monotonic() - calm
@@ -490,11 +549,20 @@
         fleet.until(lambda: not fleet.load.out, 12.0)
         # A process that is killed takes what it had in hand with it, and what came to it until the front saw that.
         excused = [(when - 8.0 - begin, number) for when, number in fleet.killed]
-        lost = [one for one in fleet.load.tries if not one.status and one.taken and not any(
-            number == one.ingress for _, number in excused)]
+        lost = [
+            one
+            for one in fleet.load.tries
+            if not one.status and one.taken and not any(number == one.ingress for _, number in excused)
+        ]
         # Nobody answers a client that has left before its message could be read: see ANSWERED.
-        left = [one for one in lost if running(one.sent - fleet.offset, one.ended - fleet.offset, [
-            *fleet.still, *fleet.processes[one.ingress].still]) < ANSWERED]
+        left = [
+            one
+            for one in lost
+            if running(
+                one.sent - fleet.offset, one.ended - fleet.offset, [*fleet.still, *fleet.processes[one.ingress].still]
+            )
+            < ANSWERED
+        ]
         if len(lost) > len(left):
             wrong.append(f"{len(lost) - len(left)} messages lost at ingresses that were not killed")
         afters = fleet.late()
@@ -504,13 +572,24 @@
         grants = [round(after, 2) for after in fleet.grants]
         if len(grants) >= 3 and statistics.median(grants) > GRANT:
             wrong.append(f"leader killed to next grant: {grants}")
-        return {"seed": seed, "instances": size, "machines": machines, "script": [str(line) for line in lines],
-                "tokens": sum(row["token"] > 0 for row in fleet.jobs.values()), "doneAfterCalmS": round(finished, 1),
-                "ingressOutAndBackS": round(ingress, 1), "killed": len(fleet.killed), "grantsAfterDeathS": grants,
-                "latestWorkS": round(max(afters.values(), default=0.0), 2), "tries": len(fleet.load.tries),
-                "leftWhileStopped": len(left),
-                "served": sum(one.status == 200 for one in fleet.load.tries), "relayed": fleet.relays.passed,
-                "relaysLost": fleet.relays.lost, "wrong": wrong}
+        return {
+            "seed": seed,
+            "instances": size,
+            "machines": machines,
+            "script": [str(line) for line in lines],
+            "tokens": sum(row["token"] > 0 for row in fleet.jobs.values()),
+            "doneAfterCalmS": round(finished, 1),
+            "ingressOutAndBackS": round(ingress, 1),
+            "killed": len(fleet.killed),
+            "grantsAfterDeathS": grants,
+            "latestWorkS": round(max(afters.values(), default=0.0), 2),
+            "tries": len(fleet.load.tries),
+            "leftWhileStopped": len(left),
+            "served": sum(one.status == 200 for one in fleet.load.tries),
+            "relayed": fleet.relays.passed,
+            "relaysLost": fleet.relays.lost,
+            "wrong": wrong,
+        }
     finally:
         fleet.close(keep=bool(wrong))
 
@@ -524,8 +603,12 @@
             for one in fleet.processes:
                 one.start()
             fleet.watch()
-            fleet.until(lambda fleet=fleet: all(  # type: ignore[misc]
-                one.status.get("members", {}).get("members") == size for one in fleet.processes), 30.0)
+            fleet.until(
+                lambda fleet=fleet: all(  # type: ignore[misc]
+                    one.status.get("members", {}).get("members") == size for one in fleet.processes
+                ),
+                30.0,
+            )
             if agrees:
                 fleet.until(fleet.entered, 30.0)
             fleet.going = False  # nobody asks any more
@@ -536,8 +619,11 @@
         finally:
             fleet.close()
         cpu = [(b[0] - a[0]) / seconds * 100 for a, b in zip(before, after, strict=True)]
-        found[name] = {"cpuPercent": round(statistics.mean(cpu), 2), "mostCpuPercent": round(max(cpu), 2),
-                       "residentMb": round(statistics.mean(b[1] for b in after) / 1024, 1)}
+        found[name] = {
+            "cpuPercent": round(statistics.mean(cpu), 2),
+            "mostCpuPercent": round(max(cpu), 2),
+            "residentMb": round(statistics.mean(b[1] for b in after) / 1024, 1),
+        }
     found["cpuRatio"] = round(found["agreed"]["cpuPercent"] / found["members"]["cpuPercent"], 2)
     found["memoryRatio"] = round(found["agreed"]["residentMb"] / found["members"]["residentMb"], 2)
     return found
@@ -557,8 +643,9 @@
         found = idle(told.instances, told.seconds)
         print(json.dumps(found, indent=None if told.json else 1))
         return int(found["cpuRatio"] > IDLE)
-    report = trial(told.instances, told.machines, told.seconds, told.seed,
-                   Path(told.script).read_text() if told.script else "")
+    report = trial(
+        told.instances, told.machines, told.seconds, told.seed, Path(told.script).read_text() if told.script else ""
+    )
     print(json.dumps(report, indent=None if told.json else 1))
     return int(bool(report["wrong"]))
 
--- a/brackenpulley/adapter.py
+++ b/brackenpulley/adapter.py
@@ -11,18 +11,33 @@
 from .policy.brain import Gateway
 from .settings import JSON, settings
 
-STATUS = {"served": "ok", "server_error": "error", "turned_away": "full", "no_answer": "timeout",
-          "no_connection": "connect_failed", "connection_lost": "reset", "called_off": "cancelled",
-          "not_sent": "moot"}
+STATUS = {
+    "served": "ok",
+    "server_error": "error",
+    "turned_away": "full",
+    "no_answer": "timeout",
+    "no_connection": "connect_failed",
+    "connection_lost": "reset",
+    "called_off": "cancelled",
+    "not_sent": "moot",
+}
 STATE = {"healthy": "up", "cordoned": "draining", "deregistered": "gone"}
 HOW = {"patch": "changes", "whole": "full", "stale_copy": "stale", "broken": "failed"}
 
 
 def _members(e: JSON) -> i.ServerList:
-    entries = [i.ServerEntry(
-        server=x["Worker"], zone=x.get("Az", ""), cell=x.get("Stripe", 0), size=x.get("Units", 1.0),
-        state=STATE.get(x.get("StageState", "healthy"), "gone"), started=x.get("Born") or 0.0,
-        kind=x.get("Machine", "")) for x in e.get("Lines") or []]
+    entries = [
+        i.ServerEntry(
+            server=x["Worker"],
+            zone=x.get("Az", ""),
+            cell=x.get("Stripe", 0),
+            size=x.get("Units", 1.0),
+            state=STATE.get(x.get("StageState", "healthy"), "gone"),
+            started=x.get("Born") or 0.0,
+            kind=x.get("Machine", ""),
+        )
+        for x in e.get("Lines") or []
+    ]
     return i.ServerList(HOW.get(str(e["How"]), "failed"), entries, e.get("SeqNo", 0))
 
 
@@ -33,11 +48,28 @@
 EVENTS: dict[str, Callable[[JSON], i.Event]] = {
     "Membership": _members,
     "WorkItem": lambda e: i.Request(
-        e["Ref"], e["Category"], e.get("Package", ""), e.get("Caller", 0), e["Grace"], e.get("CostUnits", 1),
-        int(e.get("EntryPoints", 1)), int(e.get("Base", 0)), e.get("Resent", False), e.get("Update", False)),
+        e["Ref"],
+        e["Category"],
+        e.get("Package", ""),
+        e.get("Caller", 0),
+        e["Grace"],
+        e.get("CostUnits", 1),
+        int(e.get("EntryPoints", 1)),
+        int(e.get("Base", 0)),
+        e.get("Resent", False),
+        e.get("Update", False),
+    ),
     "Verdict": lambda e: i.Outcome(
-        e["Ref"], e.get("Worker", ""), e.get("Go", 0), _status(e), e.get("Latency", 0.0), e.get("Closed", False),
-        e.get("Used", 0), e.get("Billed", 0), e.get("Telemetry") or []),
+        e["Ref"],
+        e.get("Worker", ""),
+        e.get("Go", 0),
+        _status(e),
+        e.get("Latency", 0.0),
+        e.get("Closed", False),
+        e.get("Used", 0),
+        e.get("Billed", 0),
+        e.get("Telemetry") or [],
+    ),
     "Opened": lambda e: i.Started(e["Ref"], e.get("Worker", ""), e.get("Go", 0), e.get("Latency", 0.0)),
     "CancelledByClient": lambda e: i.Gone(e["Ref"]),
     "Echo": lambda e: i.Probed(e["Worker"], _status(e), e.get("Latency", 0.0), e.get("Telemetry") or []),
@@ -69,7 +101,7 @@
     def batch(self, message: JSON) -> JSON:
         now, steps = message["AtTime"], []
         for item in message["in"]:
-            (kind, e), = item.items()
+            ((kind, e),) = item.items()
             who = e["Who"]
             if kind == "Provision":
                 self.gateways[who] = Gateway(settings(e["Settings"]), e["Prng"], now)
--- a/brackenpulley/authz/client.py
+++ b/brackenpulley/authz/client.py
@@ -58,8 +58,12 @@
     @property
     def room(self) -> bool:
         wire = self.wire.h2
-        return (not self.going and not self.wire.closed and wire.highest_outbound_stream_id < http2.LAST - 2
-                and wire.open_outbound_streams < wire.remote_settings.max_concurrent_streams)
+        return (
+            not self.going
+            and not self.wire.closed
+            and wire.highest_outbound_stream_id < http2.LAST - 2
+            and wire.open_outbound_streams < wire.remote_settings.max_concurrent_streams
+        )
 
     def send(self, ask: Ask) -> None:
         ask.wire, ask.stream = self, self.wire.h2.get_next_available_stream_id()
@@ -67,9 +71,19 @@
         ask.reply.clear()
         self.asks[ask.stream] = ask
         left = max(1, int(1000 * (ask.until - self.client.loop.clock())))
-        self.wire.send(ask.stream, [
-            (":method", "POST"), (":scheme", "http"), (":path", CHECK), (":authority", self.client.authority),
-            ("te", "trailers"), ("content-type", "application/grpc"), ("grpc-timeout", f"{left}m")], ask.data)
+        self.wire.send(
+            ask.stream,
+            [
+                (":method", "POST"),
+                (":scheme", "http"),
+                (":path", CHECK),
+                (":authority", self.client.authority),
+                ("te", "trailers"),
+                ("content-type", "application/grpc"),
+                ("grpc-timeout", f"{left}m"),
+            ],
+            ask.data,
+        )
 
     def _heard(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.RemoteSettingsChanged):
--- a/brackenpulley/authz/convert.py
+++ b/brackenpulley/authz/convert.py
@@ -22,8 +22,12 @@
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9a-z-]+\Z")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*\Z")
 FIXED = HOP | {b"x-request-id", b"idempotency-key"}  # these pass through as the client wrote them
-GRPC_OF = {403: http2.PERMISSION_DENIED, 401: http2.PERMISSION_DENIED, 429: http2.RESOURCE_EXHAUSTED,
-           503: http2.UNAVAILABLE}
+GRPC_OF = {
+    403: http2.PERMISSION_DENIED,
+    401: http2.PERMISSION_DENIED,
+    429: http2.RESOURCE_EXHAUSTED,
+    503: http2.UNAVAILABLE,
+}
 Row = tuple[bytes, bytes]
 
 
@@ -52,8 +56,13 @@
 
 def _rows(headers: list[Row]) -> list[Any]:
     overwrite = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
-    return [base_pb2.HeaderValueOption(append_action=overwrite, header=base_pb2.HeaderValue(
-        key=name.decode("latin-1"), value=value.decode("latin-1"))) for name, value in headers]
+    return [
+        base_pb2.HeaderValueOption(
+            append_action=overwrite,
+            header=base_pb2.HeaderValue(key=name.decode("latin-1"), value=value.decode("latin-1")),
+        )
+        for name, value in headers
+    ]
 
 
 def response_of(answer: Answer, endpoint: str, header: str) -> bytes:
@@ -109,6 +118,7 @@
             return payload
         gone = removed | {name for name, _ in rows}
         return replace(payload, headers=[row for row in payload.headers if row[0] not in gone] + rows)
+
     return change
 
 
--- a/brackenpulley/authz/front.py
+++ b/brackenpulley/authz/front.py
@@ -44,8 +44,14 @@
     def __init__(self, inventory: Inventory) -> None:
         self.inventory = inventory
 
-    def start(self, message: Message, server: str, left: float, done: Callable[[RelayEnd], None],
-              began: Callable[[RelayEnd], None]) -> Grant:
+    def start(
+        self,
+        message: Message,
+        server: str,
+        left: float,
+        done: Callable[[RelayEnd], None],
+        began: Callable[[RelayEnd], None],
+    ) -> Grant:
         # The answer is written now, so this is where the list counts: what drains by now is not named any more.
         done(RelayEnd("granted" if self.inventory.usable(server) else "connect_failed"))
         return self
@@ -208,8 +214,16 @@
 class Front:
     """Owns the listener and the askers' connections."""
 
-    def __init__(self, loop: Loop, pool: Pool, ingress: Ingress, inventory: Inventory, metrics: Metrics,
-                 header: str, streams: int) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        pool: Pool,
+        ingress: Ingress,
+        inventory: Inventory,
+        metrics: Metrics,
+        header: str,
+        streams: int,
+    ) -> None:
         self.loop, self.pool, self.ingress, self.inventory, self.metrics = loop, pool, ingress, inventory, metrics
         self.header, self.streams, self.grant = header, streams, Grant(inventory)
         self.peers: set[Peer] = set()
--- a/brackenpulley/authz/http2.py
+++ b/brackenpulley/authz/http2.py
@@ -57,12 +57,12 @@
     """Whole frames, and the rest."""
     frames, at = [], 0
     while len(data) - at >= 9:
-        size = 9 + int.from_bytes(data[at:at + 3], "big")
+        size = 9 + int.from_bytes(data[at : at + 3], "big")
         if size > 9 + FRAME:
             raise h2.exceptions.FrameTooLargeError("a frame over the limit")
         if len(data) - at < size:
             break
-        frames.append(data[at:at + size])
+        frames.append(data[at : at + size])
         at += size
     return frames, data[at:]
 
@@ -70,15 +70,29 @@
 class Http2:
     """Owns its socket, given back in `close` alone."""
 
-    def __init__(self, loop: Loop, pool: Pool, sock: socket.socket, client: bool, streams: int,
-                 heard: Callable[[h2.events.Event], None], ended: Callable[[], None],
-                 going: Callable[[int], None] | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        pool: Pool,
+        sock: socket.socket,
+        client: bool,
+        streams: int,
+        heard: Callable[[h2.events.Event], None],
+        ended: Callable[[], None],
+        going: Callable[[int], None] | None = None,
+    ) -> None:
         self.loop, self.pool, self.sock = loop, pool, sock
         self._heard, self._ended, self._going = heard, ended, going
         self.h2 = h2.connection.H2Connection(h2.config.H2Configuration(client_side=client, header_encoding=None))
         codes = h2.settings.SettingCodes
-        self.h2.local_settings = h2.settings.Settings(client=client, initial_values={
-            codes.MAX_CONCURRENT_STREAMS: LAST, codes.MAX_HEADER_LIST_SIZE: 16384, codes.ENABLE_PUSH: 0})
+        self.h2.local_settings = h2.settings.Settings(
+            client=client,
+            initial_values={
+                codes.MAX_CONCURRENT_STREAMS: LAST,
+                codes.MAX_HEADER_LIST_SIZE: 16384,
+                codes.ENABLE_PUSH: 0,
+            },
+        )
         self.h2.initiate_connection()
         # In force once it is acknowledged: streams that crossed it are turned away one by one by who counts them,
         # where h2 would end the whole connection.
@@ -156,8 +170,9 @@
                     self._blocked.pop(event.stream_id, None)
                 self._heard(event)
 
-    def send(self, stream: int, headers: Headers, message: bytes | None = None,
-             trailers: Headers | None = None) -> None:
+    def send(
+        self, stream: int, headers: Headers, message: bytes | None = None, trailers: Headers | None = None
+    ) -> None:
         """Headers, then a message as the other side's window allows, then trailers or the end of the stream."""
         try:
             self.h2.send_headers(stream, headers, end_stream=message is None)
--- a/brackenpulley/bodies/body.py
+++ b/brackenpulley/bodies/body.py
@@ -48,8 +48,22 @@
     `changed` is called when there is something new for the reader: bytes, the end, a cut. `eased` is called when the
     writer may put in more after it had no room. Neither is called from within a call of the same side."""
 
-    __slots__ = ("shares", "length", "state", "size", "kept", "changed", "eased", "_parts", "_gone", "_at", "_index",
-                 "_offset", "full", "_spool")
+    __slots__ = (
+        "shares",
+        "length",
+        "state",
+        "size",
+        "kept",
+        "changed",
+        "eased",
+        "_parts",
+        "_gone",
+        "_at",
+        "_index",
+        "_offset",
+        "full",
+        "_spool",
+    )
 
     def __init__(self, shares: Shares, length: int = -1, keep: bool = False) -> None:
         """`length`: of the whole, where its writer told it, else -1. `keep`: for another attempt, if there is room."""
@@ -156,7 +170,7 @@
     def _from_memory(self, most: int) -> list[memoryview]:
         found: list[memoryview] = []
         while most > 0 and self._index < len(self._parts):
-            part = memoryview(self._parts[self._index])[self._offset:self._offset + most]
+            part = memoryview(self._parts[self._index])[self._offset : self._offset + most]
             found.append(part)
             most -= len(part)
             self._at += len(part)
@@ -198,6 +212,6 @@
 
     def _let_go(self) -> None:
         if self._index:
-            self._gone += sum(map(len, self._parts[:self._index]))
-            del self._parts[:self._index]
+            self._gone += sum(map(len, self._parts[: self._index]))
+            del self._parts[: self._index]
             self._index = 0
--- a/brackenpulley/bodies/spool.py
+++ b/brackenpulley/bodies/spool.py
@@ -44,7 +44,7 @@
         left = memoryview(part)
         try:
             while left:
-                left = left[os.pwrite(self._file.fileno(), left, self.size + len(part) - len(left)):]
+                left = left[os.pwrite(self._file.fileno(), left, self.size + len(part) - len(left)) :]
         except OSError as error:
             self._folder.failed(f"{self._folder.path}: {error.strerror}")
             self.drop()
--- a/brackenpulley/cli.py
+++ b/brackenpulley/cli.py
@@ -12,13 +12,18 @@
 from .address import ConfigError
 from .config import Config
 
-app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-                  help="An ingress that holds customers to their quotas before a shared fleet of sim servers.")
+app = typer.Typer(
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="An ingress that holds customers to their quotas before a shared fleet of sim servers.",
+)
 Path = Annotated[str, typer.Option("--config", help="The configuration; else the file that BALANCER_CONFIG names.")]
 
 
-Extra = Annotated[str, typer.Option("--operator", envvar="BALANCER_OPERATOR",
-                                    help="The operator's file, for what is off by default.")]
+Extra = Annotated[
+    str, typer.Option("--operator", envvar="BALANCER_OPERATOR", help="The operator's file, for what is off by default.")
+]
 
 
 def _load(path: str, operator: str) -> Config:
@@ -43,14 +48,18 @@
 def check_config(config: Path = "", operator: Extra = "") -> None:
     """Read the configuration and say whether it can be used."""
     told = _load(config, operator)
-    print(f"{told.name}: {len(told.settings.classes)} classes, {len(told.settings.plans)} plans, "
-          f"listens at {told.listen[0]}:{told.listen[1]}")
+    print(
+        f"{told.name}: {len(told.settings.classes)} classes, {len(told.settings.plans)} plans, "
+        f"listens at {told.listen[0]}:{told.listen[1]}"
+    )
 
 
 @app.command()
-def demo(seconds: Annotated[float, typer.Option(help="How long traffic is served.")] = 60.0,
-         seed: Annotated[int, typer.Option(help="Of the traffic.")] = 1,
-         as_json: Annotated[bool, typer.Option("--json", help="The summary as JSON.")] = False) -> None:
+def demo(
+    seconds: Annotated[float, typer.Option(help="How long traffic is served.")] = 60.0,
+    seed: Annotated[int, typer.Option(help="Of the traffic.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="The summary as JSON.")] = False,
+) -> None:
     """One daemon among stand-ins, with no file: traffic, a change of plan, export; exit code 0 if all agree."""
     try:
         from .commands.demo import run
@@ -71,8 +80,9 @@
             app.add_typer(importlib.import_module(f".commands.{name}", __package__).app, name=name)
         except ImportError as error:
             if called:
-                raise SystemExit(f"brackenpulley: {name}: {error.name} is not installed; see requirements-fleet.txt"
-                                 ) from None
+                raise SystemExit(
+                    f"brackenpulley: {name}: {error.name} is not installed; see requirements-fleet.txt"
+                ) from None
     app(prog_name="brackenpulley")
 
 
@@ -80,6 +90,7 @@
 def version() -> None:
     """Print the version, and those of the libraries it runs on."""
     from importlib import metadata  # costly to load, and no other command has a use for it
+
     print(f"brackenpulley {__version__}")
     for name in ("httptools", "structlog", "typer"):
         print(f"{name} {metadata.version(name)}")
--- a/brackenpulley/commands/common.py
+++ b/brackenpulley/commands/common.py
@@ -11,9 +11,15 @@
 
 from ..control.client import Control, ControlError
 
-Where = Annotated[list[str], typer.Option(
-    "--control", envvar="BRACKENPULLEY_CONTROL", help="A daemon's control API: 127.0.0.1:9393 or unix:/path. May stand "
-    "several times, or hold several with blanks between.")]
+Where = Annotated[
+    list[str],
+    typer.Option(
+        "--control",
+        envvar="BRACKENPULLEY_CONTROL",
+        help="A daemon's control API: 127.0.0.1:9393 or unix:/path. May stand "
+        "several times, or hold several with blanks between.",
+    ),
+]
 AsJson = Annotated[bool, typer.Option("--json", help="The result as JSON.")]
 
 
@@ -39,8 +45,9 @@
         raise fail(str(error), 1) from None
 
 
-def show(value: Any, as_json: bool, columns: list[str] | None = None, rows: Iterable[Any] | None = None,
-         title: str = "") -> None:
+def show(
+    value: Any, as_json: bool, columns: list[str] | None = None, rows: Iterable[Any] | None = None, title: str = ""
+) -> None:
     """A table in a terminal, tab-separated text elsewhere, or JSON."""
     if as_json or columns is None or rows is None:
         print(json.dumps(value, indent=None if as_json else 1))
@@ -53,6 +60,7 @@
         return
     from rich.console import Console
     from rich.table import Table
+
     table = Table(*columns, title=title or None)
     for row in found:
         table.add_row(*row)
--- a/brackenpulley/commands/control.py
+++ b/brackenpulley/commands/control.py
@@ -15,12 +15,26 @@
 def status(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
     """What each daemon holds, and how its parts stand."""
     found = [call(one, "GET", "/v1/status") for one in controls(control)]
-    show(found, as_json, ["name", "ready", "up s", "held", "clients", "servers", "plans", "reservations", "ledger",
-                          "configuration"], [
-        [one["name"], one["ready"], one["upSeconds"], one["held"], one["clients"], one["servers"],
-         *(json.dumps(one[part]) if part in one else "" for part in (
-             "plans", "reservations", "ledger", "configuration"))]
-        for one in found])
+    show(
+        found,
+        as_json,
+        ["name", "ready", "up s", "held", "clients", "servers", "plans", "reservations", "ledger", "configuration"],
+        [
+            [
+                one["name"],
+                one["ready"],
+                one["upSeconds"],
+                one["held"],
+                one["clients"],
+                one["servers"],
+                *(
+                    json.dumps(one[part]) if part in one else ""
+                    for part in ("plans", "reservations", "ledger", "configuration")
+                ),
+            ]
+            for one in found
+        ],
+    )
 
 
 @app.command()
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -68,12 +68,30 @@
     servers = [SimServer(outside, f"s-{n}", random.Random(seed + n)) for n in range(SERVERS)]
     discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
     with tempfile.TemporaryDirectory(prefix="bracken-demo-") as folder:
-        operator = decode_operator({
-            "control": {"listen": f"unix:{folder}/control.sock"}, "plans": {"snapshot": f"{folder}/plans"},
-            "reservations": {}, "ledger": {"path": f"{folder}/ledger", "period_s": PERIOD, "grace_s": 0.5, "export": {
-                "url": f"http://{billing.listener.text}/use"}}})
-        config = decode({"name": "demo", "listen": "127.0.0.1:0", "discovery": discovery.listener.text,
-                         "counter": counter.listener.text, "settings": settings()}, {}, operator)
+        operator = decode_operator(
+            {
+                "control": {"listen": f"unix:{folder}/control.sock"},
+                "plans": {"snapshot": f"{folder}/plans"},
+                "reservations": {},
+                "ledger": {
+                    "path": f"{folder}/ledger",
+                    "period_s": PERIOD,
+                    "grace_s": 0.5,
+                    "export": {"url": f"http://{billing.listener.text}/use"},
+                },
+            }
+        )
+        config = decode(
+            {
+                "name": "demo",
+                "listen": "127.0.0.1:0",
+                "discovery": discovery.listener.text,
+                "counter": counter.listener.text,
+                "settings": settings(),
+            },
+            {},
+            operator,
+        )
         daemon = Daemon(config, log, clock)
         daemon.start(signals=False)
         assert daemon.north.listener is not None
@@ -125,15 +143,28 @@
         return f"{sum(one.status == 200 for one in mine)} of {len(mine)}"
 
     summary = {
-        "seconds": round(end - begin, 1), "tries": len(load.tries),
+        "seconds": round(end - begin, 1),
+        "tries": len(load.tries),
         "served": sum(one.status == 200 for one in load.tries),
-        "refused": sum(one.status in (429, 503) for one in load.tries), "firmMoved": moved,
-        "servedOnSchool": part(load.tries[:middle]), "servedOnCounty": part(load.tries[middle:]),
-        "ranUnits": verdict.ran / audit.MICRO, "countedUnits": verdict.counted / audit.MICRO,
-        "exportedUnits": verdict.billed / audit.MICRO, "exportedEvents": len(billing.events),
-        "unitsOverAllowance": round(sum(one.over for one in over), 2), "agree": not faults, "faults": faults}
-    show(summary, as_json, ["", ""], [[name, value] for name, value in summary.items() if name != "faults"],
-         f"{SERVERS} sim servers, {FIRMS} firms; {json.dumps(PLANS)}")
+        "refused": sum(one.status in (429, 503) for one in load.tries),
+        "firmMoved": moved,
+        "servedOnSchool": part(load.tries[:middle]),
+        "servedOnCounty": part(load.tries[middle:]),
+        "ranUnits": verdict.ran / audit.MICRO,
+        "countedUnits": verdict.counted / audit.MICRO,
+        "exportedUnits": verdict.billed / audit.MICRO,
+        "exportedEvents": len(billing.events),
+        "unitsOverAllowance": round(sum(one.over for one in over), 2),
+        "agree": not faults,
+        "faults": faults,
+    }
+    show(
+        summary,
+        as_json,
+        ["", ""],
+        [[name, value] for name, value in summary.items() if name != "faults"],
+        f"{SERVERS} sim servers, {FIRMS} firms; {json.dumps(PLANS)}",
+    )
     for fault in faults:
         print(f"brackenpulley: {fault}", file=sys.stderr)
     return 1 if faults else 0
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -65,6 +65,7 @@
     A supervisor that was killed leaves its instances serving: the next `run` takes them over."""
     spec = _spec(file)
     from ..fleet.run import supervise
+
     try:
         code = supervise(file, spec)
     except ConfigError as error:
@@ -77,13 +78,18 @@
     """Whether each instance could start with this description and its files."""
     spec = _spec(file)
     from ..fleet.files import Base
+
     try:
         Base.read(spec)
     except ConfigError as error:
         raise fail(str(error)) from None
     at = spec.listens()
-    found = {"fleet": spec.fleet.name, "instances": spec.fleet.instances, "addresses": len(at),
-             "first": f"{at[0][0]}:{at[0][1]}"}
+    found = {
+        "fleet": spec.fleet.name,
+        "instances": spec.fleet.instances,
+        "addresses": len(at),
+        "first": f"{at[0][0]}:{at[0][1]}",
+    }
     show(found, as_json, list(found), [list(found.values())])
 
 
@@ -91,9 +97,13 @@
     health = row["health"]
     if not health:
         return ["", "", "", "", ""]
-    return [f"{health['lagMs']:g}", f"{health['descriptors']}/{health['mostDescriptors']}",
-            f"{health['memoryMb']:.0f}/{health['mostMemoryMb']:.0f}",
-            "" if health["listSeconds"] is None else f"{health['listSeconds']:.1f}", "; ".join(health["troubles"])]
+    return [
+        f"{health['lagMs']:g}",
+        f"{health['descriptors']}/{health['mostDescriptors']}",
+        f"{health['memoryMb']:.0f}/{health['mostMemoryMb']:.0f}",
+        "" if health["listSeconds"] is None else f"{health['listSeconds']:.1f}",
+        "; ".join(health["troubles"]),
+    ]
 
 
 @app.command()
@@ -101,12 +111,41 @@
     """Each instance: its state, process, part and health. Exit code 3 where fewer are ready than wanted."""
     found = call(_control(file), "GET", "/v1/fleet")
     wanted = sum(row["instance"] not in found["stopped"] for row in found["places"])
-    show(found, as_json, ["n", "state", "for s", "pid", "listen", "restarts", "1 of", "lag ms", "descriptors", "MB",
-                          "list s", "troubles", "why"], [
-        [row["instance"], row["state"] + (" (old settings)" if row["old"] else ""), f"{row['seconds']:.0f}", row["pid"],
-         row["listen"], row["restarts"], row["sharing"], *_health(row), row["why"]] for row in found["places"]],
+    show(
+        found,
+        as_json,
+        [
+            "n",
+            "state",
+            "for s",
+            "pid",
+            "listen",
+            "restarts",
+            "1 of",
+            "lag ms",
+            "descriptors",
+            "MB",
+            "list s",
+            "troubles",
+            "why",
+        ],
+        [
+            [
+                row["instance"],
+                row["state"] + (" (old settings)" if row["old"] else ""),
+                f"{row['seconds']:.0f}",
+                row["pid"],
+                row["listen"],
+                row["restarts"],
+                row["sharing"],
+                *_health(row),
+                row["why"],
+            ]
+            for row in found["places"]
+        ],
         f"fleet {found['fleet']}: {found['ready']} of {wanted} ready; supervisor {found['pid']}, up "
-        f"{found['upSeconds']:.0f} s")
+        f"{found['upSeconds']:.0f} s",
+    )
     if found["ready"] < wanted:
         raise typer.Exit(3)
 
@@ -115,6 +154,7 @@
     """Until it is over, with a bar in a terminal. Exit 1 where the time is."""
     from rich.console import Console
     from rich.progress import Progress
+
     end = time.monotonic() + wait
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty()) as progress:
         task = progress.add_task(what, total=None)
@@ -140,8 +180,12 @@
 def _brief(control: Control, wait: float, over: Callable[[dict[str, Any]], bool], what: str, as_json: bool) -> None:
     """How the fleet stands once that is over, or now where nobody waits."""
     found = _wait(control, wait, over, what) if wait else call(control, "GET", "/v1/fleet")
-    rows = {"ready": found["ready"], "instances": found["instances"], "stopped": found["stopped"],
-            "crashed": [row["instance"] for row in found["places"] if row["state"] == "crashed"]}
+    rows = {
+        "ready": found["ready"],
+        "instances": found["instances"],
+        "stopped": found["stopped"],
+        "crashed": [row["instance"] for row in found["places"] if row["state"] == "crashed"],
+    }
     show(rows, as_json, list(rows), [list(rows.values())])
     if rows["crashed"]:
         raise typer.Exit(1)
@@ -156,9 +200,13 @@
 
 
 @app.command()
-def stop(file: File, instances: Some = "", everything: Annotated[bool, typer.Option(
-        "--supervisor", help="The supervisor too, once all are down.")] = False, wait: Wait = 60.0,
-         as_json: AsJson = False) -> None:
+def stop(
+    file: File,
+    instances: Some = "",
+    everything: Annotated[bool, typer.Option("--supervisor", help="The supervisor too, once all are down.")] = False,
+    wait: Wait = 60.0,
+    as_json: AsJson = False,
+) -> None:
     """Stop in order: /ready says no, SIGTERM, and SIGKILL after the deadline."""
     control = _control(file)
     if everything:
@@ -178,8 +226,13 @@
 
 
 @app.command()
-def restart(file: File, instances: Some = "", at_once: Annotated[int, typer.Option(
-        help="Instances that are away at the same time.")] = 1, wait: Wait = 600.0, as_json: AsJson = False) -> None:
+def restart(
+    file: File,
+    instances: Some = "",
+    at_once: Annotated[int, typer.Option(help="Instances that are away at the same time.")] = 1,
+    wait: Wait = 600.0,
+    as_json: AsJson = False,
+) -> None:
     """A few at a time, each back and noticed by the front before the next goes. Stops where one does not come back:
     what is left runs as before, and exit code 1 says so."""
     control = _control(file)
@@ -187,8 +240,12 @@
     if not wait:
         return
     found = _wait(control, wait, lambda found: bool(found["rolling"]["over"]), "restart")["rolling"]
-    show(found, as_json, ["restarted", "left as they were", "failed"],
-         [[len(found["done"]), ", ".join(map(str, found["left"])), found["failed"]]])
+    show(
+        found,
+        as_json,
+        ["restarted", "left as they were", "failed"],
+        [[len(found["done"]), ", ".join(map(str, found["left"])), found["failed"]]],
+    )
     if found["failed"]:
         raise typer.Exit(1)
 
@@ -202,8 +259,12 @@
     if found["reloadFailed"]:
         raise fail(f"reload: {found['reloadFailed']}; nobody has changed", 1)
     old = [row["instance"] for row in found["places"] if row["old"]]
-    show({"reloaded": True, "oldUntilRestarted": old}, as_json, ["reloaded", "old until restarted"],
-         [["yes", ", ".join(map(str, old))]])
+    show(
+        {"reloaded": True, "oldUntilRestarted": old},
+        as_json,
+        ["reloaded", "old until restarted"],
+        [["yes", ", ".join(map(str, old))]],
+    )
 
 
 @app.command()
@@ -219,11 +280,16 @@
 
 
 @app.command()
-def logs(file: File, instance: Annotated[int, typer.Option(help="Of this one alone.")] = -1,
-         follow: Annotated[bool, typer.Option("--follow", "-f", help="Go on with what comes.")] = False,
-         lines: Annotated[int, typer.Option(help="To look back on.")] = 50, as_json: AsJson = False) -> None:
+def logs(
+    file: File,
+    instance: Annotated[int, typer.Option(help="Of this one alone.")] = -1,
+    follow: Annotated[bool, typer.Option("--follow", "-f", help="Go on with what comes.")] = False,
+    lines: Annotated[int, typer.Option(help="To look back on.")] = 50,
+    as_json: AsJson = False,
+) -> None:
     """The instances' lines in one stream, each with its instance and process."""
     import json
+
     control = _control(file)
     which = f"&instance={instance}" if instance >= 0 else ""
     path = f"/v1/fleet/logs?most={lines}{which}"
@@ -247,12 +313,14 @@
 
 
 @app.command()
-def reap(file: File, deadline: Annotated[float, typer.Option(help="s until SIGKILL.")] = 15.0,
-         as_json: AsJson = False) -> None:
+def reap(
+    file: File, deadline: Annotated[float, typer.Option(help="s until SIGKILL.")] = 15.0, as_json: AsJson = False
+) -> None:
     """End what a supervisor that is gone left behind. Not while one runs."""
     spec = _spec(file)
     from ..fleet.process import search
     from ..lock import Lock
+
     try:
         lock = Lock(Path(spec.fleet.run) / "lock", "fleet reap", ConfigError)
     except ConfigError as error:
--- a/brackenpulley/commands/growth.py
+++ b/brackenpulley/commands/growth.py
@@ -29,9 +29,11 @@
 
 
 @app.command()
-def count(logs: Annotated[list[str], typer.Argument(help="Logs, a file an ingress, or folders of *.log.")],
-          by: Annotated[str, typer.Option(help="second, server or ingress")] = "second",
-          as_json: AsJson = False) -> None:
+def count(
+    logs: Annotated[list[str], typer.Argument(help="Logs, a file an ingress, or folders of *.log.")],
+    by: Annotated[str, typer.Option(help="second, server or ingress")] = "second",
+    as_json: AsJson = False,
+) -> None:
     """Merge the logs of ingresses that ran with `[log] seconds = true`, and count over all of them."""
     if by not in ("second", "server", "ingress"):
         raise fail(f"--by: {by!r} is none of second, server, ingress")
@@ -48,5 +50,10 @@
     if not any(log.records for log in merged.logs.values()):
         raise fail("no record in these logs: was [log] seconds set? See deploy/growth.toml", 1)
     rows = merged.table() if by == "second" else merged.by(by)
-    show(merged.whole() if as_json else rows, as_json, list(rows[0]) if rows else [by], (row.values() for row in rows),
-         f"by {by}")
+    show(
+        merged.whole() if as_json else rows,
+        as_json,
+        list(rows[0]) if rows else [by],
+        (row.values() for row in rows),
+        f"by {by}",
+    )
--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -35,36 +35,54 @@
 def _progress(what: str, total: int) -> tuple[Any, Any]:
     from rich.console import Console
     from rich.progress import Progress
+
     bar = Progress(console=Console(stderr=True), disable=not sys.stderr.isatty())
     return bar, bar.add_task(what, total=max(1, total))
 
 
 @app.command("show")
-def show_state(path: Path = "",
+def show_state(
+    path: Path = "",
     control: Where = [],  # noqa: B006
-    as_json: AsJson = False) -> None:
+    as_json: AsJson = False,
+) -> None:
     """Where the ledger stands, from a daemon (--control) or its folder (--path)."""
     if path:
         store = _open(path)
         heads = store.heads()
         sums = store.sums()
-        found = {"ingress": heads.ingress, "epoch": heads.epoch, "countedUnits": heads.counted / MICRO,
-                 "tries": heads.tries, "openUnits": sum(one.units for one in sums.values()) / MICRO,
-                 "openSums": len(sums), "nextEntry": heads.next_seq, "acknowledged": heads.acked,
-                 "backlog": heads.backlog, "firstKept": heads.first, "bytes": store.used_bytes()}
+        found = {
+            "ingress": heads.ingress,
+            "epoch": heads.epoch,
+            "countedUnits": heads.counted / MICRO,
+            "tries": heads.tries,
+            "openUnits": sum(one.units for one in sums.values()) / MICRO,
+            "openSums": len(sums),
+            "nextEntry": heads.next_seq,
+            "acknowledged": heads.acked,
+            "backlog": heads.backlog,
+            "firstKept": heads.first,
+            "bytes": store.used_bytes(),
+        }
         store.end()
     else:
         found = call(controls(control)[0], "GET", "/v1/ledger")
-    show(found, as_json, ["", ""], [[name, json.dumps(value) if isinstance(value, dict) else value]
-                                    for name, value in found.items()])
+    show(
+        found,
+        as_json,
+        ["", ""],
+        [[name, json.dumps(value) if isinstance(value, dict) else value] for name, value in found.items()],
+    )
 
 
 @app.command()
-def entries(path: Path = "", first: Annotated[int, typer.Option("--from")] = 1, most: int = 20,
-            as_json: AsJson = False) -> None:
+def entries(
+    path: Path = "", first: Annotated[int, typer.Option("--from")] = 1, most: int = 20, as_json: AsJson = False
+) -> None:
     """Entries, from a sequence number on."""
     from ..ledger.files import COLUMNS, csv_row
     from ..ledger.upload import event
+
     store = _open(path)
     found = list(store.entries(first, most))
     store.end()
@@ -99,12 +117,16 @@
 
 
 @app.command()
-def export(out: Annotated[str, typer.Option("--out", help="The file; one that is there is gone on with.")],
-           path: Path = "", kind: Annotated[str, typer.Option("--format", help="jsonl or csv.")] = "jsonl",
-           first: Annotated[int, typer.Option("--from", help="The first entry; else the first that is kept.")] = 0,
-           as_json: AsJson = False) -> None:
+def export(
+    out: Annotated[str, typer.Option("--out", help="The file; one that is there is gone on with.")],
+    path: Path = "",
+    kind: Annotated[str, typer.Option("--format", help="jsonl or csv.")] = "jsonl",
+    first: Annotated[int, typer.Option("--from", help="The first entry; else the first that is kept.")] = 0,
+    as_json: AsJson = False,
+) -> None:
     """Write entries to a file. An interrupted export is gone on with by the same command."""
     from ..ledger.files import export as write
+
     if kind not in ("jsonl", "csv"):
         raise fail(f"--format: {kind!r} is neither jsonl nor csv")
     store = _open(path)
@@ -123,12 +145,17 @@
 
 
 @app.command()
-def push(url: Annotated[str, typer.Option(help="Billing: http://address:port/path")], path: Path = "",
-         batch: int = 100, patience: Annotated[float, typer.Option(help="Seconds without an entry taken.")] = 30.0,
-         as_json: AsJson = False) -> None:
+def push(
+    url: Annotated[str, typer.Option(help="Billing: http://address:port/path")],
+    path: Path = "",
+    batch: int = 100,
+    patience: Annotated[float, typer.Option(help="Seconds without an entry taken.")] = 30.0,
+    as_json: AsJson = False,
+) -> None:
     """Send a stopped daemon's entries to billing, under the ids that they have."""
     from ..ledger.push import push as send
     from ..operator import billing_address
+
     try:
         at, target = billing_address(url, "--url")
     except ConfigError as error:
@@ -149,9 +176,12 @@
 
 
 @app.command()
-def replay(first: Annotated[int, typer.Option("--from", help="The first entry that billing lost.")],
+def replay(
+    first: Annotated[int, typer.Option("--from", help="The first entry that billing lost.")],
     control: Where = [],  # noqa: B006
-    path: Path = "", as_json: AsJson = False) -> None:
+    path: Path = "",
+    as_json: AsJson = False,
+) -> None:
     """Send entries again, under the ids that they have: billing was restored from an older backup."""
     if path:
         store = _open(path, write=True)
--- a/brackenpulley/commands/members.py
+++ b/brackenpulley/commands/members.py
@@ -19,10 +19,22 @@
 def status(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
     """Each daemon's view of the others."""
     found = [call(one, "GET", "/v1/members") for one in controls(control)]
-    show(found, as_json, ["id", "address", "members", "score", "dead", "key in use"], [
-        [one["id"], one.get("address"), one["members"], one.get("score"),
-         ", ".join(n for n, state in one.get("others", {}).items() if state == "dead"), one.get("keys", [""])[0]]
-        for one in found])
+    show(
+        found,
+        as_json,
+        ["id", "address", "members", "score", "dead", "key in use"],
+        [
+            [
+                one["id"],
+                one.get("address"),
+                one["members"],
+                one.get("score"),
+                ", ".join(n for n, state in one.get("others", {}).items() if state == "dead"),
+                one.get("keys", [""])[0],
+            ]
+            for one in found
+        ],
+    )
 
 
 def _all(control: list[str], body: dict[str, Any], as_json: bool) -> None:
@@ -35,8 +47,12 @@
         except typer.Exit:
             left = " ".join(other.name for other in named[done:])
             raise fail(f"keys {body['step']}: done on {done} of {len(named)}; left: {left}", 1) from None
-    show(found, as_json, ["control", "keys, the one in use first"], [
-        [row["control"], ", ".join(row["keys"])] for row in found])
+    show(
+        found,
+        as_json,
+        ["control", "keys, the one in use first"],
+        [[row["control"], ", ".join(row["keys"])] for row in found],
+    )
 
 
 @keys.command()
@@ -46,8 +62,11 @@
 
 
 @keys.command()
-def add(file: Annotated[str, typer.Argument(help="File with the key, base64.")], control: Where = [],  # noqa: B006
-        as_json: AsJson = False) -> None:
+def add(
+    file: Annotated[str, typer.Argument(help="File with the key, base64.")],
+    control: Where = [],  # noqa: B006
+    as_json: AsJson = False,
+) -> None:
     """Step 1: all members can read what is sealed under it."""
     try:
         with open(file, encoding="ascii") as opened:
--- a/brackenpulley/commands/plans.py
+++ b/brackenpulley/commands/plans.py
@@ -13,8 +13,13 @@
 
 app = typer.Typer(no_args_is_help=True, help="The plan book: figures of each plan, and which firm is on which plan.")
 LEAD = 10.0  # s until a change takes effect, so that every daemon has heard of it by then
-Lead = Annotated[float, typer.Option("--in", help="Seconds until it takes effect. All daemons apply it at that "
-                                                  "instant, if they have heard of it by then.")]
+Lead = Annotated[
+    float,
+    typer.Option(
+        "--in",
+        help="Seconds until it takes effect. All daemons apply it at that instant, if they have heard of it by then.",
+    ),
+]
 Since = Annotated[float, typer.Option("--since", help="Or the Unix time from which it holds.")]
 Note = Annotated[str, typer.Option("--note", help="Why, for the history.")]
 
@@ -28,8 +33,12 @@
     found = controls(told)
     revisions = {control.name: int(call(control, "GET", "/v1/plans")["revision"]) for control in found}
     if len(set(revisions.values())) > 1:
-        raise fail("daemons hold different revisions (" + ", ".join(
-            f"{name}: {revision}" for name, revision in revisions.items()) + "); run `plans sync` first", 1)
+        raise fail(
+            "daemons hold different revisions ("
+            + ", ".join(f"{name}: {revision}" for name, revision in revisions.items())
+            + "); run `plans sync` first",
+            1,
+        )
     at = time.time()
     change = {"revision": max(revisions.values()) + 1, "at": at, **change}
     if change["kind"] != "withdraw":
@@ -40,29 +49,45 @@
         try:
             control.call("POST", "/v1/changes", change)
         except ControlError as error:
-            rest = f"; {', '.join(taken)} took it: run `plans sync` when {control.name} is back" if taken else (
-                "; nothing was changed")
+            rest = (
+                f"; {', '.join(taken)} took it: run `plans sync` when {control.name} is back"
+                if taken
+                else ("; nothing was changed")
+            )
             raise fail(f"{control.name}: {error}{rest}", 1) from None
         taken.append(control.name)
     holds = moment(change["since"]) if change.get("since") else ""
-    show({"change": change, "taken": taken}, as_json, ["revision", "kind", "holds from", "taken by"],
-         [[change["revision"], change["kind"], holds, " ".join(taken)]])
+    show(
+        {"change": change, "taken": taken},
+        as_json,
+        ["revision", "kind", "holds from", "taken by"],
+        [[change["revision"], change["kind"], holds, " ".join(taken)]],
+    )
 
 
 @app.command("list")
 def list_plans(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
     """Plans and their figures as they hold now."""
     found = call(controls(control)[0], "GET", "/v1/plans")
-    show(found, as_json, ["plan", "units/s", "burst", "open", "price", "since revision"],
-         [[p["plan"], f"{p['rate']:g}", f"{p['burst']:g}", p["open"] or "", f"{p['price']:g}", p["revision"]]
-          for p in found["plans"]], f"book at revision {found['revision']}")
+    show(
+        found,
+        as_json,
+        ["plan", "units/s", "burst", "open", "price", "since revision"],
+        [
+            [p["plan"], f"{p['rate']:g}", f"{p['burst']:g}", p["open"] or "", f"{p['price']:g}", p["revision"]]
+            for p in found["plans"]
+        ],
+        f"book at revision {found['revision']}",
+    )
 
 
 @app.command("show")
-def show_one(name: Annotated[str, typer.Argument(help="A plan's name, or a firm (16 hexadecimal digits).")],
-             when: Annotated[float, typer.Option("--when", help="As of this Unix time.")] = 0.0,
+def show_one(
+    name: Annotated[str, typer.Argument(help="A plan's name, or a firm (16 hexadecimal digits).")],
+    when: Annotated[float, typer.Option("--when", help="As of this Unix time.")] = 0.0,
     control: Where = [],  # noqa: B006
-    as_json: AsJson = False) -> None:
+    as_json: AsJson = False,
+) -> None:
     """A plan's figures or a firm's plan, now or at any past moment."""
     one, query = controls(control)[0], f"?when={when:.6f}" if when else ""
     firm = len(name) == 16 and all(c in "0123456789abcdef" for c in name.lower())
@@ -71,25 +96,48 @@
 
 
 @app.command("set")
-def set_plan(plan: str, rate: Annotated[float, typer.Option("--rate", help="Units a second for each firm.")],
-             burst: Annotated[float, typer.Option("--burst", help="Units that may be used at once.")],
-             open_most: Annotated[int, typer.Option("--open", help="Attempts out at once; 0 = no cap.")] = 0,
-             price: float = 1.0, over_worth: float = 0.0, over_cost: float = 0.0, ceiling_rate: float = 0.0,
-             ceiling_burst: float = 0.0, ceiling_slack: float = 0.0, lead: Lead = LEAD, since: Since = 0.0,
-             note: Note = "",
+def set_plan(
+    plan: str,
+    rate: Annotated[float, typer.Option("--rate", help="Units a second for each firm.")],
+    burst: Annotated[float, typer.Option("--burst", help="Units that may be used at once.")],
+    open_most: Annotated[int, typer.Option("--open", help="Attempts out at once; 0 = no cap.")] = 0,
+    price: float = 1.0,
+    over_worth: float = 0.0,
+    over_cost: float = 0.0,
+    ceiling_rate: float = 0.0,
+    ceiling_burst: float = 0.0,
+    ceiling_slack: float = 0.0,
+    lead: Lead = LEAD,
+    since: Since = 0.0,
+    note: Note = "",
     control: Where = [],  # noqa: B006
-    as_json: AsJson = False) -> None:
+    as_json: AsJson = False,
+) -> None:
     """New figures for a plan, or a new plan."""
-    figures = {"rate": rate, "burst": burst, "open": open_most, "price": price, "over_worth": over_worth,
-               "over_cost": over_cost, "ceiling_rate": ceiling_rate, "ceiling_burst": ceiling_burst,
-               "ceiling_slack": ceiling_slack}
+    figures = {
+        "rate": rate,
+        "burst": burst,
+        "open": open_most,
+        "price": price,
+        "over_worth": over_worth,
+        "over_cost": over_cost,
+        "ceiling_rate": ceiling_rate,
+        "ceiling_burst": ceiling_burst,
+        "ceiling_slack": ceiling_slack,
+    }
     _decide(control, as_json, kind="set", plan=plan, figures=figures, lead=lead, since=since, note=note)
 
 
 @app.command()
-def move(firm: str, plan: str, lead: Lead = LEAD, since: Since = 0.0, note: Note = "",
+def move(
+    firm: str,
+    plan: str,
+    lead: Lead = LEAD,
+    since: Since = 0.0,
+    note: Note = "",
     control: Where = [],  # noqa: B006
-    as_json: AsJson = False) -> None:
+    as_json: AsJson = False,
+) -> None:
     """Put a firm on a plan. What is missing from its store goes on missing."""
     _decide(control, as_json, kind="move", firm=firm, plan=plan, lead=lead, since=since, note=note)
 
@@ -105,10 +153,22 @@
     """Every change, or those of one plan or firm."""
     found = _history(controls(control)[0], f"&plan={plan}&firm={firm}")
     gone = set(found["withdrawn"])
-    show(found, as_json, ["revision", "kind", "of", "holds from", "decided", "note"], [
-        [c["revision"], c["kind"] + (" (withdrawn)" if c["revision"] in gone else ""),
-         c.get("firm", "") and f"{c['firm']} -> {c['plan']}" or c.get("plan") or f"revision {c.get('of')}",
-         moment(c["since"]) if c.get("since") else "", moment(c["at"]), c.get("note", "")] for c in found["changes"]])
+    show(
+        found,
+        as_json,
+        ["revision", "kind", "of", "holds from", "decided", "note"],
+        [
+            [
+                c["revision"],
+                c["kind"] + (" (withdrawn)" if c["revision"] in gone else ""),
+                c.get("firm", "") and f"{c['firm']} -> {c['plan']}" or c.get("plan") or f"revision {c.get('of')}",
+                moment(c["since"]) if c.get("since") else "",
+                moment(c["at"]),
+                c.get("note", ""),
+            ]
+            for c in found["changes"]
+        ],
+    )
 
 
 def _history(control: Control, query: str = "", after: int = 0) -> dict[str, Any]:
@@ -124,7 +184,8 @@
 @app.command()
 def sync(
     control: Where = [],  # noqa: B006
-    as_json: AsJson = False) -> None:
+    as_json: AsJson = False,
+) -> None:
     """Tell each daemon the changes that it has missed, from the one that has most."""
     found = controls(control)
     revisions = {one: int(call(one, "GET", "/v1/plans")["revision"]) for one in found}
@@ -135,5 +196,10 @@
         for change in missed:
             call(one, "POST", "/v1/changes", change)
         sent[one.name] = len(missed)
-    show({"revision": revisions[source], "sent": sent}, as_json, ["daemon", "changes sent"], list(sent.items()),
-         f"book at revision {revisions[source]}")
+    show(
+        {"revision": revisions[source], "sent": sent},
+        as_json,
+        ["daemon", "changes sent"],
+        list(sent.items()),
+        f"book at revision {revisions[source]}",
+    )
--- a/brackenpulley/commands/reservations.py
+++ b/brackenpulley/commands/reservations.py
@@ -21,20 +21,37 @@
 def list_held(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
     """What is held now, the one that ends first at the top."""
     found = call(controls(control)[0], "GET", "/v1/reservations")
-    show(found, as_json, COLUMNS, [[one[name] for name in COLUMNS] for one in found["reservations"]],
-         f"{found['held']} held, {found['units']:g} units")
+    show(
+        found,
+        as_json,
+        COLUMNS,
+        [[one[name] for name in COLUMNS] for one in found["reservations"]],
+        f"{found['held']} held, {found['units']:g} units",
+    )
 
 
 @app.command()
-def reserve(firm: str, units: float, lifetime: Annotated[float, typer.Option(help="Seconds until it ends.")] = 10.0,
-            ident: Annotated[str, typer.Option("--id", help="Made up where not given; the same one may be sent again.")]
-            = "", plan: Annotated[str, typer.Option(help="Where the book does not know the firm.")] = "",
-            spread: int = 1, first: int = 0,
+def reserve(
+    firm: str,
+    units: float,
+    lifetime: Annotated[float, typer.Option(help="Seconds until it ends.")] = 10.0,
+    ident: Annotated[str, typer.Option("--id", help="Made up where not given; the same one may be sent again.")] = "",
+    plan: Annotated[str, typer.Option(help="Where the book does not know the firm.")] = "",
+    spread: int = 1,
+    first: int = 0,
     control: Where = [],  # noqa: B006
-    as_json: AsJson = False) -> None:
+    as_json: AsJson = False,
+) -> None:
     """Hold units for a firm; a message names them with X-Reservation."""
-    body = {"id": ident or secrets.token_hex(8), "firm": firm, "units": units, "lifetime": lifetime, "plan": plan,
-            "spread": spread, "first": first}
+    body = {
+        "id": ident or secrets.token_hex(8),
+        "firm": firm,
+        "units": units,
+        "lifetime": lifetime,
+        "plan": plan,
+        "spread": spread,
+        "first": first,
+    }
     _show(call(controls(control)[0], "POST", "/v1/reservations", body), as_json)
 
 
--- a/brackenpulley/config.py
+++ b/brackenpulley/config.py
@@ -73,12 +73,19 @@
     if env.get("BALANCER_CONTROL"):  # a supervisor's word goes before the file's
         operator = replace(operator, control=ControlPart(local(env["BALANCER_CONTROL"], "BALANCER_CONTROL")))
     return Config(
-        name=str(told("BALANCER_NAME", "name")), listen=address(told("BALANCER_LISTEN", "listen"), "listen"),
+        name=str(told("BALANCER_NAME", "name")),
+        listen=address(told("BALANCER_LISTEN", "listen"), "listen"),
         discovery=None if operator.xds else address(told("BALANCER_DISCOVERY", "discovery"), "discovery"),
         counter=address(raw["counter"], "counter") if raw.get("counter") else None,
-        seed=seed, sockets=sockets, memory_mb=memory_mb, known=_object(raw.get("known", {}), "known"), settings=rules,
-        transport=conns, operator=operator,
-        console=address(console, "console") if console else None)
+        seed=seed,
+        sockets=sockets,
+        memory_mb=memory_mb,
+        known=_object(raw.get("known", {}), "known"),
+        settings=rules,
+        transport=conns,
+        operator=operator,
+        console=address(console, "console") if console else None,
+    )
 
 
 def _read(path: str, env: Mapping[str, str], operator: Operator | None) -> Config:
--- a/brackenpulley/configuration/force.py
+++ b/brackenpulley/configuration/force.py
@@ -41,8 +41,9 @@
         return Here(not node.halted and agreement.machine.index >= node.commit, now if led else -inf, led)
     if follower is None:
         return Here(False)
-    return Here(follower.heard > -inf and agreement.machine.index >= follower.commit, follower.led,
-                now - follower.led < LED)
+    return Here(
+        follower.heard > -inf and agreement.machine.index >= follower.commit, follower.led, now - follower.led < LED
+    )
 
 
 @dataclass(slots=True)
@@ -93,9 +94,15 @@
             self.content = log.content.copy()
         else:
             new = log.content
-            self.content.apply(Change(self.number, "", {name: new.plans.get(name) for name in taken.plans},
-                                      {firm: new.firms.get(firm) for firm in taken.firms},
-                                      {name: new.addresses.get(name) for name in taken.addresses}))
+            self.content.apply(
+                Change(
+                    self.number,
+                    "",
+                    {name: new.plans.get(name) for name in taken.plans},
+                    {firm: new.firms.get(firm) for firm in taken.firms},
+                    {name: new.addresses.get(name) for name in taken.addresses},
+                )
+            )
         self.number, self.at, self.mark, self.since = log.number, log.at, log.mark, now
         self.source = "log" if log.number else "file"
         return taken
@@ -115,8 +122,12 @@
 
 def _differences(old: Content, new: Content) -> Taken:
     names = [name for name in {**old.plans, **new.plans} if old.plans.get(name) != new.plans.get(name)]
-    firms = list(new.firms) if not old.firms else [firm for firm in old.firms.keys() | new.firms.keys()
-                                                   if old.firms.get(firm) != new.firms.get(firm)]
-    addresses = [name for name in {**old.addresses, **new.addresses}
-                 if old.addresses.get(name) != new.addresses.get(name)]
+    firms = (
+        list(new.firms)
+        if not old.firms
+        else [firm for firm in old.firms.keys() | new.firms.keys() if old.firms.get(firm) != new.firms.get(firm)]
+    )
+    addresses = [
+        name for name in {**old.addresses, **new.addresses} if old.addresses.get(name) != new.addresses.get(name)
+    ]
     return Taken(names, firms, addresses)
--- a/brackenpulley/configuration/revisions.py
+++ b/brackenpulley/configuration/revisions.py
@@ -88,8 +88,9 @@
         undo = self.content.undo(change)
         self.content.apply(change)
         self.number, self.at, self.mark = self.number + 1, at, mark_of(self.mark, said)
-        self.history.append(Revision(self.number, at, change.by, change.note, self.mark, said, undo,
-                                     len(encoded(undo))))
+        self.history.append(
+            Revision(self.number, at, change.by, change.note, self.mark, said, undo, len(encoded(undo)))
+        )
         held = sum(row.size for row in self.history)
         while held > HISTORY or len(self.history) > ROWS:
             held -= self.history.popleft().size
@@ -124,10 +125,14 @@
                 firms.update(row.undo.firms)
                 addresses.update(row.undo.addresses)
         now = self.content
-        return Change(self.number, by, {k: v for k, v in plans.items() if now.plans.get(k) != v},
-                      {k: v for k, v in firms.items() if now.firms.get(k) != v},
-                      {k: v for k, v in addresses.items() if now.addresses.get(k) != v},
-                      f"back to revision {number}")
+        return Change(
+            self.number,
+            by,
+            {k: v for k, v in plans.items() if now.plans.get(k) != v},
+            {k: v for k, v in firms.items() if now.firms.get(k) != v},
+            {k: v for k, v in addresses.items() if now.addresses.get(k) != v},
+            f"back to revision {number}",
+        )
 
     def touched(self, mark: bytes) -> Change | None:
         """Entries that changed after the revision of that mark, by name; None where that is too long ago."""
--- a/brackenpulley/configuration/rollcall.py
+++ b/brackenpulley/configuration/rollcall.py
@@ -36,8 +36,7 @@
     silent: float = 0.0  # since when; 0 = it is there
 
 
-def pack(name: str, number: int, mark: bytes, since: float, born: float = 0.0,
-         times: int = 0) -> bytes:
+def pack(name: str, number: int, mark: bytes, since: float, born: float = 0.0, times: int = 0) -> bytes:
     return _encode(Has(name, number, mark[:4], round(since, 3), round(born, 3), times))
 
 
@@ -77,7 +76,16 @@
             if not row.silent:
                 there[row.has.number] = there.get(row.has.number, 0) + 1
         silent = sorted((row.silent, name) for name, row in self.rows.items() if row.silent)
-        return {"byRevision": {str(number): there[number] for number in sorted(there)}, "silent": len(silent),
-                "silentNamed": [{"name": name, "revision": self.rows[name].has.number, "silentS": round(now - since, 1),
-                                 "revisionAgeS": round(now - self.rows[name].has.since, 1)}
-                                for since, name in silent[:NAMED]]}
+        return {
+            "byRevision": {str(number): there[number] for number in sorted(there)},
+            "silent": len(silent),
+            "silentNamed": [
+                {
+                    "name": name,
+                    "revision": self.rows[name].has.number,
+                    "silentS": round(now - since, 1),
+                    "revisionAgeS": round(now - self.rows[name].has.since, 1),
+                }
+                for since, name in silent[:NAMED]
+            ],
+        }
--- a/brackenpulley/configuration/rules.py
+++ b/brackenpulley/configuration/rules.py
@@ -81,8 +81,12 @@
     @property
     def size(self) -> int:
         """Bytes of a snapshot of it, at most."""
-        return (len(self.firms) * FIRM_BYTES + _named(self.plans) + _named(self.addresses)
-                + sum(2 * (len(name.encode()) + ROW_BYTES) for name in self.plans))
+        return (
+            len(self.firms) * FIRM_BYTES
+            + _named(self.plans)
+            + _named(self.addresses)
+            + sum(2 * (len(name.encode()) + ROW_BYTES) for name in self.plans)
+        )
 
     def apply(self, change: Change) -> None:
         """`check` has passed it."""
@@ -100,9 +104,13 @@
 
     def undo(self, change: Change) -> Change:
         """What takes the change back, as a change on the revision that it makes."""
-        return Change(change.base + 1, "", {name: self.plans.get(name) for name in change.plans},
-                      {firm: self.firms.get(firm) for firm in change.firms},
-                      {name: self.addresses.get(name) for name in change.addresses})
+        return Change(
+            change.base + 1,
+            "",
+            {name: self.plans.get(name) for name in change.plans},
+            {firm: self.firms.get(firm) for firm in change.firms},
+            {name: self.addresses.get(name) for name in change.addresses},
+        )
 
     def copy(self) -> Content:
         return Content(dict(self.plans), dict(self.firms), dict(self.addresses), Counter(self.on))
@@ -131,11 +139,15 @@
         raise ChangeError("note", f"{len(change.note)} characters, {NOTE} at most")
     if not change.entries:
         raise ChangeError("plans", "no change of plans, firms or addresses")
-    for size, what in ((len(encoded(change)), "the change"),
-                       (len(encoded(content.undo(change))), "what takes it back")):
+    for size, what in (
+        (len(encoded(change)), "the change"),
+        (len(encoded(content.undo(change))), "what takes it back"),
+    ):
         if size > limits.change:
-            raise ChangeError("firms" if change.firms else "plans",
-                              f"{what} has {size} bytes, {limits.change} at most: make several of it")
+            raise ChangeError(
+                "firms" if change.firms else "plans",
+                f"{what} has {size} bytes, {limits.change} at most: make several of it",
+            )
     for name, figures in change.plans.items():
         _check_plan(name, figures)
     for name, at in change.addresses.items():
@@ -154,8 +166,9 @@
         try:
             spec_of(name, figures)
         except BookError as error:
-            raise ChangeError(f"plans.{name}.{error.field.removeprefix('figures').lstrip('.') or 'figures'}",
-                              error.text) from None
+            raise ChangeError(
+                f"plans.{name}.{error.field.removeprefix('figures').lstrip('.') or 'figures'}", error.text
+            ) from None
 
 
 def _check_address(name: str, at: str) -> None:
@@ -191,16 +204,20 @@
     for key, value in new.items():
         for sign, one in ((1, value), (-1, table.get(key))):
             if one is not None:
-                entries, size = entries + sign, size + sign * (each or _named({key: one}) + row * (
-                    len(key.encode()) + ROW_BYTES))
+                entries, size = (
+                    entries + sign,
+                    size + sign * (each or _named({key: one}) + row * (len(key.encode()) + ROW_BYTES)),
+                )
     return entries, size
 
 
 def _check_room(change: Change, content: Content, limits: Limits) -> None:
     entries, size = content.entries, content.size
-    for more, bytes_more in (_grown(content.plans, change.plans, row=2),
-                             _grown(content.firms, change.firms, FIRM_BYTES),
-                             _grown(content.addresses, change.addresses)):
+    for more, bytes_more in (
+        _grown(content.plans, change.plans, row=2),
+        _grown(content.firms, change.firms, FIRM_BYTES),
+        _grown(content.addresses, change.addresses),
+    ):
         entries, size = entries + more, size + bytes_more
     what = "firms" if change.firms else "plans" if change.plans else "addresses"
     if entries > limits.entries and entries > content.entries:
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -56,8 +56,10 @@
         self.force = InForce(self.loop.clock())
         self.roll = RollCall()
         self._file = {plan.name: plan for plan in daemon.config.settings.plans}
-        self._addresses: dict[str, Address | None] = {"discovery": daemon.config.discovery,
-                                                      "counter": daemon.config.counter}
+        self._addresses: dict[str, Address | None] = {
+            "discovery": daemon.config.discovery,
+            "counter": daemon.config.counter,
+        }
         self._gone: set[str] = set()  # plans that neither the file nor the revision in force has
         self._told_at, self._told, self._times = -1e9, b"", 0
         self._returned_at, self._size = -1e9, 0
@@ -126,8 +128,13 @@
             return
         self._put(taken)
         self.metrics.add("configuration_taken")
-        self.log.info("configuration", revision=self.force.number, plans=len(taken.plans), firms=len(taken.firms),
-                      agreed_s=round(now - self.force.at, 3))
+        self.log.info(
+            "configuration",
+            revision=self.force.number,
+            plans=len(taken.plans),
+            firms=len(taken.firms),
+            agreed_s=round(now - self.force.at, 3),
+        )
         if self.told.path and self._saving is None:
             self._saving = self.loop.call_in(SAVE + SAVE_EACH * self.force.content.entries, self._save)
 
@@ -161,8 +168,10 @@
     def addresses(self, discovery: Address | None, counter: Address | None) -> tuple[Address | None, Address | None]:
         """Those of the file, or of the revision in force where it names them."""
         self._addresses = {"discovery": discovery, "counter": counter}
-        found = {name: address(told, name) if (told := self.force.content.addresses.get(name)) else file
-                 for name, file in self._addresses.items()}
+        found = {
+            name: address(told, name) if (told := self.force.content.addresses.get(name)) else file
+            for name, file in self._addresses.items()
+        }
         return found["discovery"], found["counter"]
 
     def _save(self) -> None:
@@ -189,8 +198,9 @@
         self._size = protocol.size
         if now < self._told_at + ROW * protocol.size / RATE:
             return
-        value = pack_row(self.daemon.config.name, self.force.number, self.force.mark, self.force.since,
-                         self.force.born, self._times)
+        value = pack_row(
+            self.daemon.config.name, self.force.number, self.force.mark, self.force.since, self.force.born, self._times
+        )
         if value != self._told:
             self._told_at, self._told = now, value
             records.publish(KIND, "", value)
@@ -220,6 +230,7 @@
 
         def over(outcome: Any) -> None:
             done(None if outcome is None else outcome.answer)
+
         if not agreement.propose(self.loop.clock(), PART, pack_change(change, self.fleet), patience, over):
             done({"error": "too many calls at once", "field": "base"})
         self.agreement.said()
@@ -245,26 +256,38 @@
     def firm(self, text: str) -> dict[str, Any]:
         """Raises BookError."""
         number = firm_of(text)
-        return {"firm": firm_text(number), "plan": self.force.content.firms.get(number),
-                "revision": self.force.number}
+        return {"firm": firm_text(number), "plan": self.force.content.firms.get(number), "revision": self.force.number}
 
     def shown(self) -> dict[str, Any]:
         content = self.force.content
-        return {**self.status(), "plans": content.plans, "addresses": content.addresses,
-                "limits": {"entries": self.limits.entries, "bytes": self.limits.size, "change": self.limits.change}}
+        return {
+            **self.status(),
+            "plans": content.plans,
+            "addresses": content.addresses,
+            "limits": {"entries": self.limits.entries, "bytes": self.limits.size, "change": self.limits.change},
+        }
 
     def history(self) -> list[dict[str, Any]]:
         if self.agreement.agreement is None:
             return []
-        return [{"revision": row.number, "at": row.at, "by": row.by, "note": row.note, "entries": row.undo.entries}
-                for row in self.revisions.history]
+        return [
+            {"revision": row.number, "at": row.at, "by": row.by, "note": row.note, "entries": row.undo.entries}
+            for row in self.revisions.history
+        ]
 
     def status(self) -> dict[str, Any]:
         now, force, agreement = self.loop.clock(), self.force, self.agreement.agreement
         found: dict[str, Any] = {
-            "revision": force.number, "mark": force.mark.hex(), "from": force.source, "agreedAt": force.at,
-            "since": round(force.since, 3), "logSilentS": round(force.silent(now), 1),
-            "firms": len(force.content.firms), "entries": force.content.entries, "bytes": force.content.size}
+            "revision": force.number,
+            "mark": force.mark.hex(),
+            "from": force.source,
+            "agreedAt": force.at,
+            "since": round(force.since, 3),
+            "logSilentS": round(force.silent(now), 1),
+            "firms": len(force.content.firms),
+            "entries": force.content.entries,
+            "bytes": force.content.size,
+        }
         if agreement is not None:
             found["inLog"] = self.revisions.number
             if self.revisions.spoilt:
--- a/brackenpulley/configuration/wire.py
+++ b/brackenpulley/configuration/wire.py
@@ -107,8 +107,11 @@
     for plan in sorted(groups):
         firms = sorted(groups[plan])
         split = bisect_left(firms, HALF)
-        rows += [Row(plan, base, len(part), _squeezed(part, base))
-                 for base, part in ((0, firms[:split]), (HALF, firms[split:])) if part]
+        rows += [
+            Row(plan, base, len(part), _squeezed(part, base))
+            for base, part in ((0, firms[:split]), (HALF, firms[split:]))
+            if part
+        ]
     return _encode(Packed(dict(sorted(content.plans.items())), dict(sorted(content.addresses.items())), rows))
 
 
--- a/brackenpulley/consensus/agreement.py
+++ b/brackenpulley/consensus/agreement.py
@@ -50,8 +50,17 @@
 
 
 class Agreement:
-    def __init__(self, ident: str, name: str, voters: Seats, machine: Callable[[], Machine], rng: random.Random,
-                 now: float, disk: Disk | None = None, timing: Timing | None = None) -> None:
+    def __init__(
+        self,
+        ident: str,
+        name: str,
+        voters: Seats,
+        machine: Callable[[], Machine],
+        rng: random.Random,
+        now: float,
+        disk: Disk | None = None,
+        timing: Timing | None = None,
+    ) -> None:
         """`ident` is of this life, `name` outlives it; `voters` are those of the settings."""
         self.id, self.name, self.voters, self.rng, self.now = ident, name, voters, rng, now
         self.timing, self._disk, self._make = timing or Timing(), disk, machine
--- a/brackenpulley/consensus/raft.py
+++ b/brackenpulley/consensus/raft.py
@@ -139,8 +139,16 @@
 class Node:
     """`founders` are those of the settings; they count only while all of them are fresh."""
 
-    def __init__(self, name: str, kept: Kept, rng: random.Random, now: float, timing: Timing | None = None,
-                 proved: bool = True, founders: Seats | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        kept: Kept,
+        rng: random.Random,
+        now: float,
+        timing: Timing | None = None,
+        proved: bool = True,
+        founders: Seats | None = None,
+    ) -> None:
         self.name, self.rng, self.now, self.timing = name, rng, now, timing or Timing()
         self.term, self.vote, self.base, self.entries = kept.term, kept.vote, kept.snapshot, list(kept.entries)
         self.founders = dict(founders or {})
@@ -206,7 +214,7 @@
         begin = max(0, index - self.base.index)
         found: list[Entry] = []
         size = 0
-        for entry in self.entries[begin:begin + most]:
+        for entry in self.entries[begin : begin + most]:
             size += len(entry.data) + 40
             if found and size > BATCH_BYTES:
                 break
@@ -218,8 +226,9 @@
         one can lead yet, and an entry of its own term is committed."""
         if self.role != LEADER or self.halted or self.commit < self._opened or self.applied < self.commit:
             return False
-        times = sorted([now if name == self.name else self.peers[name].confirmed for name in self.config.voters],
-                       reverse=True)
+        times = sorted(
+            [now if name == self.name else self.peers[name].confirmed for name in self.config.voters], reverse=True
+        )
         since = times[self.config.majority - 1]
         return now < since + self.timing.election * (1 - self.timing.drift)
 
@@ -233,8 +242,9 @@
             self._asked(source, word)
         elif isinstance(word, Where):
             if source in self._known():
-                self._send(source, Here(word.nonce, self.nonce, self.fresh, self.term, self.last,
-                                        self.term_at(self.last)))
+                self._send(
+                    source, Here(word.nonce, self.nonce, self.fresh, self.term, self.last, self.term_at(self.last))
+                )
         elif isinstance(word, Here):
             self._here(source, word)
         elif isinstance(word, Found):
@@ -307,8 +317,9 @@
                 return f"no voter {name}", []
             if len(config.voters) == 1 and name in config.voters:
                 return "the last voter cannot go", []
-            made = Config(*({n: at for n, at in seats.items() if n != name} for seats in (
-                config.voters, config.learners)))
+            made = Config(
+                *({n: at for n, at in seats.items() if n != name} for seats in (config.voters, config.learners))
+            )
         self._add("seats", pack_config(made))
         self._spread()
         return "", self._effects()
@@ -317,8 +328,11 @@
         """It goes, and asks the one whose log is longest to lead: nobody waits for a time-out."""
         self.now = max(self.now, now)
         if self.role == LEADER and not self.halted:
-            others = [(p.match, name) for name, p in self.peers.items()
-                      if name in self.config.voters and self.now - p.heard < self.timing.election]
+            others = [
+                (p.match, name)
+                for name, p in self.peers.items()
+                if name in self.config.voters and self.now - p.heard < self.timing.election
+            ]
             term = self.term
             self._follow(term, "")
             self._heard = self.now  # it does not stand itself before the other one could
@@ -332,7 +346,7 @@
             config = [c for at, c in self._configs if at <= index][-1]
             entry = self.entries[index - self.base.index - 1]
             made = Snapshot(index, entry.term, config, data, entry.at)
-            del self.entries[:index - self.base.index]
+            del self.entries[: index - self.base.index]
             self.base = self._snapshot = made
             self._configs = [(index, config), *((at, c) for at, c in self._configs if at > index)]
         return self._effects()
@@ -373,8 +387,9 @@
             return
         if word.term > self.term:
             self._follow(word.term, "")
-        granted = (word.term == self.term and self.vote in ("", source)
-                   and not self._behind(word.last_term, word.last_index))
+        granted = (
+            word.term == self.term and self.vote in ("", source) and not self._behind(word.last_term, word.last_index)
+        )
         if granted:
             self.vote = source
             self._rest()
@@ -399,8 +414,14 @@
         self._elected()
 
     def _granted(self, source: str, word: Vote) -> None:
-        asked = (self.role == ASKING and word.pre and word.term == self.term + 1
-                 or self.role == CANDIDATE and not word.pre and word.term == self.term)
+        asked = (
+            self.role == ASKING
+            and word.pre
+            and word.term == self.term + 1
+            or self.role == CANDIDATE
+            and not word.pre
+            and word.term == self.term
+        )
         if asked and word.granted and source in self.config.voters:
             self.votes.add(source)
             self._elected()
@@ -437,8 +458,9 @@
         self.peers = {name: self.peers.get(name) or Progress(self.last + 1) for name in wanted}
 
     def _majority_heard(self) -> bool:
-        heard = sum(name == self.name or self.now - self.peers[name].heard < self.timing.election
-                    for name in self.config.voters)
+        heard = sum(
+            name == self.name or self.now - self.peers[name].heard < self.timing.election for name in self.config.voters
+        )
         return heard >= self.config.majority
 
     def _beat(self) -> None:
@@ -469,8 +491,12 @@
                 self._send(name, Append(self.term, self.last + 1, NEVER, [], 0, self._round))
             return
         entries = self.after(peer.next - 1)
-        self._send(name, Append(self.term, peer.next - 1, self.term_at(peer.next - 1), entries, self.commit,
-                                self._round, peer.cleared))
+        self._send(
+            name,
+            Append(
+                self.term, peer.next - 1, self.term_at(peer.next - 1), entries, self.commit, self._round, peer.cleared
+            ),
+        )
         peer.next += len(entries)  # lost ones are met by the answer to what follows
 
     def _appended(self, source: str, word: Appended) -> None:
@@ -495,8 +521,13 @@
         peer.next = max(peer.next, peer.match + 1)
         self._advance()
         self._show(source, peer)
-        if (self.role == LEADER and source in self.config.learners and not word.nonce and peer.match >= self.last
-                and self.settled):
+        if (
+            self.role == LEADER
+            and source in self.config.learners
+            and not word.nonce
+            and peer.match >= self.last
+            and self.settled
+        ):
             voters = {**self.config.voters, source: self.config.learners[source]}
             learners = {name: at for name, at in self.config.learners.items() if name != source}
             self._add("seats", pack_config(Config(voters, learners)))
@@ -509,15 +540,19 @@
         held then."""
         if not peer.nonce or peer.cleared or peer.match < peer.nonce_index:
             return
-        sure = sum(name == self.name or self.peers[name].round >= peer.nonce_round
-                   for name in self.config.voters if name != source)
+        sure = sum(
+            name == self.name or self.peers[name].round >= peer.nonce_round
+            for name in self.config.voters
+            if name != source
+        )
         if sure >= self.config.majority:
             peer.cleared = peer.nonce
             self._count("cleared")
 
     def _advance(self) -> None:
-        matches = sorted((self.last if name == self.name else self.peers[name].match for name in self.config.voters),
-                         reverse=True)
+        matches = sorted(
+            (self.last if name == self.name else self.peers[name].match for name in self.config.voters), reverse=True
+        )
         reached = matches[self.config.majority - 1]
         if reached > self.commit and self.term_at(reached) == self.term:
             self._commit_to(reached)
@@ -579,7 +614,7 @@
         """These follow what is held; what stood there is of a leader that has lost."""
         first = entries[0].index
         assert first > self.commit, "what is committed is never replaced"
-        del self.entries[first - self.base.index - 1:]
+        del self.entries[first - self.base.index - 1 :]
         self._configs = [(at, config) for at, config in self._configs if at < first]
         self._first = min(self._first or first, first)
         for entry in entries:
@@ -653,7 +688,7 @@
     def _commit_to(self, index: int) -> None:
         if index > self.commit:
             self.commit = index
-            ready = tuple(self.entries[self.applied - self.base.index:index - self.base.index])
+            ready = tuple(self.entries[self.applied - self.base.index : index - self.base.index])
             self.applied = index
             self._out.append(Apply(ready))
 
@@ -668,7 +703,7 @@
         now = (self.term, self.vote, bool(self.nonce), self.floor)
         if now != self._stored or self._first or self._snapshot is not None:
             first = self._first or self.last + 1
-            entries = tuple(self.entries[max(0, first - self.base.index - 1):])
+            entries = tuple(self.entries[max(0, first - self.base.index - 1) :])
             out.insert(0, Store(*now, first, entries, self._snapshot))
             self._stored, self._first, self._snapshot = now, 0, None
         return out
--- a/brackenpulley/consensus/service.py
+++ b/brackenpulley/consensus/service.py
@@ -22,8 +22,9 @@
 class AgreementService:
     """`parts` are added by whoever keeps an agreed state, before `start`."""
 
-    def __init__(self, loop: Loop, told: ConsensusPart, name: str, members: DaemonMembers, metrics: Metrics,
-                 log: Any) -> None:
+    def __init__(
+        self, loop: Loop, told: ConsensusPart, name: str, members: DaemonMembers, metrics: Metrics, log: Any
+    ) -> None:
         """Raises ConfigError."""
         self.loop, self.told, self.name, self.members = loop, told, name, members
         self.metrics, self.log = metrics, log
@@ -33,8 +34,9 @@
         self._led = ""
         if told.path:
             try:
-                self.store = LogStore(told.path, told.seal or str(Path(told.path).with_suffix(".seal")), name,
-                                      told.size)
+                self.store = LogStore(
+                    told.path, told.seal or str(Path(told.path).with_suffix(".seal")), name, told.size
+                )
             except StoreError as error:
                 raise ConfigError(f"consensus.path: {error}") from None
 
@@ -42,8 +44,14 @@
         """Membership listens by now."""
         try:
             self.agreement = Agreement(
-                self.members.service.id, self.name, dict(self.told.voters), self._machine, random.Random(),
-                self.loop.clock(), self.store)
+                self.members.service.id,
+                self.name,
+                dict(self.told.voters),
+                self._machine,
+                random.Random(),
+                self.loop.clock(),
+                self.store,
+            )
         except StoreError as error:
             raise ConfigError(f"consensus.path: {error}") from None
         self.members.attach(KIND, self.agreement)
@@ -73,13 +81,23 @@
         agreement = self.agreement
         if agreement is None:
             return {"voter": bool(self.told.path), "leader": ""}
-        found: dict[str, Any] = {"voter": agreement.node is not None, "leader": agreement.leader,
-                                 "index": agreement.machine.index, "voters": agreement.seats()}
+        found: dict[str, Any] = {
+            "voter": agreement.node is not None,
+            "leader": agreement.leader,
+            "index": agreement.machine.index,
+            "voters": agreement.seats(),
+        }
         node = agreement.node
         if node is not None and self.store is not None:
-            found.update(role="halted" if node.halted else node.role, term=node.term, commit=node.commit,
-                         proved=node.proved, current=agreement.current(self.loop.clock()),
-                         counts=node.counts, store=self.store.status())
+            found.update(
+                role="halted" if node.halted else node.role,
+                term=node.term,
+                commit=node.commit,
+                proved=node.proved,
+                current=agreement.current(self.loop.clock()),
+                counts=node.counts,
+                store=self.store.status(),
+            )
         return found
 
     def change(self, name: str, address: str) -> str:
--- a/brackenpulley/consensus/store.py
+++ b/brackenpulley/consensus/store.py
@@ -79,12 +79,14 @@
             meta = _meta(data)
         except msgspec.MsgspecError as error:
             self.end()
-            raise StoreError(f"{self.path}: damaged: {error}; empty the folder, the other voters bring this one up "
-                             "again") from None
+            raise StoreError(
+                f"{self.path}: damaged: {error}; empty the folder, the other voters bring this one up again"
+            ) from None
         if meta.format != FORMAT or meta.name != self.name:
             self.end()
-            raise StoreError(f"{self.path}: of voter {meta.name}, format {meta.format}; this is {self.name}, "
-                             f"format {FORMAT}")
+            raise StoreError(
+                f"{self.path}: of voter {meta.name}, format {meta.format}; this is {self.name}, format {FORMAT}"
+            )
         return meta
 
     def _map(self, path: Path) -> mmap.mmap:
@@ -109,15 +111,18 @@
             raise StoreError(f"{self.path}: damaged: {error}") from None
         for at, entry in enumerate(entries):
             if entry.index != snapshot.index + 1 + at:
-                raise StoreError(f"{self.path}: entry {snapshot.index + 1 + at} is missing; empty the folder, the "
-                                 "other voters bring this one up again")
+                raise StoreError(
+                    f"{self.path}: entry {snapshot.index + 1 + at} is missing; empty the folder, the "
+                    "other voters bring this one up again"
+                )
         meta = self._meta
         return Kept(meta.term, meta.vote, meta.unsure, meta.floor, snapshot, entries), sure
 
     def store(self, step: Store) -> bool:
         """False where the disk takes nothing: then nothing of it is stored."""
-        meta = Meta(FORMAT, self.name, self._meta.disk, self._meta.steps + 1, step.term, step.vote, step.unsure,
-                    step.floor)
+        meta = Meta(
+            FORMAT, self.name, self._meta.disk, self._meta.steps + 1, step.term, step.vote, step.unsure, step.floor
+        )
         try:
             with self._env.begin(write=True) as txn:
                 if step.snapshot is not None:
@@ -143,8 +148,12 @@
 
     def status(self) -> dict[str, Any]:
         info, stat = self._env.info(), self._env.stat()
-        return {"path": str(self.path), "steps": self._meta.steps, "failed": self.failed,
-                "bytes": int((info["last_pgno"] + 1) * stat["psize"])}
+        return {
+            "path": str(self.path),
+            "steps": self._meta.steps,
+            "failed": self.failed,
+            "bytes": int((info["last_pgno"] + 1) * stat["psize"]),
+        }
 
     def end(self) -> None:
         """The one place where the store is given back."""
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -47,7 +47,7 @@
     """The field's name and what is wrong with it."""
     text = str(error)
     if found := At.search(text):
-        told, at = text[:found.start()], found[1]
+        told, at = text[: found.start()], found[1]
         if inner := re.search(r"(?:missing required|contains unknown) field `([^`]+)`", told):
             return f"{at}.{inner[1]}" if at else inner[1], "missing" if "missing" in told else "no such field"
         return at or "body", told
@@ -126,8 +126,11 @@
         parts = path.split("/")
         for pattern, methods in self.rows.items():
             wanted = pattern.split("/")
-            if "{}" in wanted and len(wanted) == len(parts) and all(
-                    w in ("{}", p) for w, p in zip(wanted, parts, strict=True)):
+            if (
+                "{}" in wanted
+                and len(wanted) == len(parts)
+                and all(w in ("{}", p) for w, p in zip(wanted, parts, strict=True))
+            ):
                 return methods, tuple(p for w, p in zip(wanted, parts, strict=True) if w == "{}")
         return None
 
@@ -166,10 +169,19 @@
         if held is None:
             return None
         spec = held[1]
-        return {"plan": plan, "revision": held[0], "rate": spec.rate, "burst": spec.burst, "open": spec.open,
-                "price": spec.price, "over_worth": spec.over_worth, "over_cost": spec.over_cost,
-                "ceiling_rate": spec.ceiling_rate, "ceiling_burst": spec.ceiling_burst,
-                "ceiling_slack": spec.ceiling_slack}
+        return {
+            "plan": plan,
+            "revision": held[0],
+            "rate": spec.rate,
+            "burst": spec.burst,
+            "open": spec.open,
+            "price": spec.price,
+            "over_worth": spec.over_worth,
+            "over_cost": spec.over_cost,
+            "ceiling_rate": spec.ceiling_rate,
+            "ceiling_burst": spec.ceiling_burst,
+            "ceiling_slack": spec.ceiling_slack,
+        }
 
     def moment(request: Request) -> float:
         text = request.query.get("when", "")
@@ -180,9 +192,12 @@
 
     def plans(request: Request) -> Any:
         when = moment(request)
-        return {"revision": service.book.revision, "when": when,
-                "plans": [row for plan in service.book.plans if (row := shown(plan, when))],
-                "firms": len(service.book.firms)}
+        return {
+            "revision": service.book.revision,
+            "when": when,
+            "plans": [row for plan in service.book.plans if (row := shown(plan, when))],
+            "firms": len(service.book.firms),
+        }
 
     def plan(request: Request) -> Any:
         row = shown(request.parts[0], moment(request))
@@ -205,8 +220,12 @@
             raise ApiError(error.status, error.field, error.text) from None
         after, most = whole(request, "after", 0, 0, 1 << 40), whole(request, "most", 200, 1, 1000)
         rows = [change for change in changes if change.revision > after]
-        return {"revision": service.book.revision, "withdrawn": sorted(service.book.withdrawn),
-                "changes": rows[:most], "more": len(rows) > most}
+        return {
+            "revision": service.book.revision,
+            "withdrawn": sorted(service.book.withdrawn),
+            "changes": rows[:most],
+            "more": len(rows) > most,
+        }
 
     def change(request: Request) -> Any:
         told = decode(request.body, Change)
@@ -239,13 +258,19 @@
         now = service.loop.clock()
         most = whole(request, "most", 200, 1, 10_000)
         held = service.table.held()
-        return {"held": len(held), "units": service.table.units_held(), "reservations": [
-            row(one, now) for one in held[:most]]}
+        return {
+            "held": len(held),
+            "units": service.table.units_held(),
+            "reservations": [row(one, now) for one in held[:most]],
+        }
 
     def reserve(request: Request) -> Any:
         told = decode(request.body, ReserveCall)
-        one, after = guard(lambda: service.reserve(told.id, firm_of(told.firm), told.plan, told.units, told.lifetime,
-                                                   told.spread, told.first))
+        one, after = guard(
+            lambda: service.reserve(
+                told.id, firm_of(told.firm), told.plan, told.units, told.lifetime, told.spread, told.first
+            )
+        )
         if one is None:
             raise ApiError(429, "units", f"not within the firm's allowance now; come back in {after:.3f} s", after)
         return 201, row(one, service.loop.clock())
@@ -313,6 +338,7 @@
 
 def gateway_routes(routes: Routes, service: Any) -> None:
     """`service` is a fleet.gateways.GatewaysService."""
+
     def hear(request: Request) -> Any:
         told = decode(request.body, GatewaysCall)
         if not service.hear(told.serial, told.count, told.until, told.part):
@@ -320,8 +346,7 @@
         return service.status()
 
     routes.add("GET", "/v1/gateways", lambda request: service.status())
-    routes.add("POST", "/v1/gateways/fence",
-               lambda request: service.fence(decode(request.body, FenceCall).serial))
+    routes.add("POST", "/v1/gateways/fence", lambda request: service.fence(decode(request.body, FenceCall).serial))
     routes.add("POST", "/v1/gateways", hear)
 
 
@@ -334,8 +359,9 @@
         try:
             return service.key(told.step, told.key, told.mark)
         except RingError as error:
-            raise ApiError(409 if told.step != "add" else 400, "mark" if told.step != "add" else "key", str(error)
-                           ) from None
+            raise ApiError(
+                409 if told.step != "add" else 400, "mark" if told.step != "add" else "key", str(error)
+            ) from None
 
     routes.add("GET", "/v1/members", lambda request: service.status())
     routes.add("POST", "/v1/members/keys", key)
@@ -348,6 +374,7 @@
 
 def agreement_routes(routes: Routes, service: Any) -> None:
     """`service` is a consensus.service.AgreementService."""
+
     def change(request: Request) -> Any:
         told = decode(request.body, VoterCall)
         if told.address:
@@ -408,13 +435,16 @@
 
     def done(answer: Any) -> None:
         if answer is None:
-            later.fail(ApiError(503, "agreement", f"nothing was agreed within {PATIENCE:g} s; it may be later: ask "
-                                "again", 1.0))
+            later.fail(
+                ApiError(503, "agreement", f"nothing was agreed within {PATIENCE:g} s; it may be later: ask again", 1.0)
+            )
         elif "error" in answer:
-            later.fail(ApiError(404 if answer["error"].startswith("no machine") else 409, answer["field"],
-                                answer["error"]))
+            later.fail(
+                ApiError(404 if answer["error"].startswith("no machine") else 409, answer["field"], answer["error"])
+            )
         else:
             later.answer(answer)
+
     propose(done)
     return later
 
@@ -428,14 +458,12 @@
 
     def ask(request: Request) -> Any:
         told = decode(request.body, WorkCall)
-        if (bool(told.servers) + bool(told.whole) + bool(told.ingress) != 1
-                or bool(told.ingress) == (told.place < 0)):
+        if bool(told.servers) + bool(told.whole) + bool(told.ingress) != 1 or bool(told.ingress) == (told.place < 0):
             raise ApiError(400, "servers", "either servers, a whole zone or cell, or an ingress and its place")
         servers = told.servers or (service.port.group(told.whole) if told.whole else [])
         if told.whole and not servers:
             raise ApiError(404, "whole", f"no server of {told.whole} is listed here")
-        return agreed(Ask(told.id, told.by, servers, told.ingress, told.place, told.zone, told.urgency,
-                          told.deadline))
+        return agreed(Ask(told.id, told.by, servers, told.ingress, told.place, told.zone, told.urgency, told.deadline))
 
     def one(request: Request) -> Any:
         job = service.permits.jobs.get(request.parts[0])
@@ -443,9 +471,16 @@
             raise ApiError(404, "id", f"no machine {request.parts[0][:100]}")
         return service.permits.row(job)
 
-    routes.add("GET", "/v1/work", lambda request: {
-        "machines": [service.permits.row(job) for job in service.permits.jobs.values()],
-        "ingresses": service.permits.roster, "index": service.index})
+    routes.add(
+        "GET",
+        "/v1/work",
+        lambda request: {
+            "machines": [service.permits.row(job) for job in service.permits.jobs.values()],
+            "ingresses": service.permits.roster,
+            "index": service.index,
+        },
+    )
+
     def ended(request: Request) -> Any:
         told = decode(request.body, EndedCall)
         return once_agreed(lambda done: service.ended(told.name, told.life, done, PATIENCE))
@@ -454,18 +489,31 @@
     routes.add("GET", "/v1/work-plan", lambda request: {"plan": service.plan()})
     routes.add("POST", "/v1/work", ask)
     routes.add("GET", "/v1/work/{}", one)
-    routes.add("POST", "/v1/work/{}/begin",
-               lambda request: agreed(Begin(request.parts[0], decode(request.body, TokenCall).token)))
-    routes.add("POST", "/v1/work/{}/finish",
-               lambda request: agreed(Finish(request.parts[0], decode(request.body, TokenCall).token)))
-    routes.add("POST", "/v1/work/{}/withdraw",
-               lambda request: agreed(Withdraw(request.parts[0], decode(request.body, ByCall).by)))
-    routes.add("POST", "/v1/work/{}/override",
-               lambda request: agreed(Override(request.parts[0], decode(request.body, ByCall).by)))
+    routes.add(
+        "POST",
+        "/v1/work/{}/begin",
+        lambda request: agreed(Begin(request.parts[0], decode(request.body, TokenCall).token)),
+    )
+    routes.add(
+        "POST",
+        "/v1/work/{}/finish",
+        lambda request: agreed(Finish(request.parts[0], decode(request.body, TokenCall).token)),
+    )
+    routes.add(
+        "POST",
+        "/v1/work/{}/withdraw",
+        lambda request: agreed(Withdraw(request.parts[0], decode(request.body, ByCall).by)),
+    )
+    routes.add(
+        "POST",
+        "/v1/work/{}/override",
+        lambda request: agreed(Override(request.parts[0], decode(request.body, ByCall).by)),
+    )
 
 
 def limit_routes(routes: Routes, service: Any) -> None:
     """`service` is a drains.service.DrainsService."""
+
     def ended(request: Request) -> Any:
         life = decode(request.body, EndedCall).life
         return once_agreed(lambda done: service.ended(life, done, PATIENCE))
@@ -517,8 +565,14 @@
             raise ApiError(error.status, error.field, error.text) from None
         if len(firms) < len(told.firms):
             raise ApiError(400, "firms", "a firm twice")
-        one = Change(told.base, told.by, {name: figures(name, row) for name, row in told.plans.items()}, firms,
-                     told.addresses, told.note)
+        one = Change(
+            told.base,
+            told.by,
+            {name: figures(name, row) for name, row in told.plans.items()},
+            firms,
+            told.addresses,
+            told.note,
+        )
         return agreed(lambda done: service.propose(one, done, PATIENCE))
 
     def revert(request: Request) -> Any:
@@ -542,15 +596,29 @@
     began = time.monotonic()
 
     def status(request: Request) -> Any:
-        parts = {"plans": daemon.plans, "reservations": daemon.reservations, "leases": daemon.leases,
-                 "ledger": daemon.ledger, "health": daemon.health, "gateways": daemon.gateways,
-                 "members": daemon.members, "agreement": daemon.agreement, "maintenance": daemon.maintenance,
-                 "drains": daemon.drains, "configuration": daemon.configuration}
-        return {"name": daemon.config.name, "upSeconds": round(time.monotonic() - began, 3),
-                "ready": daemon.drain.ready(daemon.ready()), "ending": daemon.ending,
-                "held": len(daemon.ingress.held), "clients": len(daemon.north.clients),
-                "servers": len(daemon.inventory),
-                **{name: part.status() for name, part in parts.items() if part is not None}}
+        parts = {
+            "plans": daemon.plans,
+            "reservations": daemon.reservations,
+            "leases": daemon.leases,
+            "ledger": daemon.ledger,
+            "health": daemon.health,
+            "gateways": daemon.gateways,
+            "members": daemon.members,
+            "agreement": daemon.agreement,
+            "maintenance": daemon.maintenance,
+            "drains": daemon.drains,
+            "configuration": daemon.configuration,
+        }
+        return {
+            "name": daemon.config.name,
+            "upSeconds": round(time.monotonic() - began, 3),
+            "ready": daemon.drain.ready(daemon.ready()),
+            "ending": daemon.ending,
+            "held": len(daemon.ingress.held),
+            "clients": len(daemon.north.clients),
+            "servers": len(daemon.inventory),
+            **{name: part.status() for name, part in parts.items() if part is not None},
+        }
 
     def ready(request: Request) -> Any:
         if not daemon.ready() or daemon.north.draining:
--- a/brackenpulley/control/client.py
+++ b/brackenpulley/control/client.py
@@ -46,8 +46,7 @@
         """Raises ControlError."""
         conn = _Unix(self.at) if isinstance(self.at, str) else http.client.HTTPConnection(*self.at, timeout=TIMEOUT)
         try:
-            conn.request(method, path, None if body is None else json.dumps(body),
-                         {"Content-Type": "application/json"})
+            conn.request(method, path, None if body is None else json.dumps(body), {"Content-Type": "application/json"})
             answer = conn.getresponse()
             status, data = answer.status, answer.read()
         except (OSError, http.client.HTTPException) as error:
--- a/brackenpulley/control/server.py
+++ b/brackenpulley/control/server.py
@@ -131,8 +131,9 @@
         while caller.reader.whole and caller.keep and caller.later is None:
             payload, caller.keep = caller.reader.whole.popleft()
             self.metrics.add("control_calls")
-            answer = self.routes.answer(payload.method.decode("ascii", "replace"),
-                                        payload.target.decode("ascii", "replace"), payload.body)
+            answer = self.routes.answer(
+                payload.method.decode("ascii", "replace"), payload.target.decode("ascii", "replace"), payload.body
+            )
             if isinstance(answer, Later):
                 keep, caller.later, caller.keep = caller.keep, answer, True
                 answer.heard = lambda reply, keep=keep: self._later(caller, reply, keep)  # type: ignore[misc]
@@ -154,7 +155,7 @@
     def _flush(self, caller: Caller) -> None:
         try:
             while caller.out:
-                caller.out = caller.out[caller.sock.send(caller.out):]
+                caller.out = caller.out[caller.sock.send(caller.out) :]
         except BlockingIOError:
             pass
         except OSError:
--- a/brackenpulley/core/exchange.py
+++ b/brackenpulley/core/exchange.py
@@ -63,8 +63,14 @@
 
 
 class South(Protocol):
-    def start(self, message: Message, server: str, left: float, done: Callable[[RelayEnd], None],
-              began: Callable[[RelayEnd], None]) -> Relay:
+    def start(
+        self,
+        message: Message,
+        server: str,
+        left: float,
+        done: Callable[[RelayEnd], None],
+        began: Callable[[RelayEnd], None],
+    ) -> Relay:
         """Begin one relay. `done` is called once, unless it is dropped; it may be called before this returns.
 
         Where the answer is long, `began` is called once before that, when the first of it is there."""
@@ -75,8 +81,21 @@
 
 
 class Exchange:
-    __slots__ = ("message", "until", "final", "gone", "flowing", "server", "attempt", "sent", "timer", "asking",
-                 "_reply", "_south", "_relay")
+    __slots__ = (
+        "message",
+        "until",
+        "final",
+        "gone",
+        "flowing",
+        "server",
+        "attempt",
+        "sent",
+        "timer",
+        "asking",
+        "_reply",
+        "_south",
+        "_relay",
+    )
 
     def __init__(self, message: Message, until: float, reply: Callable[[Answer], None], south: South) -> None:
         self.message, self.until = message, until
@@ -101,8 +120,14 @@
     def over(self) -> bool:
         return self.gone or self.final is not None
 
-    def relay(self, server: str, now: float, left: float, done: Callable[[Exchange, int, RelayEnd], None],
-              began: Callable[[Exchange, int, RelayEnd], None]) -> None:
+    def relay(
+        self,
+        server: str,
+        now: float,
+        left: float,
+        done: Callable[[Exchange, int, RelayEnd], None],
+        began: Callable[[Exchange, int, RelayEnd], None],
+    ) -> None:
         if self.over or self.server:
             raise ExchangeError(f"{self.message.id}: a relay while {'over' if self.over else 'another is out'}")
         self.server, self.attempt, self.sent = server, self.attempt + 1, now
--- a/brackenpulley/core/ingress.py
+++ b/brackenpulley/core/ingress.py
@@ -82,8 +82,9 @@
 class Ingress:
     """Owns every exchange from `take` until it is over and no relay of it is out."""
 
-    def __init__(self, gateway: Gateway, clock: Callable[[], float], timers: Timers, counter: Counter,
-                 metrics: Metrics, log: Log) -> None:
+    def __init__(
+        self, gateway: Gateway, clock: Callable[[], float], timers: Timers, counter: Counter, metrics: Metrics, log: Log
+    ) -> None:
         self.gateway, self.clock, self.timers, self.counter = gateway, clock, timers, counter
         self.metrics, self.log = metrics, log
         self.held: dict[str, Exchange] = {}
@@ -100,13 +101,22 @@
         self._events: deque[i.Event] = deque()
         self._busy = False
         self._does: dict[type, Callable[[Any], None]] = {
-            i.Send: self._send, i.Refuse: self._refuse, i.Fail: self._fail, i.Cancel: self._cancel,
-            i.Count: self._count, i.SetTimer: self._timer, i.Watch: lambda a: self.watch(),
-            i.Fetch: lambda a: self.watch(), i.Log: lambda a: self.log.info("module", text=a.text),
-            i.Charge: self._charge, i.Reserved: self._reserved}
-
-    def take(self, message: Message, reply: Callable[[Answer], None], south: South,
-             opened: bool = True) -> Exchange | None:
+            i.Send: self._send,
+            i.Refuse: self._refuse,
+            i.Fail: self._fail,
+            i.Cancel: self._cancel,
+            i.Count: self._count,
+            i.SetTimer: self._timer,
+            i.Watch: lambda a: self.watch(),
+            i.Fetch: lambda a: self.watch(),
+            i.Log: lambda a: self.log.info("module", text=a.text),
+            i.Charge: self._charge,
+            i.Reserved: self._reserved,
+        }
+
+    def take(
+        self, message: Message, reply: Callable[[Answer], None], south: South, opened: bool = True
+    ) -> Exchange | None:
         """A message was taken in; None (and nothing owed) if its id is in hand already. Raises MessageError.
 
         `opened`: whether it is tried; else it is refused at once (see policy/drain)."""
@@ -125,8 +135,10 @@
 
         final = counted
         if (ledger := self.ledger) is not None:
+
             def stored(answer: Answer) -> None:
                 ledger.answer(counted, answer)
+
             final = stored
 
         exchange = Exchange(message, inf if message.coming else self.clock() + message.left, final, south)
@@ -281,8 +293,15 @@
         self.metrics.add("flowed")
         exchange.flowing = True
         exchange.answer(Answer("served", 200, 0.0, end.payload, exchange.server, flows=True))
-        self._put(i.Started(exchange.message.id, exchange.server, attempt,
-                            self.clock() - (end.since or exchange.sent), work_done=True))
+        self._put(
+            i.Started(
+                exchange.message.id,
+                exchange.server,
+                attempt,
+                self.clock() - (end.since or exchange.sent),
+                work_done=True,
+            )
+        )
 
     def _flowed(self, exchange: Exchange, status: str) -> None:
         if not exchange.gone:
@@ -298,8 +317,18 @@
             exchange.timer = None
         self.metrics.at("relay_" + end.status, exchange.server)
         last = end.last or end.status != "ok" and not m.again()
-        event = i.Outcome(m.id, exchange.server, attempt, end.status, now - (end.since or exchange.sent),
-                          exchange.over, end.used, end.cost, end.load, last=last)
+        event = i.Outcome(
+            m.id,
+            exchange.server,
+            attempt,
+            end.status,
+            now - (end.since or exchange.sent),
+            exchange.over,
+            end.used,
+            end.cost,
+            end.load,
+            last=last,
+        )
         if exchange.flowing:
             self._flowed(exchange, end.status)
         if end.status == "ok" and not exchange.over:
--- a/brackenpulley/core/message.py
+++ b/brackenpulley/core/message.py
@@ -104,5 +104,17 @@
     units, spread, first = weight(headers.get("x-weight", ""))
     left = max(0.0, duration(headers["x-timeout"]) - MARGIN)
     retry = headers.get("x-retried") == "1"
-    return Message(ident, cls, headers.get("x-tariff", ""), customer, left, units, spread, first, retry, payload,
-                   headers.get("x-reservation", ""), told=headers.get("x-tariff", ""))
+    return Message(
+        ident,
+        cls,
+        headers.get("x-tariff", ""),
+        customer,
+        left,
+        units,
+        spread,
+        first,
+        retry,
+        payload,
+        headers.get("x-reservation", ""),
+        told=headers.get("x-tariff", ""),
+    )
--- a/brackenpulley/drains/holder.py
+++ b/brackenpulley/drains/holder.py
@@ -43,8 +43,9 @@
 
 
 class Holder:
-    def __init__(self, address: str, agreement: Agreement, limits: Callable[[], Limits], port: Port,
-                 now: float) -> None:
+    def __init__(
+        self, address: str, agreement: Agreement, limits: Callable[[], Limits], port: Port, now: float
+    ) -> None:
         self.address, self.agreement, self._limits, self.port = address, agreement, limits, port
         self.entered = self.leaving = False
         self._said: dict[str, int] = {}  # narrower parts that were proposed and are not seen in the log yet
@@ -139,5 +140,6 @@
         def over(outcome: Outcome | None) -> None:
             self._busy.discard(name)
             done(None if outcome is None else outcome.answer)
+
         if not self.agreement.propose(now, PART, encode(command), PATIENCE, over):
             self._busy.discard(name)
--- a/brackenpulley/drains/limits.py
+++ b/brackenpulley/drains/limits.py
@@ -147,8 +147,13 @@
         self.serials[command.life] = command.serial
         if len(command.parts) > SERVERS:
             return {"error": f"{SERVERS} servers at most", "field": "parts"}
-        return {"parts": {server: self._want(server, command.life, max(0, min(MOST, want)))
-                          for server, want in command.parts.items() if server in self.limits}}
+        return {
+            "parts": {
+                server: self._want(server, command.life, max(0, min(MOST, want)))
+                for server, want in command.parts.items()
+                if server in self.limits
+            }
+        }
 
     def _want(self, server: str, life: str, want: int) -> int:
         parts = self.parts.setdefault(server, {})
@@ -181,8 +186,9 @@
 
     def dump(self) -> Any:
         short = {server: sorted(lives) for server, lives in self.short.items() if lives}
-        return msgspec.msgpack.decode(_encode(Dumped(
-            self.reserve, self.limits, self.lives, self.parts, short, self.serials)))
+        return msgspec.msgpack.decode(
+            _encode(Dumped(self.reserve, self.limits, self.lives, self.parts, short, self.serials))
+        )
 
     def load(self, dumped: Any) -> None:
         told = _dumped.decode(_encode(dumped)) if dumped else Dumped(self.reserve)
--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -81,18 +81,31 @@
         rules = Rules(told.at_once, told.at_once, told.spread, places)
         rows = [Ingress(place, takes=takes) for place in range(places)]
         found = waves(rows, rules)
-        return {"waves": [sorted(one.place for one in wave) for wave in found], "lasts": lasts(found),
-                "leftOut": [one.place for one in left_out(rows, rules)]}
+        return {
+            "waves": [sorted(one.place for one in wave) for wave in found],
+            "lasts": lasts(found),
+            "leftOut": [one.place for one in left_out(rows, rules)],
+        }
 
     def status(self) -> dict[str, Any]:
         if self.holder is None or self.agreement.agreement is None:
             return {"entered": False}
         limits = self.limits
         life = self.agreement.agreement.id
-        return {"entered": self.holder.entered, "processes": len(limits.lives),
-                "servers": {server: {"limit": limit, "held": limits.held(server), "mine": self.holder.cap(server),
-                                     "open": self.port.open(server), "askedBack": limits.asked_back(server, life)}
-                            for server, limit in limits.limits.items()}}
+        return {
+            "entered": self.holder.entered,
+            "processes": len(limits.lives),
+            "servers": {
+                server: {
+                    "limit": limit,
+                    "held": limits.held(server),
+                    "mine": self.holder.cap(server),
+                    "open": self.port.open(server),
+                    "askedBack": limits.asked_back(server, life),
+                }
+                for server, limit in limits.limits.items()
+            },
+        }
 
     def closed(self) -> None:
         """The last message is answered: its connections go, and their parts by its word."""
@@ -111,8 +124,12 @@
     def ended(self, life: str, done: Callable[[Any], None], patience: float) -> None:
         """An operator saw that process end: its parts are free."""
         if self.agreement.agreement is None or not self.agreement.agreement.propose(
-                self.loop.clock(), PART, encode(Leave(life)), patience,
-                lambda outcome: done(None if outcome is None else outcome.answer)):
+            self.loop.clock(),
+            PART,
+            encode(Leave(life)),
+            patience,
+            lambda outcome: done(None if outcome is None else outcome.answer),
+        ):
             done(None)
         self.agreement.said()
 
--- a/brackenpulley/extras.py
+++ b/brackenpulley/extras.py
@@ -16,12 +16,14 @@
 def authz_server(d: Daemon) -> None:
     if (told := d.config.operator.server) is not None:
         from .authz.front import Front
+
         d.front = Front(d.loop, d.pool, d.ingress, d.inventory, d.metrics, told.header, told.streams)
 
 
 def authz_client(d: Daemon) -> None:
     if (told := d.config.operator.client) is not None:
         from .authz.client import AuthorisationClient
+
         d.authoriser = AuthorisationClient(d.loop, d.pool, told.at, told.timeout, d.metrics)
         d.ingress.authoriser, d.ingress.fail_open = d.authoriser, told.fail_open
 
@@ -29,6 +31,7 @@
 def xds_file(d: Daemon) -> None:
     if (told := d.config.operator.xds) is not None:
         from .xds.source import FileSource
+
         d.discovery = FileSource(d.loop, d.inventory, told, d.metrics, d.log)
 
 
@@ -36,6 +39,7 @@
     if (told := d.config.operator.plans) is not None:
         from .plans.service import PlanService
         from .plans.snapshot import SnapshotError
+
         try:
             d.plans = PlanService(d.loop, d.ingress, d.config.settings.plans, told.snapshot, d.metrics, d.log)
         except SnapshotError as error:
@@ -46,6 +50,7 @@
 def reservations(d: Daemon) -> None:
     if (told := d.config.operator.reservations) is not None:
         from .plans.service import ReservationService
+
         d.reservations = d.ingress.holds = ReservationService(d.loop, d.ingress, told, d.metrics)
 
 
@@ -54,12 +59,15 @@
         return
     from .plans.leases import EPOCH
     from .plans.leasing import LeaseService
+
     if d.plans is None or d.counter is None:
         raise ConfigError("leases: need [plans] and a counter that the settings allow")
     for plan in d.config.settings.plans:
         if plan.rate and plan.burst > EPOCH * plan.rate:
-            raise ConfigError(f"leases: plan {plan.name}: its burst is worth {plan.burst / plan.rate:.1f} s of its "
-                              f"rate, {EPOCH:g} s at most")
+            raise ConfigError(
+                f"leases: plan {plan.name}: its burst is worth {plan.burst / plan.rate:.1f} s of its "
+                f"rate, {EPOCH:g} s at most"
+            )
     d.leases = d.ingress.leases = LeaseService(d.loop, d.ingress, d.counter, d.plans.book, told, d.metrics, d.log)
 
 
@@ -67,6 +75,7 @@
     if (told := d.config.operator.ledger) is not None:
         from .ledger.service import LedgerService
         from .ledger.store import LedgerError
+
         try:
             d.ledger = LedgerService(d.loop, d.pool, told, d.config.name, d.metrics, d.log)
         except LedgerError as error:
@@ -77,18 +86,21 @@
 def seconds(d: Daemon) -> None:
     if d.config.operator.seconds:
         from .growth.tally import Tally
+
         d.tally = Tally(d.loop, d.metrics, d.ingress.gateway, d.log)
 
 
 def health(d: Daemon) -> None:
     if d.config.operator.control is not None or os.environ.get("NOTIFY_SOCKET"):
         from .health.service import HealthService
+
         d.health = HealthService(d)
 
 
 def gateways(d: Daemon) -> None:
     if d.config.operator.control is not None or d.config.operator.members is not None:
         from .fleet.gateways import GatewaysService
+
         settings, part = d.config.settings, d.config.operator.members
         # Firms' sets are numbered over all places, whoever runs now.
         settings.places = max(settings.places, int(os.environ.get("BRACKENPULLEY_PLACES", "0")))
@@ -98,30 +110,35 @@
 def members(d: Daemon) -> None:
     if (told := d.config.operator.members) is not None:
         from .members.service import DaemonMembers
+
         d.members = DaemonMembers(d.loop, told, d.config.name, d.gateways, d.metrics, d.log)
 
 
 def agreement(d: Daemon) -> None:
     if (told := d.config.operator.consensus) is not None:
         from .consensus.service import AgreementService
+
         d.agreement = AgreementService(d.loop, told, d.config.name, d.members, d.metrics, d.log)
 
 
 def maintenance(d: Daemon) -> None:
     if (told := d.config.operator.maintenance) is not None:
         from .maintenance.service import MaintenanceService
+
         d.maintenance = MaintenanceService(d, told, d.agreement)
 
 
 def drains(d: Daemon) -> None:
     if (told := d.config.operator.drains) is not None:
         from .drains.service import DrainsService
+
         d.drains = DrainsService(d, told, d.agreement)
 
 
 def configuration(d: Daemon) -> None:
     if (told := d.config.operator.configuration) is not None:
         from .configuration.service import ConfigurationService
+
         d.configuration = d.ingress.plans = ConfigurationService(d, told, d.agreement)
 
 
@@ -130,17 +147,41 @@
         return
     from .control import api
     from .control.server import ControlServer
+
     routes = api.Routes()
-    rows: list[tuple[Any, Any]] = [(d, api.common_routes), (d.plans, api.plan_routes),
-                                   (d.reservations, api.reservation_routes), (d.ledger, api.ledger_routes),
-                                   (d.gateways, api.gateway_routes), (d.members, api.member_routes),
-                                   (d.agreement, api.agreement_routes), (d.maintenance, api.work_routes),
-                                   (d.drains, api.limit_routes), (d.configuration, api.configuration_routes)]
+    rows: list[tuple[Any, Any]] = [
+        (d, api.common_routes),
+        (d.plans, api.plan_routes),
+        (d.reservations, api.reservation_routes),
+        (d.ledger, api.ledger_routes),
+        (d.gateways, api.gateway_routes),
+        (d.members, api.member_routes),
+        (d.agreement, api.agreement_routes),
+        (d.maintenance, api.work_routes),
+        (d.drains, api.limit_routes),
+        (d.configuration, api.configuration_routes),
+    ]
     for part, add in rows:
         if part is not None:
             add(routes, part)
     d.control = ControlServer(d.loop, d.pool, routes, d.metrics)
 
 
-EXTRAS = (authz_server, authz_client, xds_file, plans, reservations, leases, ledger, seconds, health, gateways, members,
-          agreement, maintenance, drains, configuration, control)
+EXTRAS = (
+    authz_server,
+    authz_client,
+    xds_file,
+    plans,
+    reservations,
+    leases,
+    ledger,
+    seconds,
+    health,
+    gateways,
+    members,
+    agreement,
+    maintenance,
+    drains,
+    configuration,
+    control,
+)
--- a/brackenpulley/fleet/caller.py
+++ b/brackenpulley/fleet/caller.py
@@ -16,11 +16,13 @@
 class Call:
     """`done` is called once with the status and the body; status 0 where there was no answer within `patience` s."""
 
-    def __init__(self, loop: Loop, at: Address | str, method: str, path: str, body: bytes, patience: float,
-                 done: Done) -> None:
+    def __init__(
+        self, loop: Loop, at: Address | str, method: str, path: str, body: bytes, patience: float, done: Done
+    ) -> None:
         self.loop, self._done = loop, done
-        self._out = (f"{method} {path} HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n"
-                     f"Content-Length: {len(body)}\r\n\r\n").encode() + body
+        self._out = (
+            f"{method} {path} HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\nContent-Length: {len(body)}\r\n\r\n"
+        ).encode() + body
         self._reply = Reply()
         self._up = False
         self._sock: socket.socket | None = None
@@ -54,7 +56,7 @@
                     raise OSError("connect")
                 self._up = True
             if self._out:
-                self._out = self._out[self._sock.send(self._out):]
+                self._out = self._out[self._sock.send(self._out) :]
                 if not self._out:
                     self.loop.want(self._sock, READ, self._event)
                 return
--- a/brackenpulley/fleet/files.py
+++ b/brackenpulley/fleet/files.py
@@ -56,9 +56,15 @@
         base = cls(spec, raw, operator)
         # What SIGHUP takes in service is left out: a new discovery does not make a running instance an old one.
         kept = {key: value for key, value in raw.items() if key not in ("discovery", "counter", "known")}
-        base.mark = digest(json.dumps(kept, sort_keys=True), operator,
-                           json.dumps(msgspec.to_builtins((spec.limits, spec.environment, spec.fleet.part,
-                                                           spec.watch.watchdog_s, spec.fleet.members))))
+        base.mark = digest(
+            json.dumps(kept, sort_keys=True),
+            operator,
+            json.dumps(
+                msgspec.to_builtins(
+                    (spec.limits, spec.environment, spec.fleet.part, spec.watch.watchdog_s, spec.fleet.members)
+                )
+            ),
+        )
         base.check()
         return base
 
@@ -69,18 +75,32 @@
     def config(self, number: int, count: int) -> dict[str, Any]:
         """The configuration of one instance that starts as one of `count`."""
         gateways = self.gateways(count)
-        limits = {**self.raw.get("limits", {}), **{name: value for name, value in (
-            ("sockets", self.spec.limits.sockets), ("memory_mb", self.spec.limits.memory_mb)) if value is not None}}
-        return {**self.raw, "name": f"{self.spec.fleet.name}-{number}", "limits": limits,
-                "listen": text(self.listens[number]),
-                "settings": {**self.raw["settings"], "NInstances": gateways, "MyNumber": number % gateways}}
+        limits = {
+            **self.raw.get("limits", {}),
+            **{
+                name: value
+                for name, value in (("sockets", self.spec.limits.sockets), ("memory_mb", self.spec.limits.memory_mb))
+                if value is not None
+            },
+        }
+        return {
+            **self.raw,
+            "name": f"{self.spec.fleet.name}-{number}",
+            "limits": limits,
+            "listen": text(self.listens[number]),
+            "settings": {**self.raw["settings"], "NInstances": gateways, "MyNumber": number % gateways},
+        }
 
     def operators(self, number: int) -> str:
         """The operator's file of one instance."""
         members = self.members
-        filled = {"{instance}": str(number), "{name}": f"{self.spec.fleet.name}-{number}",
-                  "{run}": self.spec.fleet.run, "{member}": text(members[number]) if members else "",
-                  "{seeds}": ", ".join(f'"{text(at)}"' for at in members[:3])}
+        filled = {
+            "{instance}": str(number),
+            "{name}": f"{self.spec.fleet.name}-{number}",
+            "{run}": self.spec.fleet.run,
+            "{member}": text(members[number]) if members else "",
+            "{seeds}": ", ".join(f'"{text(at)}"' for at in members[:3]),
+        }
         found = self.operator
         for name, value in filled.items():
             found = found.replace(name, value)
--- a/brackenpulley/fleet/gateways.py
+++ b/brackenpulley/fleet/gateways.py
@@ -20,8 +20,7 @@
     """The count that the module goes by: the supervisor's word over this group's part of the whole, and never less
     than the members that are seen alive. A view that grows narrows at once; one that shrinks widens nothing."""
 
-    def __init__(self, loop: Loop, ingress: Ingress, floor: int, bound: int,
-                 metrics: Metrics) -> None:
+    def __init__(self, loop: Loop, ingress: Ingress, floor: int, bound: int, metrics: Metrics) -> None:
         self.loop, self.ingress, self.metrics = loop, ingress, metrics
         self.told = Told(floor)  # in the words of the supervisor: of this group
         self.part = 1.0
@@ -80,6 +79,11 @@
                     self._apply()
 
     def status(self) -> dict[str, Any]:
-        return {"gateways": self.now[0], "cold": self.now[1], "floor": self.told.floor,
-                "count": self.told.count(time.monotonic()),
-                "until": self.told.until if math.isfinite(self.told.until) else 0.0, "members": self.members}
+        return {
+            "gateways": self.now[0],
+            "cold": self.now[1],
+            "floor": self.told.floor,
+            "count": self.told.count(time.monotonic()),
+            "until": self.told.until if math.isfinite(self.told.until) else 0.0,
+            "members": self.members,
+        }
--- a/brackenpulley/fleet/instance.py
+++ b/brackenpulley/fleet/instance.py
@@ -23,7 +23,15 @@
 from .backoff import Backoff, Pace
 
 DOWN, DUE, STARTING, READY, DRAINING, STOPPING, WAITING, CRASHED = (
-    "down", "due", "starting", "ready", "draining", "stopping", "waiting", "crashed")
+    "down",
+    "due",
+    "starting",
+    "ready",
+    "draining",
+    "stopping",
+    "waiting",
+    "crashed",
+)
 ALIVE = (STARTING, READY, DRAINING, STOPPING)
 UNREADY = 3  # looks in a row without a yes after which a ready one is none
 
@@ -153,8 +161,13 @@
             self._failed(now, self._ending or how, lived)
 
     def tick(self, now: float) -> list[Do]:
-        if self.state in (STARTING, READY) and self.times.watchdog and self.told and not self._ending and (
-                now - self._sign >= self.times.watchdog):
+        if (
+            self.state in (STARTING, READY)
+            and self.times.watchdog
+            and self.told
+            and not self._ending
+            and (now - self._sign >= self.times.watchdog)
+        ):
             return self._kill(now, f"no life sign for {self.times.watchdog:g} s")
         if now < self._due:
             return []
--- a/brackenpulley/fleet/lines.py
+++ b/brackenpulley/fleet/lines.py
@@ -45,8 +45,14 @@
     """An instance's line with its number and process; what is no line of a log becomes the text of one."""
     if line.startswith("timestamp="):
         return f"{line} instance={instance} pid={pid}"
-    fields: dict[str, Any] = {"timestamp": timestamp, "level": "info", "event": "output", "text": line,
-                              "instance": instance, "pid": pid}
+    fields: dict[str, Any] = {
+        "timestamp": timestamp,
+        "level": "info",
+        "event": "output",
+        "text": line,
+        "instance": instance,
+        "pid": pid,
+    }
     return str(_render(None, "", fields))
 
 
@@ -107,7 +113,7 @@
     def next(self) -> bytes:
         """At most CHUNK bytes; b"" = nothing waits."""
         if not self._part and self.dropped > self._said:
-            self._part = f"level=warning event=\"log lines dropped\" lines={self.dropped - self._said}\n".encode()
+            self._part = f'level=warning event="log lines dropped" lines={self.dropped - self._said}\n'.encode()
             self._said = self.dropped
         while len(self._part) < CHUNK and self._lines:
             line = self._lines.popleft()
--- a/brackenpulley/fleet/notify.py
+++ b/brackenpulley/fleet/notify.py
@@ -14,15 +14,19 @@
 def parse(data: bytes) -> dict[str, str]:
     """Lines without '=' are passed over, as systemd does; of a name told twice the last counts."""
     text = data.decode("utf-8", "replace")
-    return {name: value for line in text.split("\n") if (parts := line.partition("="))[1]
-            for name, value in [(parts[0], parts[2])]}
+    return {
+        name: value
+        for line in text.split("\n")
+        if (parts := line.partition("="))[1]
+        for name, value in [(parts[0], parts[2])]
+    }
 
 
 def sender(ancillary: list[tuple[int, int, bytes]]) -> int:
     """The process that sent a datagram, as the kernel says; 0 where it does not."""
     for level, kind, data in ancillary:
         if level == socket.SOL_SOCKET and kind == socket.SCM_CREDENTIALS and len(data) >= CREDENTIALS.size:
-            return int(CREDENTIALS.unpack(data[:CREDENTIALS.size])[0])
+            return int(CREDENTIALS.unpack(data[: CREDENTIALS.size])[0])
     return 0
 
 
--- a/brackenpulley/fleet/process.py
+++ b/brackenpulley/fleet/process.py
@@ -109,8 +109,9 @@
 class Process:
     """Watched by its pidfd (pidfd_open(2)), which also works for one that is no child of ours."""
 
-    def __init__(self, loop: Loop, pid: int, mark: str, child: subprocess.Popen[bytes] | None,
-                 ended: Callable[[str], None]) -> None:
+    def __init__(
+        self, loop: Loop, pid: int, mark: str, child: subprocess.Popen[bytes] | None, ended: Callable[[str], None]
+    ) -> None:
         """Raises ProcessLookupError."""
         self.loop, self.pid, self.mark, self._child, self._ended = loop, pid, mark, child, ended
         self._watch = Descriptor(os.pidfd_open(pid))
@@ -145,7 +146,14 @@
     """`serve` in a session of its own: what a terminal sends to the supervisor is not sent to it. Raises OSError."""
     writer = output.writer()
     try:
-        return subprocess.Popen([sys.executable, "-m", "brackenpulley", "serve"], env=dict(env), cwd=HOME,
-                                stdin=subprocess.DEVNULL, stdout=writer, stderr=writer, start_new_session=True)
+        return subprocess.Popen(
+            [sys.executable, "-m", "brackenpulley", "serve"],
+            env=dict(env),
+            cwd=HOME,
+            stdin=subprocess.DEVNULL,
+            stdout=writer,
+            stderr=writer,
+            start_new_session=True,
+        )
     finally:
         os.close(writer)
--- a/brackenpulley/fleet/reload.py
+++ b/brackenpulley/fleet/reload.py
@@ -91,6 +91,12 @@
         if self._new.spec.fleet.instances != s.state.described:
             s.state.described = self._new.spec.fleet.instances
             s.scale(s.state.described)
-        s.log.info("reloaded", old=[n for n, place in sorted(s.places.items())
-                                    if place.process is not None and place.process.mark != s.base.mark])
+        s.log.info(
+            "reloaded",
+            old=[
+                n
+                for n, place in sorted(s.places.items())
+                if place.process is not None and place.process.mark != s.base.mark
+            ],
+        )
         return True
--- a/brackenpulley/fleet/rolling.py
+++ b/brackenpulley/fleet/rolling.py
@@ -67,5 +67,10 @@
         return begin
 
     def status(self) -> dict[str, object]:
-        return {"underWay": sorted(self.under_way), "done": self.done, "left": self.left,
-                "failed": self.failed or None, "over": self.over}
+        return {
+            "underWay": sorted(self.under_way),
+            "done": self.done,
+            "left": self.left,
+            "failed": self.failed or None,
+            "over": self.over,
+        }
--- a/brackenpulley/fleet/routes.py
+++ b/brackenpulley/fleet/routes.py
@@ -69,9 +69,11 @@
             lines, missed = ring.last(most, instance), 0
         else:
             lines, missed = ring.after(whole(request, "after", 0, 0, 1 << 60), most, instance)
-        return {"last": lines[-1].serial if lines else ring.serial if after is None else int(after),
-                "missed": missed, "lines": [{"serial": line.serial, "instance": line.instance, "text": line.text}
-                                            for line in lines]}
+        return {
+            "last": lines[-1].serial if lines else ring.serial if after is None else int(after),
+            "missed": missed,
+            "lines": [{"serial": line.serial, "instance": line.instance, "text": line.text} for line in lines],
+        }
 
     def detach(request: Request) -> Any:
         supervisor.detach()
@@ -83,6 +85,13 @@
 
     routes.add("GET", "/v1/fleet", lambda request: supervisor.status())
     routes.add("GET", "/v1/fleet/logs", logs)
-    for name, handler in (("start", start), ("stop", stop), ("restart", restart), ("scale", scale),
-                          ("reload", reload), ("detach", detach), ("end", end)):
+    for name, handler in (
+        ("start", start),
+        ("stop", stop),
+        ("restart", restart),
+        ("scale", scale),
+        ("reload", reload),
+        ("detach", detach),
+        ("end", end),
+    ):
         routes.add("POST", f"/v1/fleet/{name}", handler)
--- a/brackenpulley/fleet/sharing.py
+++ b/brackenpulley/fleet/sharing.py
@@ -80,8 +80,9 @@
 
     def used(self, now: float, without: int = -1) -> Fraction:
         """What all of them may be using, at most."""
-        return sum((Fraction(1, held.least(now)) for number, held in self._held.items() if number != without),
-                   Fraction(0))
+        return sum(
+            (Fraction(1, held.least(now)) for number, held in self._held.items() if number != without), Fraction(0)
+        )
 
     def room(self, now: float, count: int) -> bool:
         """A new process may start with this count."""
--- a/brackenpulley/fleet/spec.py
+++ b/brackenpulley/fleet/spec.py
@@ -158,8 +158,10 @@
     spec = decode(raw)
     here = Path(path).resolve().parent
     group = msgspec.structs.replace(
-        spec.fleet, config=str(here / spec.fleet.config),
-        operator=str(here / spec.fleet.operator) if spec.fleet.operator else "")
+        spec.fleet,
+        config=str(here / spec.fleet.config),
+        operator=str(here / spec.fleet.operator) if spec.fleet.operator else "",
+    )
     return msgspec.structs.replace(spec, fleet=group)
 
 
--- a/brackenpulley/fleet/stream.py
+++ b/brackenpulley/fleet/stream.py
@@ -85,8 +85,12 @@
         self.loop.call_in(AGAIN, again)
 
     def status(self) -> dict[str, Any]:
-        return {"to": self.path or "standard output", "waiting": len(self.backlog), "dropped": self.backlog.dropped,
-                "failing": self.failing or None}
+        return {
+            "to": self.path or "standard output",
+            "waiting": len(self.backlog),
+            "dropped": self.backlog.dropped,
+            "failing": self.failing or None,
+        }
 
     def close(self) -> None:
         """What waits still goes out where that needs no waiting."""
@@ -103,6 +107,7 @@
             os.close(self._out.fileno())
             return
         import select
+
         poll = select.poll()
         poll.register(1, select.POLLOUT)
         while (data := self.backlog.next()) and poll.poll(0):
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -98,8 +98,12 @@
             if place.one.state == DOWN and number not in self.state.stopped and not place.gone:
                 place.one.start(now)
         self._keep()
-        self.log.info("supervising", fleet=self.spec.fleet.name, instances=self.state.count,
-                      adopted=sum(place.process is not None for place in self.places.values()))
+        self.log.info(
+            "supervising",
+            fleet=self.spec.fleet.name,
+            instances=self.state.count,
+            adopted=sum(place.process is not None for place in self.places.values()),
+        )
         self._turn()
 
     def _listen(self) -> None:
@@ -215,8 +219,15 @@
             self.sharing.found(number, int(told["floor"]), int(told["count"]), float(told["until"]))
             self.soon()
 
-        place.words = Call(self.loop, self._sock(number), "POST", "/v1/gateways/fence",
-                           b'{"serial":%d}' % self.sharing.fence, PATIENCE, heard)
+        place.words = Call(
+            self.loop,
+            self._sock(number),
+            "POST",
+            "/v1/gateways/fence",
+            b'{"serial":%d}' % self.sharing.fence,
+            PATIENCE,
+            heard,
+        )
 
     # The turn.
 
@@ -259,16 +270,22 @@
         if self.ending and all(state in (DOWN, CRASHED) for state in states):
             self.loop.stop()
         self._say(now, states)
-        return self.ending or any(state not in (READY, DOWN, CRASHED) for state in states) or (
-            self.rolling is not None and not self.rolling.over)
+        return (
+            self.ending
+            or any(state not in (READY, DOWN, CRASHED) for state in states)
+            or (self.rolling is not None and not self.rolling.over)
+        )
 
     def target(self, now: float) -> int:
         """How many share the whole: those that run, and those that are soon to."""
         count = 0
         for place in self.places.values():
             one = place.one
-            count += one.state in ALIVE or one.state == DUE or (
-                one.state == WAITING and now - one.since < self.spec.share.widen_s)
+            count += (
+                one.state in ALIVE
+                or one.state == DUE
+                or (one.state == WAITING and now - one.since < self.spec.share.widen_s)
+            )
         return max(1, count)
 
     def _start_due(self, now: float, target: int) -> None:
@@ -286,12 +303,26 @@
 
     def _spawn(self, place: Place, now: float, count: int) -> None:
         number = place.one.number
-        env = {**os.environ, **self.spec.environment, "BALANCER_CONFIG": str(self.run / f"{number}.json"),
-               "BALANCER_CONTROL": f"unix:{self._sock(number)}", "NOTIFY_SOCKET": str(self.run / "notify.sock"),
-               FLEET: str(self.run), PLACE: str(number), MARK: self.base.mark, CLOCK: repr(self.state.clock),
-               PLACES: str(self.base.gateways(len(self.base.listens)))}
-        for name in ("BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_OPERATOR", "WATCHDOG_PID",
-                     "WATCHDOG_USEC"):
+        env = {
+            **os.environ,
+            **self.spec.environment,
+            "BALANCER_CONFIG": str(self.run / f"{number}.json"),
+            "BALANCER_CONTROL": f"unix:{self._sock(number)}",
+            "NOTIFY_SOCKET": str(self.run / "notify.sock"),
+            FLEET: str(self.run),
+            PLACE: str(number),
+            MARK: self.base.mark,
+            CLOCK: repr(self.state.clock),
+            PLACES: str(self.base.gateways(len(self.base.listens))),
+        }
+        for name in (
+            "BALANCER_NAME",
+            "BALANCER_LISTEN",
+            "BALANCER_DISCOVERY",
+            "BALANCER_OPERATOR",
+            "WATCHDOG_PID",
+            "WATCHDOG_USEC",
+        ):
             env.pop(name, None)
         if self.spec.fleet.operator:
             env["BALANCER_OPERATOR"] = str(self.run / f"{number}.toml")
@@ -329,8 +360,9 @@
             self.metrics.add("ended_by_themselves")
             self.log.warning("ended", instance=number, pid=pid, why=place.one.why, state=place.one.state)
         else:
-            self.log.info("stopped", instance=number, pid=pid, was=before, state=place.one.state,
-                          why=place.one.why or None)
+            self.log.info(
+                "stopped", instance=number, pid=pid, was=before, state=place.one.state, why=place.one.why or None
+            )
         if place.one.state == CRASHED:
             self.metrics.add("crash_loops")
             self.log.error("crash loop", instance=number, why=place.one.why, restarts=place.one.restarts)
@@ -339,8 +371,15 @@
     def _do(self, place: Place, actions: list[Do]) -> None:
         for action in actions:
             if isinstance(action, Drain):
-                Call(self.loop, self._sock(place.one.number), "POST", "/v1/drain", b"{}", PATIENCE,
-                     lambda status, body: None)
+                Call(
+                    self.loop,
+                    self._sock(place.one.number),
+                    "POST",
+                    "/v1/drain",
+                    b"{}",
+                    PATIENCE,
+                    lambda status, body: None,
+                )
             elif place.process is not None:
                 if action.number == signal.SIGKILL:
                     self.metrics.add("killed")
@@ -365,8 +404,9 @@
                 self.soon()
 
         host = {"0.0.0.0": "127.0.0.1", "::": "::1"}.get(place.at[0], place.at[0])
-        place.looking = Call(self.loop, (host, place.at[1]), "GET", "/ready", b"",
-                             min(PATIENCE, self.spec.watch.probe_s), heard)
+        place.looking = Call(
+            self.loop, (host, place.at[1]), "GET", "/ready", b"", min(PATIENCE, self.spec.watch.probe_s), heard
+        )
 
     def _tell(self, word: Word) -> None:
         place = self.places.get(word.number)
@@ -382,10 +422,10 @@
                 self.sharing.acknowledged(word.number, word.serial)
                 self.soon()
 
-        body = json.dumps({"serial": word.serial, "count": word.count, "until": word.until,
-                           "part": self.spec.fleet.part})
-        place.words = Call(self.loop, self._sock(word.number), "POST", "/v1/gateways", body.encode(),
-                           PATIENCE, heard)
+        body = json.dumps(
+            {"serial": word.serial, "count": word.count, "until": word.until, "part": self.spec.fleet.part}
+        )
+        place.words = Call(self.loop, self._sock(word.number), "POST", "/v1/gateways", body.encode(), PATIENCE, heard)
 
     # What comes in.
 
@@ -504,8 +544,7 @@
         if settled and not self._said_ready and not self.ending:
             self._said_ready = True
             self.own.say(READY=1, STATUS=f"{ready} of {wanted} ready")
-            self.log.info("fleet ready", ready=ready, instances=wanted,
-                          seconds=round(now - self.born, 3))
+            self.log.info("fleet ready", ready=ready, instances=wanted, seconds=round(now - self.born, 3))
         if self._own_watchdog and now - self._own_sign >= self._own_watchdog / 3:
             self._own_sign = now
             self.own.say(WATCHDOG=1, STATUS=f"{ready} of {wanted} ready")
@@ -516,20 +555,37 @@
         rows = []
         for number, place in sorted(self.places.items()):
             one = place.one
-            rows.append({
-                "instance": number, "state": one.state, "pid": one.pid or None,
-                "listen": f"{place.at[0]}:{place.at[1]}",
-                "seconds": round(now - one.since, 3), "restarts": one.restarts, "life": one.life,
-                "sharing": counts.get(number), "why": one.why or None, "said": one.said or None,
-                "adopted": place.process is not None and place.process.adopted,
-                "old": place.process is not None and place.process.mark != self.base.mark,
-                "health": place.health or None,
-                "healthSeconds": round(now - place.health_at, 3) if place.health else None})
-        return {"fleet": self.spec.fleet.name, "pid": os.getpid(), "upSeconds": round(now - self.born, 3),
-                "instances": self.state.count, "ready": sum(row["state"] == READY for row in rows),
-                "stopped": self.state.stopped, "ending": self.ending, "places": rows,
-                "rolling": self.rolling.status() if self.rolling is not None else None,
-                "reloading": self.reloading is not None, "reloadFailed": self.reloaded or None,
-                "log": self.stream.status(),
-                "clockStepSeconds": round(time.time() - time.monotonic() - self.state.clock, 3),
-                "counters": self.metrics.table()}
+            rows.append(
+                {
+                    "instance": number,
+                    "state": one.state,
+                    "pid": one.pid or None,
+                    "listen": f"{place.at[0]}:{place.at[1]}",
+                    "seconds": round(now - one.since, 3),
+                    "restarts": one.restarts,
+                    "life": one.life,
+                    "sharing": counts.get(number),
+                    "why": one.why or None,
+                    "said": one.said or None,
+                    "adopted": place.process is not None and place.process.adopted,
+                    "old": place.process is not None and place.process.mark != self.base.mark,
+                    "health": place.health or None,
+                    "healthSeconds": round(now - place.health_at, 3) if place.health else None,
+                }
+            )
+        return {
+            "fleet": self.spec.fleet.name,
+            "pid": os.getpid(),
+            "upSeconds": round(now - self.born, 3),
+            "instances": self.state.count,
+            "ready": sum(row["state"] == READY for row in rows),
+            "stopped": self.state.stopped,
+            "ending": self.ending,
+            "places": rows,
+            "rolling": self.rolling.status() if self.rolling is not None else None,
+            "reloading": self.reloading is not None,
+            "reloadFailed": self.reloaded or None,
+            "log": self.stream.status(),
+            "clockStepSeconds": round(time.time() - time.monotonic() - self.state.clock, 3),
+            "counters": self.metrics.table(),
+        }
--- a/brackenpulley/growth/merge.py
+++ b/brackenpulley/growth/merge.py
@@ -93,11 +93,18 @@
         if not self.seconds:
             return []
         start = min(self.seconds)
-        return [{"second": at - start, "ingresses": len(s.ingresses), **{key: s.counts[name] for key, name in COLUMNS},
-                 "out": s.out, "aside": sum(s.aside.values()),
-                 "servers": sum(c["relays"] > 0 for c in s.servers.values()),
-                 "most": max((c["relays"] for c in s.servers.values()), default=0)}
-                for at, s in sorted(self.seconds.items())]
+        return [
+            {
+                "second": at - start,
+                "ingresses": len(s.ingresses),
+                **{key: s.counts[name] for key, name in COLUMNS},
+                "out": s.out,
+                "aside": sum(s.aside.values()),
+                "servers": sum(c["relays"] > 0 for c in s.servers.values()),
+                "most": max((c["relays"] for c in s.servers.values()), default=0),
+            }
+            for at, s in sorted(self.seconds.items())
+        ]
 
     def by(self, what: str) -> list[dict[str, Any]]:
         """A row a sim server or an ingress, over all seconds; the busiest first."""
@@ -112,15 +119,39 @@
         total: Counter[str] = Counter()
         for second in self.seconds.values():
             total.update(second.counts)
-        return {"seconds": self.table(), "servers": self.by("server"), "ingresses": self.by("ingress"),
-                "counters": dict(sorted(total.items())),
-                "logs": {name: {"records": log.records, "other": log.other, "bad": log.bad, "first_bad": log.first_bad}
-                         for name, log in self.logs.items()}}
-
-
-COLUMNS = (("messages", "messages"), ("relays", "relays"), ("served", "served"), ("connects", "connects"),
-           ("errors", "relay_error"), ("full", "relay_full"), ("timeouts", "relay_timeout"), ("resets", "relay_reset"),
-           ("unreached", "relay_connect_failed"), ("taken_back", "relay_cancelled"), ("no_quota", "refused_quota"),
-           ("no_rate", "refused_rate"), ("no_time", "refused_haste"), ("no_room", "refused_room"),
-           ("no_server", "refused_servers"), ("gone", "gone"), ("lists", "lists"), ("breaks", "watch_breaks"),
-           ("calls", "counts"), ("answered", "count_ok"), ("late", "count_timeout"), ("turned_away", "count_full"))
+        return {
+            "seconds": self.table(),
+            "servers": self.by("server"),
+            "ingresses": self.by("ingress"),
+            "counters": dict(sorted(total.items())),
+            "logs": {
+                name: {"records": log.records, "other": log.other, "bad": log.bad, "first_bad": log.first_bad}
+                for name, log in self.logs.items()
+            },
+        }
+
+
+COLUMNS = (
+    ("messages", "messages"),
+    ("relays", "relays"),
+    ("served", "served"),
+    ("connects", "connects"),
+    ("errors", "relay_error"),
+    ("full", "relay_full"),
+    ("timeouts", "relay_timeout"),
+    ("resets", "relay_reset"),
+    ("unreached", "relay_connect_failed"),
+    ("taken_back", "relay_cancelled"),
+    ("no_quota", "refused_quota"),
+    ("no_rate", "refused_rate"),
+    ("no_time", "refused_haste"),
+    ("no_room", "refused_room"),
+    ("no_server", "refused_servers"),
+    ("gone", "gone"),
+    ("lists", "lists"),
+    ("breaks", "watch_breaks"),
+    ("calls", "counts"),
+    ("answered", "count_ok"),
+    ("late", "count_timeout"),
+    ("turned_away", "count_full"),
+)
--- a/brackenpulley/growth/tally.py
+++ b/brackenpulley/growth/tally.py
@@ -35,15 +35,25 @@
         for (name, server), n in (self.metrics.servers or {}).items():
             by.setdefault(server, {})[name] = n
         self.metrics.servers = defaultdict(int)
-        self.log.info("second", at=at, tally=json.dumps(
-            {"counts": {name: n for name, n in counts.items() if n}, "servers": by,
-             "now": self.now()}, separators=(",", ":")))
+        self.log.info(
+            "second",
+            at=at,
+            tally=json.dumps(
+                {"counts": {name: n for name, n in counts.items() if n}, "servers": by, "now": self.now()},
+                separators=(",", ":"),
+            ),
+        )
         self._next()
 
     def now(self) -> dict[str, Any]:
         """What the module holds by now."""
         g = self.gateway
-        return {"up": len(g.servers.up), "aside": g.servers.aside_up(),
-                "out": sum(len(s.out) for s in g.servers.busy.values()),
-                "pace": round(g.pace, 2), "gap": round(g.calls.gap, 3), "firms": len(g.customers),
-                "rates": {name: round(x.rate, 2) for name, x in g.loops.items()}}
+        return {
+            "up": len(g.servers.up),
+            "aside": g.servers.aside_up(),
+            "out": sum(len(s.out) for s in g.servers.busy.values()),
+            "pace": round(g.pace, 2),
+            "gap": round(g.calls.gap, 3),
+            "firms": len(g.customers),
+            "rates": {name: round(x.rate, 2) for name, x in g.loops.items()},
+        }
--- a/brackenpulley/health/service.py
+++ b/brackenpulley/health/service.py
@@ -69,8 +69,14 @@
         now = self.loop.clock()
         heard = self.daemon.discovery.heard_at if self.daemon.discovery is not None else 0.0
         most = min(self.daemon.config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        return Vitals(self.lag.worst(now), self._descriptors, most, self._memory,
-                      float(self.daemon.config.memory_mb), now - heard if heard else None)
+        return Vitals(
+            self.lag.worst(now),
+            self._descriptors,
+            most,
+            self._memory,
+            float(self.daemon.config.memory_mb),
+            now - heard if heard else None,
+        )
 
     def status(self) -> dict[str, Any]:
         return dict(self.vitals().row(self.bounds))
--- a/brackenpulley/health/vitals.py
+++ b/brackenpulley/health/vitals.py
@@ -62,8 +62,12 @@
         return found
 
     def row(self, bounds: Bounds) -> dict[str, object]:
-        return {"lagMs": round(self.lag * 1000, 1), "descriptors": self.descriptors,
-                "mostDescriptors": self.most_descriptors, "memoryMb": round(self.memory_mb, 1),
-                "mostMemoryMb": round(self.most_memory_mb, 1),
-                "listSeconds": None if self.list_age is None else round(self.list_age, 2),
-                "troubles": self.troubles(bounds)}
+        return {
+            "lagMs": round(self.lag * 1000, 1),
+            "descriptors": self.descriptors,
+            "mostDescriptors": self.most_descriptors,
+            "memoryMb": round(self.memory_mb, 1),
+            "mostMemoryMb": round(self.most_memory_mb, 1),
+            "listSeconds": None if self.list_age is None else round(self.list_age, 2),
+            "troubles": self.troubles(bounds),
+        }
--- a/brackenpulley/ledger/files.py
+++ b/brackenpulley/ledger/files.py
@@ -22,8 +22,18 @@
 
 def csv_row(entry: Entry) -> list[Any]:
     key = entry.key
-    return [entry.seq, entry.id, key.kind, f"{key.firm:016x}", key.plan, key.revision, instant(key.start),
-            instant(key.end), decimal(entry.units), entry.tries]
+    return [
+        entry.seq,
+        entry.id,
+        key.kind,
+        f"{key.firm:016x}",
+        key.plan,
+        key.revision,
+        instant(key.start),
+        instant(key.end),
+        decimal(entry.units),
+        entry.tries,
+    ]
 
 
 def _line(entry: Entry, kind: str) -> bytes:
@@ -56,7 +66,7 @@
     with open(path, "rb+") as file:
         file.seek(max(0, size - TAIL))
         tail = file.read()
-        whole = tail[:tail.rfind(b"\n") + 1]
+        whole = tail[: tail.rfind(b"\n") + 1]
         last = _last(whole, kind, path)
         file.truncate(size - len(tail) + len(whole))
     return last
--- a/brackenpulley/ledger/push.py
+++ b/brackenpulley/ledger/push.py
@@ -26,7 +26,7 @@
         while True:
             entries = list(store.entries(max(heads.acked + 1, heads.first), rules.size))
             if heads.replay > heads.acked:
-                entries = entries[:heads.replay - heads.acked]
+                entries = entries[: heads.replay - heads.acked]
             if not entries:
                 return
             first, last = entries[0].seq, entries[-1].seq
