--- a/brackenpulley/ledger/service.py
+++ b/brackenpulley/ledger/service.py
@@ -177,12 +177,22 @@
     def status(self) -> dict[str, Any]:
         heads, uploader = self.tally.heads, self.uploader
         return {
-            "ingress": heads.ingress, "epoch": heads.epoch, "countedUnits": heads.counted / MICRO,
-            "tries": heads.tries, "openUnits": self.tally.open_units() / MICRO, "openSums": len(self.tally.open),
-            "nextEntry": heads.next_seq, "acknowledged": heads.acked, "backlog": heads.backlog,
-            "firstKept": heads.first, "periodSeconds": self.tally.length() / 1000, "bytes": self.store.used_bytes(),
-            "failing": self.failing, "mode": "refuse" if self.part.refuse else "serve",
-            "export": uploader.status() if uploader is not None else None}
+            "ingress": heads.ingress,
+            "epoch": heads.epoch,
+            "countedUnits": heads.counted / MICRO,
+            "tries": heads.tries,
+            "openUnits": self.tally.open_units() / MICRO,
+            "openSums": len(self.tally.open),
+            "nextEntry": heads.next_seq,
+            "acknowledged": heads.acked,
+            "backlog": heads.backlog,
+            "firstKept": heads.first,
+            "periodSeconds": self.tally.length() / 1000,
+            "bytes": self.store.used_bytes(),
+            "failing": self.failing,
+            "mode": "refuse" if self.part.refuse else "serve",
+            "export": uploader.status() if uploader is not None else None,
+        }
 
     def stop(self) -> None:
         """Commits what is left; the store is given back."""
@@ -214,8 +224,9 @@
         if self._stopped:
             return
         try:
-            self.lock = Lock(self.service.store.path / "export.lock", f"ingress {self.service.store.ingress}",
-                             LedgerError)
+            self.lock = Lock(
+                self.service.store.path / "export.lock", f"ingress {self.service.store.ingress}", LedgerError
+            )
         except (LedgerError, OSError) as error:
             self._say(str(error))
             self.loop.call_in(LOCK_AGAIN, self.start)
@@ -253,8 +264,10 @@
         body = batch(entries)
         at = self.part.at
         host = f"[{at[0]}]" if ":" in at[0] else at[0]
-        self._out = (f"POST {self.part.path} HTTP/1.1\r\nHost: {host}:{at[1]}\r\nContent-Type: {CONTENT}\r\n"
-                     f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n").encode() + body
+        self._out = (
+            f"POST {self.part.path} HTTP/1.1\r\nHost: {host}:{at[1]}\r\nContent-Type: {CONTENT}\r\n"
+            f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+        ).encode() + body
         self._reply = Reply()
         self.metrics.add("export_sends")
         try:
@@ -272,7 +285,7 @@
             if self._out:
                 if sockets.failed(sock):
                     raise OSError("connect")
-                self._out = self._out[sock.send(self._out):]
+                self._out = self._out[sock.send(self._out) :]
                 self.loop.want(sock, READ | WRITE if self._out else READ, self._event)
                 if self._out or not events & READ:
                     return
@@ -334,8 +347,12 @@
                 self.log.info("export", said="billing takes entries again")
 
     def status(self) -> dict[str, Any]:
-        return {"to": f"{self.part.at[0]}:{self.part.at[1]}{self.part.path}", "batch": self.rules.size,
-                "failures": self.rules.failures, "fault": self._said}
+        return {
+            "to": f"{self.part.at[0]}:{self.part.at[1]}{self.part.path}",
+            "batch": self.rules.size,
+            "failures": self.rules.failures,
+            "fault": self._said,
+        }
 
     def _close(self) -> None:
         if self._timer is not None:
--- a/brackenpulley/ledger/store.py
+++ b/brackenpulley/ledger/store.py
@@ -65,10 +65,12 @@
             self._log = self._map() if ingress else None
             self._size = 0  # bytes of the log that hold records since the last fold
             self.newest = 0  # the last turn that `turns` has met: one that found no room may be missing before it
-            self.env = lmdb.open(str(self.path), map_size=size, max_dbs=5, readonly=not ingress, readahead=False,
-                                 meminit=False)
+            self.env = lmdb.open(
+                str(self.path), map_size=size, max_dbs=5, readonly=not ingress, readahead=False, meminit=False
+            )
             self._open, self._entries, self._meta, self._totals, self._acks = (
-                self.env.open_db(name, create=bool(ingress)) for name in (b"open", b"entry", b"meta", b"total", b"ack"))
+                self.env.open_db(name, create=bool(ingress)) for name in (b"open", b"entry", b"meta", b"total", b"ack")
+            )
         except (lmdb.Error, OSError) as error:
             if self.lock is not None:
                 self.lock.close()
@@ -111,7 +113,7 @@
         while self._size + RECORD.size <= len(data):
             length, checksum = RECORD.unpack_from(data, self._size)
             begin = self._size + RECORD.size
-            body = data[begin:begin + length]
+            body = data[begin : begin + length]
             if not length or len(body) < length or xxhash.xxh32_intdigest(body) != checksum:
                 return
             self._size = begin + length
@@ -127,7 +129,7 @@
         end = self._size + len(record)
         if end > LOG or self._log is None:
             raise LedgerError(f"{self.path}: the log is full")
-        self._log[self._size:end] = record
+        self._log[self._size : end] = record
         if not self.sync:
             try:
                 self._log.flush()
@@ -151,8 +153,19 @@
         meta = _any.decode(data)
         if meta.get("format") != FORMAT:
             raise LedgerError(f"{self.path}: format {meta.get('format')}, this program reads {FORMAT}")
-        heads = Heads(meta["ingress"], meta["epoch"], meta["next"], meta["acked"], meta["closed"], meta["first"],
-                      meta["counted"], meta["tries"], meta["dropped"], meta["replay"], meta["turn"])
+        heads = Heads(
+            meta["ingress"],
+            meta["epoch"],
+            meta["next"],
+            meta["acked"],
+            meta["closed"],
+            meta["first"],
+            meta["counted"],
+            meta["tries"],
+            meta["dropped"],
+            meta["replay"],
+            meta["turn"],
+        )
         return heads, meta["last"]
 
     def last_turn(self) -> list[str]:
@@ -169,11 +182,27 @@
         txn.put(b"heads", packed(meta), db=self._meta)
 
     def _put_heads(self, txn: Any, heads: Heads, last: list[str]) -> None:
-        txn.put(b"heads", packed({
-            "format": FORMAT, "ingress": heads.ingress, "epoch": heads.epoch, "next": heads.next_seq,
-            "acked": heads.acked, "closed": heads.closed, "first": heads.first, "dropped": heads.dropped,
-            "replay": heads.replay, "counted": heads.counted, "tries": heads.tries, "turn": heads.turn,
-            "last": last}), db=self._meta)
+        txn.put(
+            b"heads",
+            packed(
+                {
+                    "format": FORMAT,
+                    "ingress": heads.ingress,
+                    "epoch": heads.epoch,
+                    "next": heads.next_seq,
+                    "acked": heads.acked,
+                    "closed": heads.closed,
+                    "first": heads.first,
+                    "dropped": heads.dropped,
+                    "replay": heads.replay,
+                    "counted": heads.counted,
+                    "tries": heads.tries,
+                    "turn": heads.turn,
+                    "last": last,
+                }
+            ),
+            db=self._meta,
+        )
 
     def fold(self, heads: Heads, changed: dict[Key, Sum | None], made: list[Entry], last: list[str]) -> None:
         """All that was counted since the last fold, and entries of periods closed since. A sum leaves the open ones
@@ -214,8 +243,9 @@
     def replay(self, heads: Heads, first: int) -> None:
         """Entries from this one on go to billing again. Raises LedgerError."""
         if not heads.first <= first <= heads.acked:
-            raise LedgerError(f"from: {first} is not among the acknowledged entries that are kept, "
-                              f"{heads.first} to {heads.acked}")
+            raise LedgerError(
+                f"from: {first} is not among the acknowledged entries that are kept, {heads.first} to {heads.acked}"
+            )
         old = heads.acked, heads.replay
         heads.replay, heads.acked = max(heads.replay, heads.acked), first - 1
         try:
@@ -284,6 +314,7 @@
     def verify(self) -> Iterator[tuple[str, int]]:
         """See `tally.check`. Reads while a daemon writes: all of it is one moment of the store."""
         from .tally import check
+
         with self.env.begin() as txn:
             heads, _ = self._heads(txn)
             if heads is None:
--- a/brackenpulley/ledger/tally.py
+++ b/brackenpulley/ledger/tally.py
@@ -140,8 +140,9 @@
             total = self.open.pop(key)
             self.changed.add(key)
             heads = self.heads
-            made.append(Entry(heads.next_seq, f"{heads.ingress}/{heads.epoch}/{heads.next_seq}", key, total.units,
-                              total.tries))
+            made.append(
+                Entry(heads.next_seq, f"{heads.ingress}/{heads.epoch}/{heads.next_seq}", key, total.units, total.tries)
+            )
             heads.next_seq += 1
             if key.kind == "use":
                 heads.closed = max(heads.closed, key.end)
@@ -157,8 +158,13 @@
         return sum(total.units for total in self.open.values())
 
 
-def check(heads: Heads, sums: dict[Key, Sum], entries: Iterator[Entry], totals: dict[tuple[int, str, int], int],
-          acknowledged: list[tuple[int, int, bool]]) -> Iterator[tuple[str, int]]:
+def check(
+    heads: Heads,
+    sums: dict[Key, Sum],
+    entries: Iterator[Entry],
+    totals: dict[tuple[int, str, int], int],
+    acknowledged: list[tuple[int, int, bool]],
+) -> Iterator[tuple[str, int]]:
     """Walk the whole ledger; yields (fault, or nothing, and the entries seen so far).
 
     `totals` are kept units of entries by firm, plan and revision; `acknowledged` the ranges that billing took, each
@@ -184,12 +190,22 @@
         yield f"sequence: ends at {expected - 1}, and the next one is {heads.next_seq}", count
     for key in sorted(seen.keys() | totals.keys()):
         if seen.get(key, 0) != totals.get(key, 0):
-            yield (f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: entries hold {seen.get(key, 0)} "
-                   f"micro-units, and their kept sum is {totals.get(key, 0)}"), count
+            yield (
+                (
+                    f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: entries hold {seen.get(key, 0)} "
+                    f"micro-units, and their kept sum is {totals.get(key, 0)}"
+                ),
+                count,
+            )
     still = sum(total.units for total in sums.values())
     if heads.counted != closed + heads.dropped + still:
-        yield (f"sum: counted {heads.counted} micro-units; entries {closed}, no longer kept {heads.dropped}, "
-               f"open {still}"), count
+        yield (
+            (
+                f"sum: counted {heads.counted} micro-units; entries {closed}, no longer kept {heads.dropped}, "
+                f"open {still}"
+            ),
+            count,
+        )
     if not 0 <= heads.acked < heads.next_seq:
         yield f"acknowledged: {heads.acked}, and the next entry is {heads.next_seq}", count
     until = 0
--- a/brackenpulley/ledger/upload.py
+++ b/brackenpulley/ledger/upload.py
@@ -33,11 +33,25 @@
     key = entry.key
     source, _, _ = entry.id.rpartition("/")
     return {
-        "specversion": "1.0", "id": entry.id, "source": f"/brackenpulley/{source}", "type": TYPE,
-        "subject": f"{key.firm:016x}", "time": instant(key.end), "datacontenttype": "application/json",
-        "data": {"seq": entry.seq, "kind": key.kind, "firm": f"{key.firm:016x}", "plan": key.plan,
-                 "planRevision": key.revision, "from": instant(key.start), "to": instant(key.end),
-                 "units": decimal(entry.units), "tries": entry.tries}}
+        "specversion": "1.0",
+        "id": entry.id,
+        "source": f"/brackenpulley/{source}",
+        "type": TYPE,
+        "subject": f"{key.firm:016x}",
+        "time": instant(key.end),
+        "datacontenttype": "application/json",
+        "data": {
+            "seq": entry.seq,
+            "kind": key.kind,
+            "firm": f"{key.firm:016x}",
+            "plan": key.plan,
+            "planRevision": key.revision,
+            "from": instant(key.start),
+            "to": instant(key.end),
+            "units": decimal(entry.units),
+            "tries": entry.tries,
+        },
+    }
 
 
 def decimal(units: int) -> str:
@@ -48,6 +62,7 @@
 def instant(at: int) -> str:
     """ms of Unix time as RFC 3339."""
     import datetime
+
     moment = datetime.datetime.fromtimestamp(at // 1000, datetime.UTC)
     return f"{moment:%Y-%m-%dT%H:%M:%S}.{at % 1000:03d}Z"
 
--- a/brackenpulley/maintenance/clerk.py
+++ b/brackenpulley/maintenance/clerk.py
@@ -44,8 +44,17 @@
 
 
 class Clerk:
-    def __init__(self, name: str, agreement: Agreement, permits: Callable[[], Permits], port: Port, bounds: Bounds,
-                 settle: float, late: float, now: float) -> None:
+    def __init__(
+        self,
+        name: str,
+        agreement: Agreement,
+        permits: Callable[[], Permits],
+        port: Port,
+        bounds: Bounds,
+        settle: float,
+        late: float,
+        now: float,
+    ) -> None:
         self.name, self.agreement, self._permits, self.port = name, agreement, permits, port
         self.bounds, self.settle, self.late = bounds, settle, late
         self.entered = self.leaving = False
@@ -63,8 +72,10 @@
 
     def propose(self, now: float, command: Command, done: Callable[[Any], None], patience: float = PATIENCE) -> None:
         """`done` gets the answer, or None where nothing was agreed in that time (it may be later)."""
+
         def over(outcome: Outcome | None) -> None:
             done(None if outcome is None else outcome.answer)
+
         if not self.agreement.propose(now, PART, encode(command), patience, over):
             done({"error": "too many calls at once", "field": ""})
 
@@ -84,8 +95,9 @@
             self._away = away
             self.port.away(away)
         mine = [job for job in permits.out() if job.ingress == self.name]
-        drains = any(job.state in (CLEARING, CLEAR, WORK) or job.state == STUCK and job.was != RETURNING
-                     for job in mine)
+        drains = any(
+            job.state in (CLEARING, CLEAR, WORK) or job.state == STUCK and job.was != RETURNING for job in mine
+        )
         if drains != self._drains:
             self._drains = drains
             self.port.drain(drains)
--- a/brackenpulley/maintenance/permits.py
+++ b/brackenpulley/maintenance/permits.py
@@ -31,7 +31,16 @@
 from .order import Bounds, Facts, Wanted, plan
 
 ASKED, WAITING, CLEARING, CLEAR, WORK, RETURNING, DONE, WITHDRAWN, STUCK = (
-    "asked", "waiting", "clearing", "clear", "at work", "returning", "done", "withdrawn", "stuck")
+    "asked",
+    "waiting",
+    "clearing",
+    "clear",
+    "at work",
+    "returning",
+    "done",
+    "withdrawn",
+    "stuck",
+)
 OUT = (CLEARING, CLEAR, WORK, RETURNING, STUCK)
 OVER = (DONE, WITHDRAWN)
 JOBS, TARGETS, KEPT = 500, 200, 200  # that are not over; servers of one; that are over and remembered
@@ -160,22 +169,41 @@
 
     def away(self) -> dict[str, int]:
         """Servers that get no new work, and the token under which. One that returns gets work again."""
-        return {name: job.token for job in self.out() if job.state != RETURNING and job.was != RETURNING
-                for name in job.servers}
+        return {
+            name: job.token
+            for job in self.out()
+            if job.state != RETURNING and job.was != RETURNING
+            for name in job.servers
+        }
 
     def missing(self, job: Job) -> list[str]:
         """Ingresses that have not said that it is clear."""
         if job.state not in (CLEARING, STUCK) or job.was == RETURNING:
             return []
-        who = {job.ingress: self.roster[job.ingress]} if job.ingress in self.roster else (
-            {} if job.ingress else self.roster)
+        who = (
+            {job.ingress: self.roster[job.ingress]}
+            if job.ingress in self.roster
+            else ({} if job.ingress else self.roster)
+        )
         return sorted(name for name, life in who.items() if life not in job.said)
 
     def row(self, job: Job) -> dict[str, Any]:
-        return {"id": job.id, "state": job.state, "token": job.token, "by": job.by, "servers": job.servers,
-                "ingress": job.ingress, "zone": job.zone, "urgency": job.urgency, "asked": job.asked,
-                "since": job.since, "deadline": job.deadline, "why": job.why, "missing": self.missing(job),
-                "overrides": job.overrides}
+        return {
+            "id": job.id,
+            "state": job.state,
+            "token": job.token,
+            "by": job.by,
+            "servers": job.servers,
+            "ingress": job.ingress,
+            "zone": job.zone,
+            "urgency": job.urgency,
+            "asked": job.asked,
+            "since": job.since,
+            "deadline": job.deadline,
+            "why": job.why,
+            "missing": self.missing(job),
+            "overrides": job.overrides,
+        }
 
     # Commands.
 
@@ -226,8 +254,17 @@
             return {"error": f"{JOBS} machines at most", "field": "id"}
         self.jobs.pop(command.id, None)
         self.jobs[command.id] = job = Job(
-            command.id, command.by, sorted(set(command.servers)), command.ingress, command.place, command.zone,
-            command.urgency, command.deadline, at, since=at)
+            command.id,
+            command.by,
+            sorted(set(command.servers)),
+            command.ingress,
+            command.place,
+            command.zone,
+            command.urgency,
+            command.deadline,
+            at,
+            since=at,
+        )
         return self._answer(job)
 
     def _enter(self, at: float, command: Enter) -> Any:
@@ -277,7 +314,7 @@
                 granted.append(job.id)
                 self._to(at, job, CLEARING)
         for at_row, (one, why) in enumerate(rows):
-            if why and any(not later for _, later in rows[at_row + 1:]):
+            if why and any(not later for _, later in rows[at_row + 1 :]):
                 self.jobs[one.id].passed += 1
         self._look(at)
         self._forget()
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -65,8 +65,13 @@
 
     def holds(self) -> Holds:
         daemon = self.daemon
-        return Holds(daemon.config.name, daemon.config.settings.me, daemon.drain.ready(daemon.ready()),
-                     round(self.smoothed, 1), daemon.metrics.counts["messages"])
+        return Holds(
+            daemon.config.name,
+            daemon.config.settings.me,
+            daemon.drain.ready(daemon.ready()),
+            round(self.smoothed, 1),
+            daemon.metrics.counts["messages"],
+        )
 
     def others(self) -> list[Holds]:
         station = self.daemon.members.service.station
@@ -90,8 +95,7 @@
         daemon, apart = self.daemon, self.daemon.ingress.gateway.servers.apart
         entries = daemon.inventory.listed()
         away = daemon.inventory.taken_out
-        servers = {e.server: Server(e.zone, e.kind, e.size, e.state == "up" and e.server not in apart)
-                   for e in entries}
+        servers = {e.server: Server(e.zone, e.kind, e.size, e.state == "up" and e.server not in apart) for e in entries}
         zones: dict[str, list[bool]] = {}
         for e in entries:
             if e.state == "up" and e.server not in away:
@@ -102,8 +106,14 @@
         places = [False] * max([daemon.config.settings.places, *(row.place + 1 for row in rows)])
         for row in rows:
             places[row.place] = places[row.place] or row.ready
-        return Facts(servers, sum(row.attempts for row in rows), places, self.told.spread, lost,
-                     missing if missing > 1 and missing * SHORT > len(servers) else 0)
+        return Facts(
+            servers,
+            sum(row.attempts for row in rows),
+            places,
+            self.told.spread,
+            lost,
+            missing if missing > 1 and missing * SHORT > len(servers) else 0,
+        )
 
     def group(self, whole: str) -> list[str]:
         """Servers of "zone:NAME" or "cell:NUMBER", as listed here now."""
@@ -144,8 +154,16 @@
         told, agreement = self.told, self.agreement.agreement
         assert agreement is not None
         bounds = Bounds(told.out, told.zone, told.reserve, told.bears)
-        self.clerk = Clerk(self.daemon.config.name, agreement, lambda: self.permits, self.port, bounds, told.settle,
-                           told.late, self.loop.clock())
+        self.clerk = Clerk(
+            self.daemon.config.name,
+            agreement,
+            lambda: self.permits,
+            self.port,
+            bounds,
+            told.settle,
+            told.late,
+            self.loop.clock(),
+        )
         agreement.advanced = self.clerk.heard
         self._look()
 
@@ -201,9 +219,13 @@
         states: dict[str, int] = {}
         for job in permits.jobs.values():
             states[job.state] = states.get(job.state, 0) + 1
-        return {"entered": self.clerk is not None and self.clerk.entered, "states": states,
-                "away": permits.away(), "ingresses": len(permits.roster),
-                "waitsFor": {job.id: missing for job in permits.out() if (missing := permits.missing(job))}}
+        return {
+            "entered": self.clerk is not None and self.clerk.entered,
+            "states": states,
+            "away": permits.away(),
+            "ingresses": len(permits.roster),
+            "waitsFor": {job.id: missing for job in permits.out() if (missing := permits.missing(job))},
+        }
 
     def knows(self) -> bool:
         return self.clerk is not None and self.clerk.knows(self.loop.clock())
--- a/brackenpulley/members/keys.py
+++ b/brackenpulley/members/keys.py
@@ -73,12 +73,12 @@
             raise PacketError("truncated")
         if data[:1] != VERSION:
             raise PacketError("version")
-        key = self._keys.get(data[1:1 + MARK])
+        key = self._keys.get(data[1 : 1 + MARK])
         if key is None:
             raise PacketError("unknown_key")
-        nonce = data[1 + MARK:1 + MARK + NONCE]
+        nonce = data[1 + MARK : 1 + MARK + NONCE]
         try:
-            return key.decrypt(nonce, data[1 + MARK + NONCE:], self._name)
+            return key.decrypt(nonce, data[1 + MARK + NONCE :], self._name)
         except InvalidTag:
             raise PacketError("forged") from None
 
--- a/brackenpulley/members/protocol.py
+++ b/brackenpulley/members/protocol.py
@@ -217,8 +217,13 @@
         return self._effects()
 
     def next_tick(self) -> float:
-        times = [self._gossip_at, self._sync_at, self._rejoin_at, *(h.until for h in self._helping.values()),
-                 *(m.suspicion.until for m in self._suspected.values() if m.suspicion is not None)]
+        times = [
+            self._gossip_at,
+            self._sync_at,
+            self._rejoin_at,
+            *(h.until for h in self._helping.values()),
+            *(m.suspicion.until for m in self._suspected.values() if m.suspicion is not None),
+        ]
         if self._probe is not None:
             times.append(self._probe.until if self._probe.relayed else self._probe.relay_at)
         elif not self.leaving:
@@ -285,8 +290,12 @@
                 self._say(self.self_update())
             return
         member = self.members.get(update.id)
-        if member is not None and update.state in (SUSPECT, DEAD) and update.incarnation < member.incarnation and (
-                member.state == ALIVE):
+        if (
+            member is not None
+            and update.state in (SUSPECT, DEAD)
+            and update.incarnation < member.incarnation
+            and (member.state == ALIVE)
+        ):
             # Whoever says so has missed that it was refuted, and would declare it dead: it is told again.
             self._say(Update(member.id, member.address, member.incarnation, ALIVE))
             return
@@ -335,8 +344,11 @@
     def _set(self, member: Member, incarnation: int, state: str) -> None:
         changed = member.state != state
         member.incarnation, member.state, member.suspicion = incarnation, state, None
-        for index, states in ((self._alive, (ALIVE, SUSPECT)), (self._suspected, (SUSPECT,)),
-                              (self._over, (DEAD, LEFT))):
+        for index, states in (
+            (self._alive, (ALIVE, SUSPECT)),
+            (self._suspected, (SUSPECT,)),
+            (self._over, (DEAD, LEFT)),
+        ):
             if state in states:
                 index[member.id] = member
             else:
@@ -348,8 +360,10 @@
     # What goes out.
 
     def _everything(self) -> list[Update]:
-        return [self.self_update(), *(Update(m.id, m.address, m.incarnation, m.state, self.id)
-                                      for m in self.members.values())]
+        return [
+            self.self_update(),
+            *(Update(m.id, m.address, m.incarnation, m.state, self.id) for m in self.members.values()),
+        ]
 
     def some(self, count: int) -> list[Member]:
         alive = self.alive()
--- a/brackenpulley/members/records.py
+++ b/brackenpulley/members/records.py
@@ -123,8 +123,11 @@
     def receive(self, now: float, word: Records) -> None:
         self.now = max(self.now, now)
         for row in word.rows:
-            if row.owner == self.me or row.owner in self._over or (
-                    row.owner in self._dead and row.kind not in self.sticky):
+            if (
+                row.owner == self.me
+                or row.owner in self._over
+                or (row.owner in self._dead and row.kind not in self.sticky)
+            ):
                 continue
             if len(row.value) > VALUE or len(row.kind) > NAME or len(row.key) > NAME:
                 self._count("too_long")
--- a/brackenpulley/members/service.py
+++ b/brackenpulley/members/service.py
@@ -52,14 +52,23 @@
     """A new id each start: the name, and the ms of the start. The file is read at the start; what commands change in
     service is theirs to write into it."""
 
-    def __init__(self, loop: Loop, part: MembersPart, name: str, gateways: GatewaysService, metrics: Metrics,
-                 log: Any) -> None:
+    def __init__(
+        self, loop: Loop, part: MembersPart, name: str, gateways: GatewaysService, metrics: Metrics, log: Any
+    ) -> None:
         """Raises ConfigError."""
         self.loop, self.part, self.gateways = loop, part, gateways
         self._sought = 0
         life = time.time_ns() // 1_000_000
-        self.service = MemberService(loop, read_ring(part.fleet, part.keys), f"{name}@{life}", life, list(part.seeds),
-                                     metrics, log, self._changed)
+        self.service = MemberService(
+            loop,
+            read_ring(part.fleet, part.keys),
+            f"{name}@{life}",
+            life,
+            list(part.seeds),
+            metrics,
+            log,
+            self._changed,
+        )
 
     def start(self) -> None:
         try:
--- a/brackenpulley/members/transport.py
+++ b/brackenpulley/members/transport.py
@@ -47,7 +47,7 @@
                 if not self.up and sockets.failed(self.sock):
                     raise OSError("connect")
                 self.up = True
-                self.out = self.out[self.sock.send(self.out):]
+                self.out = self.out[self.sock.send(self.out) :]
                 if not self.out:
                     self.close()
                 return
@@ -64,7 +64,7 @@
             self.service.dropped("too_long")
             self.close()
         elif size and len(self.seen) >= LENGTH + size:
-            body = self.seen[LENGTH:LENGTH + size]
+            body = self.seen[LENGTH : LENGTH + size]
             self.close()
             self.service.opened(body, "", STREAM)
         elif not data:
@@ -81,8 +81,18 @@
 
 
 class MemberService:
-    def __init__(self, loop: Loop, ring: KeyRing, ident: str, life: int, seeds: list[str], metrics: Metrics, log: Any,
-                 changed: Callable[[Changed], None], timing: Timing | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        ring: KeyRing,
+        ident: str,
+        life: int,
+        seeds: list[str],
+        metrics: Metrics,
+        log: Any,
+        changed: Callable[[Changed], None],
+        timing: Timing | None = None,
+    ) -> None:
         """`life` grows with each start under the same name (Unix ms will do): older packets are replays."""
         self.loop, self.ring, self.id, self.life, self.seeds = loop, ring, ident, life, seeds
         self.metrics, self.log, self.changed, self.timing = metrics, log, changed, timing or Timing()
@@ -110,8 +120,9 @@
             self.stop()
             raise
         self._source = host if advertise else ""
-        self.station = Station(self.id, advertise or text((host, port)), random.Random(), self.loop.clock(),
-                               self.timing)
+        self.station = Station(
+            self.id, advertise or text((host, port)), random.Random(), self.loop.clock(), self.timing
+        )
         self.loop.register(self._datagrams, READ, self._readable)
         self.loop.register(self._listener, READ, self._acceptable)
         self._do(self.station.join(self.seeds))
@@ -245,9 +256,15 @@
         protocol = self.protocol
         if protocol is None:
             return {"id": self.id, "members": 0}
-        return {"id": self.id, "address": protocol.address, "incarnation": protocol.incarnation,
-                "members": protocol.size, "score": protocol.awareness.score, "keys": self.ring.marks,
-                "others": {m.id: m.state for m in protocol.members.values()}}
+        return {
+            "id": self.id,
+            "address": protocol.address,
+            "incarnation": protocol.incarnation,
+            "members": protocol.size,
+            "score": protocol.awareness.score,
+            "keys": self.ring.marks,
+            "others": {m.id: m.state for m in protocol.members.values()},
+        }
 
     def stop(self) -> None:
         for stream in list(self.streams):
--- a/brackenpulley/metrics.py
+++ b/brackenpulley/metrics.py
@@ -42,10 +42,15 @@
 
     class Figures:
         def collect(self) -> Any:
-            families = {name: UnknownMetricFamily(f"app_{name}", f"requests {what} since the start, by class",
-                                                  labels=["kind"])
-                        for name, what in (("ok", "served"), ("shed", "refused"), ("errors", "failed"),
-                                           ("tries", "written whole to sim servers, attempts"))}
+            families = {
+                name: UnknownMetricFamily(f"app_{name}", f"requests {what} since the start, by class", labels=["kind"])
+                for name, what in (
+                    ("ok", "served"),
+                    ("shed", "refused"),
+                    ("errors", "failed"),
+                    ("tries", "written whole to sim servers, attempts"),
+                )
+            }
             for (name, cls), count in sorted(metrics.classes.items()):
                 families[name].add_metric([cls], count)
             yield from families.values()
--- a/brackenpulley/net/answers.py
+++ b/brackenpulley/net/answers.py
@@ -87,7 +87,8 @@
         if status in (204, 304) or self._bodiless:
             self.length, self._chunked = 0, False
         self.keep = (bool(codings) or self.length >= 0) and not any(
-            n == b"connection" and b"close" in v.lower() for n, v in self.headers)
+            n == b"connection" and b"close" in v.lower() for n, v in self.headers
+        )
 
     def _parse(self, data: bytes) -> None:
         assert self._parser is not None
--- a/brackenpulley/net/console.py
+++ b/brackenpulley/net/console.py
@@ -64,8 +64,12 @@
             caller = Caller(sock)
             self.callers[caller] = None
             caller.timer = self.loop.call_in(DEADLINE, lambda c=caller: self.close(c))  # type: ignore[misc]
-            self.loop.register(sock, READ, lambda events, c=caller: self._event(c, events),  # type: ignore[misc]
-                               urgent=True)
+            self.loop.register(
+                sock,
+                READ,
+                lambda events, c=caller: self._event(c, events),  # type: ignore[misc]
+                urgent=True,
+            )
 
     def _event(self, caller: Caller, events: int) -> None:
         if events & READ:
--- a/brackenpulley/net/counter.py
+++ b/brackenpulley/net/counter.py
@@ -60,9 +60,9 @@
             size = _whole(text)
             if len(self._data) < rest + size + 2:
                 return None
-            if self._data[rest + size:rest + size + 2] != b"\r\n":
+            if self._data[rest + size : rest + size + 2] != b"\r\n":
                 raise ValueError("a bulk string without its end")
-            answer, rest = _total(self._data[rest:rest + size]), rest + size + 2
+            answer, rest = _total(self._data[rest : rest + size]), rest + size + 2
         else:
             raise ValueError(f"kind {kind!r}")
         self._data = self._data[rest:]
@@ -137,7 +137,7 @@
         while self.waiting:
             call = self.waiting[0]
             try:
-                self.part += self.sock.send(call.data[self.part:])
+                self.part += self.sock.send(call.data[self.part :])
             except BlockingIOError:
                 break
             except OSError:
@@ -218,8 +218,15 @@
 class CounterClient:
     """Every call is told exactly one end; one that ended with `timeout` may be told a Total after it, once."""
 
-    def __init__(self, loop: Loop, pool: Pool, at: Address, timeout: float, metrics: Metrics,
-                 tell: Callable[[i.Counted | i.Total], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        pool: Pool,
+        at: Address,
+        timeout: float,
+        metrics: Metrics,
+        tell: Callable[[i.Counted | i.Total], None],
+    ) -> None:
         self.loop, self.pool, self.at, self.timeout, self.metrics = loop, pool, at, timeout, metrics
         self.tell = tell
         self._line: Line | None = None
--- a/brackenpulley/net/http.py
+++ b/brackenpulley/net/http.py
@@ -9,8 +9,21 @@
 
 BODY, HEAD = 65536, 16384  # most bytes of a body that is taken whole, and of all headers
 LONGEST = 32 << 20  # bytes of a longer one, unless the operator's file says otherwise
-HOP = frozenset((b"connection", b"keep-alive", b"transfer-encoding", b"content-length", b"te", b"trailer", b"upgrade",
-                 b"proxy-connection", b"host", b"expect", b"x-timeout"))
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"transfer-encoding",
+        b"content-length",
+        b"te",
+        b"trailer",
+        b"upgrade",
+        b"proxy-connection",
+        b"host",
+        b"expect",
+        b"x-timeout",
+    )
+)
 KEPT = frozenset((b"x-request-id", b"idempotency-key"))  # these pass through whatever else is said
 
 
--- a/brackenpulley/net/inventory.py
+++ b/brackenpulley/net/inventory.py
@@ -122,16 +122,22 @@
     except (KeyError, ConfigError) as error:
         raise ValueError(f"instances: {x['instanceId']}: {error}") from None
     return i.ServerEntry(
-        server=x["instanceId"], zone=str(x.get("zone", "")), cell=int(x.get("cell", 0)),
-        size=_number(x.get("weight", 1.0), "weight"), state=state,
-        started=_number(x.get("startedAtMs") or 0, "startedAtMs") / 1000, kind=str(x.get("machineType", ""))), at
+        server=x["instanceId"],
+        zone=str(x.get("zone", "")),
+        cell=int(x.get("cell", 0)),
+        size=_number(x.get("weight", 1.0), "weight"),
+        state=state,
+        started=_number(x.get("startedAtMs") or 0, "startedAtMs") / 1000,
+        kind=str(x.get("machineType", "")),
+    ), at
 
 
 class Discovery:
     """The source that the platform has. Owns its one connection, closed in `_close` alone."""
 
-    def __init__(self, loop: Loop, pool: Pool, inventory: Inventory, at: Address, metrics: Metrics, log: Any,
-                 rng: random.Random) -> None:
+    def __init__(
+        self, loop: Loop, pool: Pool, inventory: Inventory, at: Address, metrics: Metrics, log: Any, rng: random.Random
+    ) -> None:
         self.loop, self.pool, self.inventory, self.at = loop, pool, inventory, at
         self.metrics, self.log = metrics, log
         self._watch = Watch(rng)
--- a/brackenpulley/net/loop.py
+++ b/brackenpulley/net/loop.py
@@ -127,6 +127,7 @@
             if not asked:
                 asked = True
                 self.call_soon(due)
+
         return ask
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
--- a/brackenpulley/net/north.py
+++ b/brackenpulley/net/north.py
@@ -60,8 +60,27 @@
     close over bytes that are not read is a reset, which takes the last answer with it.
     """
 
-    __slots__ = ("sock", "reader", "exchange", "busy", "keep", "out", "since", "reading", "closing", "serial",
-                 "crowded", "pace", "upload", "flow", "chunked", "old", "shed_by", "shed", "raw")
+    __slots__ = (
+        "sock",
+        "reader",
+        "exchange",
+        "busy",
+        "keep",
+        "out",
+        "since",
+        "reading",
+        "closing",
+        "serial",
+        "crowded",
+        "pace",
+        "upload",
+        "flow",
+        "chunked",
+        "old",
+        "shed_by",
+        "shed",
+        "raw",
+    )
 
     def __init__(self, sock: socket.socket, now: float, reader: Reader) -> None:
         self.sock, self.reader = sock, reader
@@ -85,8 +104,20 @@
 
 
 class North:
-    def __init__(self, loop: Loop, pool: Pool, ingress: Ingress, south: South, metrics: Metrics, log: Any,
-                 most: int, ready: Callable[[], bool], drain: Drain, shares: Shares, longest: int = LONGEST) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        pool: Pool,
+        ingress: Ingress,
+        south: South,
+        metrics: Metrics,
+        log: Any,
+        most: int,
+        ready: Callable[[], bool],
+        drain: Drain,
+        shares: Shares,
+        longest: int = LONGEST,
+    ) -> None:
         self.loop, self.pool, self.ingress, self.south = loop, pool, ingress, south
         self.metrics, self.log, self.ready = metrics, log, ready
         self.lingering = max(2, most // LINGERING)
@@ -184,8 +215,13 @@
                 self._end(client)
                 return True
         for client in self.clients:
-            if client.serial and not client.busy and not client.reader.partial and not client.out and (
-                    not self._spoke(client)):
+            if (
+                client.serial
+                and not client.busy
+                and not client.reader.partial
+                and not client.out
+                and (not self._spoke(client))
+            ):
                 self._end(client)
                 return True
         return False
@@ -350,8 +386,9 @@
             asked = message(payload)
             if stream is not None:
                 asked.coming, asked.again = stream.coming, stream.again
-            exchange = self.ingress.take(asked, lambda answer: self._answer(client, serial, answer), self.south,
-                                         self.drain.tries(self.ready))
+            exchange = self.ingress.take(
+                asked, lambda answer: self._answer(client, serial, answer), self.south, self.drain.tries(self.ready)
+            )
         except MessageError as error:
             self.metrics.add("malformed")
             client.keep = bool(client.reader.whole)  # whoever sends the same thing again connects again
@@ -421,8 +458,14 @@
             body.drop()
             self.flowing -= 1
 
-    def _reply(self, client: Client, status: int, body: bytes = b"", after: float = 0.0,
-               headers: list[tuple[bytes, bytes]] | None = None) -> None:
+    def _reply(
+        self,
+        client: Client,
+        status: int,
+        body: bytes = b"",
+        after: float = 0.0,
+        headers: list[tuple[bytes, bytes]] | None = None,
+    ) -> None:
         unasked = client.upload is not None and client.upload is client.reader.coming and not client.upload.size
         if client.upload is not None:
             self._let_go(client)
@@ -508,9 +551,12 @@
         """Read unless what waits already is all there is room for; write while something waits to be written."""
         reader, wanted = client.reader, WRITE if client.out else 0
         coming = reader.coming
-        if client.reading and (client.raw or client.shed_by or not (
-                client.busy and reader.whole and reader.waiting() > WAITING) and (
-                coming is None or self._room(client, coming))):
+        if client.reading and (
+            client.raw
+            or client.shed_by
+            or not (client.busy and reader.whole and reader.waiting() > WAITING)
+            and (coming is None or self._room(client, coming))
+        ):
             wanted |= READ
             if self.unread:
                 self.unread.pop(client, None)
@@ -577,12 +623,20 @@
             elif not client.busy and client.reader.partial and client.pace.stands(now, client.reader.size):
                 client.busy, client.keep = True, False
                 self._reply(client, 408)
-            elif client.busy and client.exchange is not None and client.exchange.message.coming and (
-                    client.pace.stands(now, client.reader.size)):
+            elif (
+                client.busy
+                and client.exchange is not None
+                and client.exchange.message.coming
+                and (client.pace.stands(now, client.reader.size))
+            ):
                 client.keep = False
                 self._give_up(client, 408)
-            elif not client.busy and not client.reader.partial and not self._spoke(client) and (
-                    self.draining or still > (IDLE if client.serial else SILENT)):
+            elif (
+                not client.busy
+                and not client.reader.partial
+                and not self._spoke(client)
+                and (self.draining or still > (IDLE if client.serial else SILENT))
+            ):
                 self._end(client)
         if self.listener is not None or self.clients:
             self.loop.call_in(SWEEP, self._sweep)
--- a/brackenpulley/net/objects.py
+++ b/brackenpulley/net/objects.py
@@ -32,7 +32,7 @@
         begin = 0  # of what belongs to no object that has ended
         while not self._quoted and (mark := _MARK.search(part, at)) is not None:
             at, char = mark.end(), mark[0]
-            if not self._depth and (char != b"{" or part[begin:mark.start()].strip()):
+            if not self._depth and (char != b"{" or part[begin : mark.start()].strip()):
                 raise ValueError("not a JSON object")
             if char == b"{":
                 if not self._depth:
@@ -64,8 +64,8 @@
         """Where the string that was open ends, or this part does."""
         rest = _REST.match(part, 1 if self._escaped and part else 0)
         at: int = rest.end()  # type: ignore[union-attr]
-        self._escaped = part[at:at + 1] == b"\\" if part else self._escaped
-        if part[at:at + 1] == b'"':
+        self._escaped = part[at : at + 1] == b"\\" if part else self._escaped
+        if part[at : at + 1] == b'"':
             self._quoted = False
             return at + 1
         return len(part)
--- a/brackenpulley/net/requests.py
+++ b/brackenpulley/net/requests.py
@@ -15,10 +15,22 @@
 WIRE = 8 * BODY  # and of all it takes on the wire, however it is cut into chunks
 NOTED = frozenset((b"content-length", b"transfer-encoding", b"connection", b"expect"))  # what is read before its body
 READ = {name.encode(): name for name in (*CONTROL, "x-retried", "x-reservation", "connection")}  # the rest passes by
-REASON = {200: b"OK", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found", 408: b"Request Timeout",
-          405: b"Method Not Allowed", 409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests",
-          431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
-          503: b"Service Unavailable", 504: b"Gateway Timeout"}
+REASON = {
+    200: b"OK",
+    400: b"Bad Request",
+    403: b"Forbidden",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    405: b"Method Not Allowed",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 
 
 class Fault(Exception):
@@ -193,13 +205,23 @@
     return decode(named, payload.target.decode("ascii"), payload)
 
 
-def encode(status: int, body: bytes, keep: bool, after: float = 0.0, headers: list[tuple[bytes, bytes]] | None = None,
-           ) -> bytes:
+def encode(
+    status: int,
+    body: bytes,
+    keep: bool,
+    after: float = 0.0,
+    headers: list[tuple[bytes, bytes]] | None = None,
+) -> bytes:
     return begin(status, b"Content-Length: %d\r\n" % len(body), keep, after, headers) + body
 
 
-def begin(status: int, framing: bytes, keep: bool, after: float = 0.0, headers: list[tuple[bytes, bytes]] | None = None,
-          ) -> bytes:
+def begin(
+    status: int,
+    framing: bytes,
+    keep: bool,
+    after: float = 0.0,
+    headers: list[tuple[bytes, bytes]] | None = None,
+) -> bytes:
     """The head of an answer; `framing` is the line that says how its body ends, or none."""
     head = b"HTTP/1.1 %d %s\r\n%s" % (status, REASON.get(status, b"Answer"), framing)
     if after > 0:
--- a/brackenpulley/net/south.py
+++ b/brackenpulley/net/south.py
@@ -66,11 +66,36 @@
 class Attempt:
     """One relay. `drop` gives it up by closing its connection."""
 
-    __slots__ = ("south", "message", "server", "until", "done", "began", "conn", "out", "stream", "chunked", "ended",
-                 "begun", "written", "timer", "stalling", "moved", "flow", "since")
-
-    def __init__(self, south: Southside, message: Message, server: str, until: float,
-                 done: Callable[[RelayEnd], None], began: Callable[[RelayEnd], None]) -> None:
+    __slots__ = (
+        "south",
+        "message",
+        "server",
+        "until",
+        "done",
+        "began",
+        "conn",
+        "out",
+        "stream",
+        "chunked",
+        "ended",
+        "begun",
+        "written",
+        "timer",
+        "stalling",
+        "moved",
+        "flow",
+        "since",
+    )
+
+    def __init__(
+        self,
+        south: Southside,
+        message: Message,
+        server: str,
+        until: float,
+        done: Callable[[RelayEnd], None],
+        began: Callable[[RelayEnd], None],
+    ) -> None:
         self.south, self.message, self.server, self.until, self.done = south, message, server, until, done
         self.began = began
         self.conn: Conn | None = None
@@ -103,8 +128,18 @@
 
 
 class Southside:
-    def __init__(self, loop: Loop, pool: Pool, inventory: Inventory, metrics: Metrics, most: int, idle: float,
-                 connect: float, fields: Sequence[str], shares: Shares) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        pool: Pool,
+        inventory: Inventory,
+        metrics: Metrics,
+        most: int,
+        idle: float,
+        connect: float,
+        fields: Sequence[str],
+        shares: Shares,
+    ) -> None:
         self.loop, self.pool, self.inventory, self.metrics = loop, pool, inventory, metrics
         self.most, self.retire, self.connect, self.fields = most, idle * RETIRE, connect, fields
         self.unused: dict[Key, list[Conn]] = {}  # the last used at the end
@@ -116,8 +151,14 @@
         self.no_room: dict[str, int] = {}  # attempts that found none, by server, until somebody asks
         loop.call_in(SWEEP, self._sweep)
 
-    def start(self, message: Message, server: str, left: float, done: Callable[[RelayEnd], None],
-              began: Callable[[RelayEnd], None]) -> Attempt:
+    def start(
+        self,
+        message: Message,
+        server: str,
+        left: float,
+        done: Callable[[RelayEnd], None],
+        began: Callable[[RelayEnd], None],
+    ) -> Attempt:
         now = self.loop.clock()
         attempt = Attempt(self, message, server, now + left, done, began)
         at = self.inventory.address(server)
@@ -147,8 +188,9 @@
                     return None
                 conn, rested.age = rested, now - rested.since
             kept.remove(conn)
-            if conn.age < self.retire and self.trust.allows(conn.age) and (
-                    sockets.waiting(conn.sock) is None):  # else it has ended, or says what nobody asked for
+            if (
+                conn.age < self.retire and self.trust.allows(conn.age) and (sockets.waiting(conn.sock) is None)
+            ):  # else it has ended, or says what nobody asked for
                 return conn
             self.close(conn)
         return None
@@ -269,8 +311,10 @@
         message = attempt.message
         payload: Payload = message.payload
         wait = max(1, int(1000 * (attempt.until - self.loop.clock())))
-        lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d\r\nX-Timeout: %dm\r\n" % (
-            payload.method, payload.target, at[0].encode(), at[1], wait)]
+        lines = [
+            b"%s %s HTTP/1.1\r\nHost: %s:%d\r\nX-Timeout: %dm\r\n"
+            % (payload.method, payload.target, at[0].encode(), at[1], wait)
+        ]
         if message.revision:  # the book speaks, whatever X-Tariff says
             lines.append(b"X-Plan: %s; revision=%d\r\n" % (message.plan.encode(), message.revision))
         lines += [b"%s: %s\r\n" % header for header in payload.headers]
@@ -376,7 +420,7 @@
             return sock.recv(room)
         buffer = self.pool.take()
         try:
-            return bytes(memoryview(buffer)[:sock.recv_into(buffer, room)])
+            return bytes(memoryview(buffer)[: sock.recv_into(buffer, room)])
         finally:
             self.pool.give(buffer)
 
@@ -406,6 +450,7 @@
             if attempt.conn is conn:
                 attempt.moved = self.loop.clock()
                 self.loop.want(conn.sock, READ, lambda events: self._event(conn, events))
+
         flow.eased = eased
         reply.flow(flow)
         self._fits(conn, reply)
--- a/brackenpulley/operator.py
+++ b/brackenpulley/operator.py
@@ -212,23 +212,33 @@
     if (part := _table(raw, name, {"url", "batch", "timeout_s", "longest_wait_s"})) is None:
         return None
     at, path = billing_address(_text(part, name, "url"), f"{name}.url")
-    return ExportPart(at, path, _whole(part, name, "batch", 100, 1, 1000),
-                      _seconds(part, name, "timeout_s", 5.0, 0.1, 60.0),
-                      _seconds(part, name, "longest_wait_s", 30.0, 0.1, 3600.0))
+    return ExportPart(
+        at,
+        path,
+        _whole(part, name, "batch", 100, 1, 1000),
+        _seconds(part, name, "timeout_s", 5.0, 0.1, 60.0),
+        _seconds(part, name, "longest_wait_s", 30.0, 0.1, 3600.0),
+    )
 
 
 def _ledger(raw: Any) -> LedgerPart | None:
     name = "ledger"
-    part = _table(raw, name, {"path", "period_s", "grace_s", "size_mb", "sync_s", "on_failure", "backlog", "keep",
-                              "export"})
+    part = _table(
+        raw, name, {"path", "period_s", "grace_s", "size_mb", "sync_s", "on_failure", "backlog", "keep", "export"}
+    )
     if part is None:
         return None
     return LedgerPart(
-        _text(part, name, "path"), _seconds(part, name, "period_s", 60.0, 0.1, 3600.0),
-        _seconds(part, name, "grace_s", 10.0, 0.0, 3600.0), _whole(part, name, "size_mb", 256, 1, 65536) << 20,
-        _seconds(part, name, "sync_s", 1.0, 0.0, 60.0), not _choice(part, name, "on_failure", "serve", "refuse"),
-        _whole(part, name, "backlog", 20_000, 10, 10_000_000), _whole(part, name, "keep", 1_000_000, 0, 100_000_000),
-        _export(part.get("export")))
+        _text(part, name, "path"),
+        _seconds(part, name, "period_s", 60.0, 0.1, 3600.0),
+        _seconds(part, name, "grace_s", 10.0, 0.0, 3600.0),
+        _whole(part, name, "size_mb", 256, 1, 65536) << 20,
+        _seconds(part, name, "sync_s", 1.0, 0.0, 60.0),
+        not _choice(part, name, "on_failure", "serve", "refuse"),
+        _whole(part, name, "backlog", 20_000, 10, 10_000_000),
+        _whole(part, name, "keep", 1_000_000, 0, 100_000_000),
+        _export(part.get("export")),
+    )
 
 
 def _reservations(raw: Any) -> ReservationsPart | None:
@@ -236,16 +246,22 @@
     if (part := _table(raw, name, {"most", "longest_s", "grant_s", "grant_end"})) is None:
         return None
     return ReservationsPart(
-        _whole(part, name, "most", 10_000, 1, 1_000_000), _seconds(part, name, "longest_s", 60.0, 0.1, 3600.0),
-        _seconds(part, name, "grant_s", 10.0, 0.0, 3600.0), _choice(part, name, "grant_end", "charge", "return"))
+        _whole(part, name, "most", 10_000, 1, 1_000_000),
+        _seconds(part, name, "longest_s", 60.0, 0.1, 3600.0),
+        _seconds(part, name, "grant_s", 10.0, 0.0, 3600.0),
+        _choice(part, name, "grant_end", "charge", "return"),
+    )
 
 
 def _leases(raw: Any) -> LeasePart | None:
     name = "leases"
     if (part := _table(raw, name, {"ahead_s", "idle_s", "on_counter_loss"})) is None:
         return None
-    return LeasePart(_seconds(part, name, "ahead_s", 1.0, 0.05, 10.0), _seconds(part, name, "idle_s", 1.0, 0.1, 10.0),
-                     not _choice(part, name, "on_counter_loss", "refuse", "share"))
+    return LeasePart(
+        _seconds(part, name, "ahead_s", 1.0, 0.05, 10.0),
+        _seconds(part, name, "idle_s", 1.0, 0.1, 10.0),
+        not _choice(part, name, "on_counter_loss", "refuse", "share"),
+    )
 
 
 def _members(raw: Any) -> MembersPart | None:
@@ -260,9 +276,14 @@
     advertise = _text(part, name, "advertise") if "advertise" in part else ""
     if advertise:
         address(advertise, f"{name}.advertise")
-    return MembersPart(_text(part, name, "fleet"), address(_text(part, name, "listen"), f"{name}.listen"),
-                       tuple(seeds), _text(part, name, "keys"), _whole(part, name, "most", 0, 0, 10_000),
-                       advertise)
+    return MembersPart(
+        _text(part, name, "fleet"),
+        address(_text(part, name, "listen"), f"{name}.listen"),
+        tuple(seeds),
+        _text(part, name, "keys"),
+        _whole(part, name, "most", 0, 0, 10_000),
+        advertise,
+    )
 
 
 def _share(table: dict[str, Any], name: str, key: str, default: float, most: float) -> float:
@@ -287,9 +308,12 @@
         address(at if isinstance(at, str) else "", f"{name}.voters.{voter}")
     if len(set(voters.values())) < len(voters):
         raise ConfigError(f"{name}.voters: an address twice")
-    return ConsensusPart(tuple(sorted(voters.items())), _text(part, name, "path") if "path" in part else "",
-                         _text(part, name, "seal") if "seal" in part else "",
-                         _whole(part, name, "size_mb", 64, 1, 4096) << 20)
+    return ConsensusPart(
+        tuple(sorted(voters.items())),
+        _text(part, name, "path") if "path" in part else "",
+        _text(part, name, "seal") if "seal" in part else "",
+        _whole(part, name, "size_mb", 64, 1, 4096) << 20,
+    )
 
 
 def _maintenance(raw: Any, consensus: ConsensusPart | None) -> MaintenancePart | None:
@@ -300,10 +324,14 @@
     if consensus is None:
         raise ConfigError(f"{name}: needs [consensus]: the order is agreed there")
     return MaintenancePart(
-        _whole(part, name, "out", 1, 1, 1000), _whole(part, name, "zone", 1, 1, 1000),
-        _share(part, name, "reserve", 0.25, 10.0), _share(part, name, "bears", 0.0, 1e6),
-        _whole(part, name, "spread", 2, 1, 1000), _seconds(part, name, "settle_s", 10.0, 0.0, 3600.0),
-        _seconds(part, name, "late_s", 300.0, 0.1, 86400.0))
+        _whole(part, name, "out", 1, 1, 1000),
+        _whole(part, name, "zone", 1, 1, 1000),
+        _share(part, name, "reserve", 0.25, 10.0),
+        _share(part, name, "bears", 0.0, 1e6),
+        _whole(part, name, "spread", 2, 1, 1000),
+        _seconds(part, name, "settle_s", 10.0, 0.0, 3600.0),
+        _seconds(part, name, "late_s", 300.0, 0.1, 86400.0),
+    )
 
 
 def _drains(raw: Any, consensus: ConsensusPart | None) -> DrainsPart | None:
@@ -314,8 +342,12 @@
         raise ConfigError(f"{name}: needs [consensus]: the shares of a limit are agreed there")
     if "limit" not in part:
         raise ConfigError(f"{name}.limit: missing")
-    return DrainsPart(_whole(part, name, "limit", 0, 2, 100_000), _share(part, name, "reserve", 0.1, 0.5),
-                      _whole(part, name, "at_once", 1, 1, 1000), _whole(part, name, "spread", 2, 1, 1000))
+    return DrainsPart(
+        _whole(part, name, "limit", 0, 2, 100_000),
+        _share(part, name, "reserve", 0.1, 0.5),
+        _whole(part, name, "at_once", 1, 1, 1000),
+        _whole(part, name, "spread", 2, 1, 1000),
+    )
 
 
 def _configuration(raw: Any, consensus: ConsensusPart | None, plans: PlansPart | None) -> ConfigurationPart | None:
@@ -330,8 +362,12 @@
     size, change = _whole(part, name, "most_kb", 184, 1, 184), _whole(part, name, "change_kb", 12, 1, 12)
     if change > size:
         raise ConfigError(f"{name}.change_kb: {change} is over {name}.most_kb, {size}")
-    return ConfigurationPart(_text(part, name, "path") if "path" in part else "",
-                             _whole(part, name, "most_entries", 50_000, 1, 100_000), size * 1000, change * 1000)
+    return ConfigurationPart(
+        _text(part, name, "path") if "path" in part else "",
+        _whole(part, name, "most_entries", 50_000, 1, 100_000),
+        size * 1000,
+        change * 1000,
+    )
 
 
 def _bodies(raw: Any) -> BodiesPart:
@@ -340,14 +376,37 @@
     spool = _text(part, name, "spool") if "spool" in part else ""
     if "spool_mb" in part and not spool:
         raise ConfigError(f"{name}.spool: missing, and {name}.spool_mb is set")
-    return BodiesPart(_whole(part, name, "longest_mb", 32, 1, 4096) << 20, spool,
-                      _whole(part, name, "spool_mb", 1024, 1, 1 << 20) << 20)
+    return BodiesPart(
+        _whole(part, name, "longest_mb", 32, 1, 4096) << 20,
+        spool,
+        _whole(part, name, "spool_mb", 1024, 1, 1 << 20) << 20,
+    )
 
 
 def decode(raw: dict[str, Any]) -> Operator:
-    top = _table(raw, "operator", {"authz", "xds", "control", "plans", "reservations", "leases", "ledger",
-                                   "members", "log", "bodies", "consensus", "maintenance",
-                                   "drains", "configuration"}) or {}
+    top = (
+        _table(
+            raw,
+            "operator",
+            {
+                "authz",
+                "xds",
+                "control",
+                "plans",
+                "reservations",
+                "leases",
+                "ledger",
+                "members",
+                "log",
+                "bodies",
+                "consensus",
+                "maintenance",
+                "drains",
+                "configuration",
+            },
+        )
+        or {}
+    )
     authz = _table(top.get("authz"), "authz", {"server", "client"}) or {}
     server = client = xds = None
     name = "authz.server"
@@ -355,15 +414,21 @@
         header = _text(part, name, "endpoint_header", "x-envoy-original-dst-host").lower()
         if not header.replace("-", "").isalnum() or not header.isascii():
             raise ConfigError(f"{name}.endpoint_header: {header!r} is no header's name")
-        server = ServerPart(address(_text(part, name, "listen"), f"{name}.listen"), header,
-                            _whole(part, name, "max_streams", 128, 1, 1024))
+        server = ServerPart(
+            address(_text(part, name, "listen"), f"{name}.listen"),
+            header,
+            _whole(part, name, "max_streams", 128, 1, 1024),
+        )
     name = "authz.client"
     if (part := _table(authz.get("client"), name, {"address", "timeout_ms", "on_failure"})) is not None:
         failure = _text(part, name, "on_failure", "deny")
         if failure not in ("deny", "allow"):
-            raise ConfigError(f"{name}.on_failure: {failure!r} is neither \"deny\" nor \"allow\"")
-        client = ClientPart(address(_text(part, name, "address"), f"{name}.address"),
-                            _whole(part, name, "timeout_ms", 250, 1, 3_600_000) / 1000, failure == "allow")
+            raise ConfigError(f'{name}.on_failure: {failure!r} is neither "deny" nor "allow"')
+        client = ClientPart(
+            address(_text(part, name, "address"), f"{name}.address"),
+            _whole(part, name, "timeout_ms", 250, 1, 3_600_000) / 1000,
+            failure == "allow",
+        )
     if (part := _table(top.get("xds"), "xds", {"path", "cluster"})) is not None:
         xds = XdsPart(_text(part, "xds", "path"), _text(part, "xds", "cluster"))
     control = plans = None
@@ -376,15 +441,29 @@
         raise ConfigError(f"log.seconds: {seconds!r} is neither true nor false")
     members = _members(top.get("members"))
     consensus = _consensus(top.get("consensus"), members)
-    return Operator(server, client, xds, control, plans, _reservations(top.get("reservations")),
-                    _leases(top.get("leases")), _ledger(top.get("ledger")), members, consensus,
-                    _maintenance(top.get("maintenance"), consensus), _drains(top.get("drains"), consensus),
-                    _configuration(top.get("configuration"), consensus, plans), seconds, _bodies(top.get("bodies")))
+    return Operator(
+        server,
+        client,
+        xds,
+        control,
+        plans,
+        _reservations(top.get("reservations")),
+        _leases(top.get("leases")),
+        _ledger(top.get("ledger")),
+        members,
+        consensus,
+        _maintenance(top.get("maintenance"), consensus),
+        _drains(top.get("drains"), consensus),
+        _configuration(top.get("configuration"), consensus, plans),
+        seconds,
+        _bodies(top.get("bodies")),
+    )
 
 
 def decode_text(text: str, name: str) -> Operator:
     """TOML; `name` is the file that it is from."""
     import tomllib  # an ingress with no such file has no use for it
+
     try:
         return decode(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
--- a/brackenpulley/plans/book.py
+++ b/brackenpulley/plans/book.py
@@ -215,8 +215,12 @@
             return
         rest = [since for since, revision in self._plans[old.plan].rows if revision != change.of]
         for later in self.changes:
-            if later.kind == "move" and later.plan == old.plan and later.revision not in self.withdrawn and (
-                    not rest or rest[0] > later.since):
+            if (
+                later.kind == "move"
+                and later.plan == old.plan
+                and later.revision not in self.withdrawn
+                and (not rest or rest[0] > later.since)
+            ):
                 raise BookError(409, "of", f"revision {later.revision} moves a firm to that plan")
 
     def _withdraw(self, change: Change) -> None:
--- a/brackenpulley/plans/leases.py
+++ b/brackenpulley/plans/leases.py
@@ -108,8 +108,9 @@
     silent: bool = False  # a call had no answer: one at a time asks with nothing at stake until one has
     probe_at: float = 0.0
 
-    def need(self, now: float, key: int, plan: str, units: float, spread: int, first: int, level: float,
-             told: str = "") -> tuple[bool, list[Effect]]:
+    def need(
+        self, now: float, key: int, plan: str, units: float, spread: int, first: int, level: float, told: str = ""
+    ) -> tuple[bool, list[Effect]]:
         """A try of so many units is here and `level` units are held. True where it has to wait for `Free`."""
         firm = self.firms.get(key)
         if firm is None:
@@ -177,8 +178,15 @@
         if status != "ok":
             return self._failed(now, firm, status)
         stage, firm.stage, self.silent = firm.stage, "", False
-        step = {"old": self._old, "carry": self._carried, "flag": self._flagged, "undo": self._undone,
-                "lease": self._leased, "back": self._given_back, "probe": self._probed}[stage]
+        step = {
+            "old": self._old,
+            "carry": self._carried,
+            "flag": self._flagged,
+            "undo": self._undone,
+            "lease": self._leased,
+            "back": self._given_back,
+            "probe": self._probed,
+        }[stage]
         return step(now, firm, total)
 
     def _old(self, now: float, firm: Firm, total: float) -> list[Effect]:
@@ -215,8 +223,11 @@
         if firm.epoch != int(now // EPOCH):
             # Added to the old number after others may have read it: as if it had not been, and asked for again.
             gone = firm.epoch != int(now // EPOCH) - 1  # so long ago that nobody reads that number any more
-            return [self._call(now, firm, "old", name_of("debt", int(now // EPOCH) - 1, firm.key),
-                               0.0 if gone else -firm.asked)]
+            return [
+                self._call(
+                    now, firm, "old", name_of("debt", int(now // EPOCH) - 1, firm.key), 0.0 if gone else -firm.asked
+                )
+            ]
         before = total - firm.asked - firm.spill  # with what was owed settled
         paid = self._paid(firm, firm.sent_at)
         firm.total = total
@@ -296,8 +307,11 @@
             if unused and level > SMALL:
                 effects.append(Grant(firm.key, firm.plan, -level, firm.spread, firm.first))
                 firm.owed -= level
-            if abs(firm.owed) > SMALL and (unused or now >= firm.blocked) and (
-                    firm.epoch == int(now // EPOCH) or everything or firm.owed < 0):
+            if (
+                abs(firm.owed) > SMALL
+                and (unused or now >= firm.blocked)
+                and (firm.epoch == int(now // EPOCH) or everything or firm.owed < 0)
+            ):
                 firm.epoch = firm.epoch if firm.epoch == int(now // EPOCH) else -1
                 amount, firm.owed = firm.owed, 0.0
                 effects.append(self._call(now, firm, "back", name_of("debt", int(now // EPOCH), firm.key), amount))
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -31,8 +31,9 @@
 
 
 class LeaseService:
-    def __init__(self, loop: Loop, ingress: Ingress, counter: Counter, book: Book, part: LeasePart,
-                 metrics: Metrics, log: Any) -> None:
+    def __init__(
+        self, loop: Loop, ingress: Ingress, counter: Counter, book: Book, part: LeasePart, metrics: Metrics, log: Any
+    ) -> None:
         self.loop, self.ingress, self.counter, self.book = loop, ingress, counter, book
         self.part, self.metrics, self.log = part, metrics, log
         self.keeper = Keeper(book.integral, self._burst, part.ahead, part.idle)
@@ -60,8 +61,9 @@
             return None
         if self.lost and self.part.share_when_lost:
             self._share(now, message, plan)
-        waits, effects = self.keeper.need(now, firm, message.plan, message.units, message.spread, message.first,
-                                          self.level(firm), message.told)
+        waits, effects = self.keeper.need(
+            now, firm, message.plan, message.units, message.spread, message.first, self.level(firm), message.told
+        )
         waiting = Waiting(self, firm, done) if waits else None
         if waiting is not None:
             self.metrics.add("lease_waits")
@@ -90,8 +92,9 @@
         elif not self.lost and self.asked and now - self.asked > LOST:
             self.lost = True
             self.metrics.add("lease_counter_lost")
-            self.log.error("leases", error="the counter does not answer",
-                           mode="share" if self.part.share_when_lost else "refuse")
+            self.log.error(
+                "leases", error="the counter does not answer", mode="share" if self.part.share_when_lost else "refuse"
+            )
         self._do(self.keeper.answered(now, event.name, event.status, event.total))
 
     def settled(self, customer: int) -> None:
@@ -122,5 +125,11 @@
         self._do(self.keeper.sweep(self.loop.clock(), self.level, everything=True))
 
     def status(self) -> dict[str, Any]:
-        return {"firms": len(self.keeper.firms), "calls": self.keeper.calls, "refused": self.keeper.refused,
-                "unitsLost": round(self.keeper.lost, 3), "counterLost": self.lost, "epochSeconds": EPOCH}
+        return {
+            "firms": len(self.keeper.firms),
+            "calls": self.keeper.calls,
+            "refused": self.keeper.refused,
+            "unitsLost": round(self.keeper.lost, 3),
+            "counterLost": self.lost,
+            "epochSeconds": EPOCH,
+        }
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -18,8 +18,9 @@
 class PlanService:
     """Owns the book and its one file."""
 
-    def __init__(self, loop: Loop, ingress: Ingress, plans: list[i.PlanSpec], path: str, metrics: Metrics,
-                 log: Any) -> None:
+    def __init__(
+        self, loop: Loop, ingress: Ingress, plans: list[i.PlanSpec], path: str, metrics: Metrics, log: Any
+    ) -> None:
         """Raises SnapshotError."""
         self.loop, self.ingress, self.path, self.metrics, self.log = loop, ingress, path, metrics, log
         self.book = Book(plans)
@@ -51,8 +52,14 @@
         self.metrics.add("plan_changes")
         if change.kind != "withdraw":
             late = now - change.since
-            self.log.info("plan change", revision=change.revision, kind=change.kind, plan=change.plan,
-                          firm=change.firm, in_s=round(-late, 3))
+            self.log.info(
+                "plan change",
+                revision=change.revision,
+                kind=change.kind,
+                plan=change.plan,
+                firm=change.firm,
+                in_s=round(-late, 3),
+            )
             if late >= 0:
                 self.metrics.add("plan_changes_late" if late > 0.05 else "plan_changes_at_once")
                 self._tell([change], now)
@@ -96,8 +103,13 @@
     def status(self) -> dict[str, Any]:
         now = self.loop.clock()
         due = self.book.next_due(now)
-        return {"revision": self.book.revision, "firms": len(self.book.firms), "plans": self.book.plans,
-                "nextChangeIn": None if due is None else round(due - now, 3), "snapshot": self.path}
+        return {
+            "revision": self.book.revision,
+            "firms": len(self.book.firms),
+            "plans": self.book.plans,
+            "nextChangeIn": None if due is None else round(due - now, 3),
+            "snapshot": self.path,
+        }
 
 
 class ReservationService:
@@ -109,8 +121,9 @@
         self._timer: Timer | None = None
         self._at = 0.0
 
-    def reserve(self, ident: str, firm: int, plan: str, units: float, lifetime: float, spread: int = 1,
-                first: int = 0) -> tuple[Reservation | None, float]:
+    def reserve(
+        self, ident: str, firm: int, plan: str, units: float, lifetime: float, spread: int = 1, first: int = 0
+    ) -> tuple[Reservation | None, float]:
         """The reservation, or None and when to come back (s). Raises ReservationError."""
         now = self.loop.clock()
         old = self.table.check(ident, firm, units, lifetime, now)
@@ -194,8 +207,18 @@
         if not self.part.grant or len(self.table) >= self.table.most or self.table.known(message.id):
             return False
         now = self.loop.clock()
-        self._hold(Reservation(message.id, message.customer, message.plan, message.revision, message.units, now,
-                               now + self.part.grant, "granted"))
+        self._hold(
+            Reservation(
+                message.id,
+                message.customer,
+                message.plan,
+                message.revision,
+                message.units,
+                now,
+                now + self.part.grant,
+                "granted",
+            )
+        )
         return True
 
     def status(self) -> dict[str, Any]:
@@ -203,6 +226,14 @@
 
 
 def row(one: Reservation, now: float) -> dict[str, Any]:
-    return {"id": one.id, "firm": firm_text(one.firm), "plan": one.plan, "revision": one.revision, "units": one.units,
-            "state": one.state, "kind": one.kind, "charged": one.settled,
-            "endsIn": round(max(0.0, one.until - now), 3) if one.state == "held" else 0.0}
+    return {
+        "id": one.id,
+        "firm": firm_text(one.firm),
+        "plan": one.plan,
+        "revision": one.revision,
+        "units": one.units,
+        "state": one.state,
+        "kind": one.kind,
+        "charged": one.settled,
+        "endsIn": round(max(0.0, one.until - now), 3) if one.state == "held" else 0.0,
+    }
--- a/brackenpulley/policy/brain.py
+++ b/brackenpulley/policy/brain.py
@@ -1,4 +1,5 @@
 """All decisions of one gateway: quota and ceiling, class bucket, room, server; else refused at once."""
+
 from __future__ import annotations
 
 import math
@@ -16,29 +17,29 @@
 CUT_LOWER, CUT_OWN_AFTER, RATE_MIN, RATE_MAX = 10.0, 20, 0.05, 5000.0
 AIM_LOW, AIM_TOP, PART_LOW = 0.5, 0.8, 0.55  # target / aim, lowest to highest worth; its part of the room
 BEAT, STALE = 0.1, 3.0  # s between looks at health, calls and notes; s that a reading speaks for the others
-EPOCH = 30.0        # s one counter name serves; its life, and an idle customer's, is twice that
+EPOCH = 30.0  # s one counter name serves; its life, and an idle customer's, is twice that
 GAP, NOTE_GAP = 0.12, 0.2  # s between calls for one customer, at least, and between notes to peers
 PACE_MIN, PACE_MAX, CALL_SLOW = 0.03, 0.6, 0.8  # s between calls from here; part of the time-out that is slow
 FIRST_CALLS = 250.0  # calls a second, over all gateways, until the answers tell the pace
 FASTER, SLOWER, BACK = 0.85, 1.15, 1.5  # what a quick, a slow and a lost answer make of that pace
 CALL_PART, CALL_LOW = 0.45, 0.75  # time for a call: so much of the burst unreported by all, or a store so low
-HASTE = 3.0         # usual latencies that a client must still wait: what it gives up on is work for nothing
-BEYOND = 0.6        # part of a firm's next tries where nothing is known of it (calm days, 196 gateways)
-TOGETHER = 4.0      # bursts that all gateways of a set may let in before they know; more is as above
+HASTE = 3.0  # usual latencies that a client must still wait: what it gives up on is work for nothing
+BEYOND = 0.6  # part of a firm's next tries where nothing is known of it (calm days, 196 gateways)
+TOGETHER = 4.0  # bursts that all gateways of a set may let in before they know; more is as above
 ROOM, LEFT = 6.0, 0.75  # times what a try may lose, and part of the burst, that are to be left for it there
-SAVED = 2.0         # largest requests of its even share that a gateway saves up
+SAVED = 2.0  # largest requests of its even share that a gateway saves up
 GAIN, FADE = 0.2, 5.0  # weight of a new latency or error in a server's record; s in which slowness fades
 ASIDE_ERR, ASIDE_SIZE = 0.35, 0.5  # error share that sets a server aside; part of the fleet that may be
-DRAINS = 2          # messages turned away with none answered between: it drains, whatever the list says
+DRAINS = 2  # messages turned away with none answered between: it drains, whatever the list says
 ASIDE_MIN, ASIDE_MAX = 1.0, 8.0  # s until a single trial, doubled each time it fails
-SILENT = 4.0        # usual latencies without any answer: silent; twice that summed over what is out there
+SILENT = 4.0  # usual latencies without any answer: silent; twice that summed over what is out there
 LOOK, LOOK_ASKED, LOOK_MOST = 10.0, 2.0, 24  # servers looked at beside its part of three; most in all
-CORES = 3.0         # what a server works on at a time
-FRESH = 1.6         # handicap, among many gateways, of a server that needs a handshake: that costs it work
-CROSS = 1.1         # handicap of a server in another zone
-COLD_PART = 0.6     # of the multiple that fells a cold server, over what it can do at least
-FEW = 6.0           # attempts out a server, over all gateways, that are let in whatever the pace
-CROWD = 0.3         # of the shortest aim that the queue ahead may take: held work makes servers less able
+CORES = 3.0  # what a server works on at a time
+FRESH = 1.6  # handicap, among many gateways, of a server that needs a handshake: that costs it work
+CROSS = 1.1  # handicap of a server in another zone
+COLD_PART = 0.6  # of the multiple that fells a cold server, over what it can do at least
+FEW = 6.0  # attempts out a server, over all gateways, that are let in whatever the pace
+CROWD = 0.3  # of the shortest aim that the queue ahead may take: held work makes servers less able
 PACE, STEADY = 2.0, 8.0  # s, and answers where they are few, over which the pace of good ones is taken
 NOT_RUN = ("full", "connect_failed", "moot")  # these prove that the attempt never ran
 NOT_REACHED = ("connect_failed", "moot")  # and these that it never reached a server whole: it takes no units
@@ -110,8 +111,17 @@
             return self.refuse(r.id, 0.0, "unknown")
         loop.fill(now)
         after = self.over_quota(now, c, r.units - r.held, r.retry) if c and r.units > r.held else 0.0
-        why = ("quota" if after > 0 else "rate" if loop.tokens < 1 else "haste" if r.left < HASTE * loop.mean
-               else "room" if self.crowded(now, loop) else "")
+        why = (
+            "quota"
+            if after > 0
+            else "rate"
+            if loop.tokens < 1
+            else "haste"
+            if r.left < HASTE * loop.mean
+            else "room"
+            if self.crowded(now, loop)
+            else ""
+        )
         if why or not self.send(now, q := Held(r, loop, c, math.inf if r.coming else now + r.left)):
             return self.refuse(r.id, max(after, (1 - loop.tokens) / loop.rate, loop.mean), why or "servers")
         loop.tokens, loop.sent, self.reqs[r.id] = loop.tokens - 1, loop.sent + 1, q
@@ -223,7 +233,8 @@
             level = 0.0 if self.s.leased else self.share(plan, spread, min(self.s.most_units, known))
             share = self.share(plan, spread, self.s.most_units * SAVED)
             self.customers[r.customer] = c = Customer(
-                r.customer, plan, spread, r.first, share, level, now, now, now, now)
+                r.customer, plan, spread, r.first, share, level, now, now, now, now
+            )
         elif not r.retry and (plan.name != c.left or now >= c.moved_at + self.longest):
             # A retry may still name the plan that its first try was on, and some are not marked as retries.
             self.move(now, c, plan, c.plan.name)
@@ -313,8 +324,12 @@
             if c.open >= cap:
                 return BEAT
         # Many gateways may each let one in: a retry was refused elsewhere, a firm may have spent its store.
-        if p.rate and lost > 0 and TOGETHER * p.burst < units * c.spread and (
-                retry and not self.known(now, c) or c.likely(now, FADE) < min(LEFT * p.burst, ROOM * lost)):
+        if (
+            p.rate
+            and lost > 0
+            and TOGETHER * p.burst < units * c.spread
+            and (retry and not self.known(now, c) or c.likely(now, FADE) < min(LEFT * p.burst, ROOM * lost))
+        ):
             return units * c.spread / p.rate
         return (units - c.level) * c.spread / p.rate if p.rate and c.level < units else 0.0
 
@@ -475,13 +490,25 @@
         usual = max(x.mean for x in self.loops.values())
         for s in self.servers.busy.values():
             old = s.oldest()
-            if (not s.aside and now - old > SILENT * usual and s.answered < old
-                    and sum(now - at for at in s.out.values()) > 2 * SILENT * usual):
+            if (
+                not s.aside
+                and now - old > SILENT * usual
+                and s.answered < old
+                and sum(now - at for at in s.out.values()) > 2 * SILENT * usual
+            ):
                 self.set_aside(now, s)
             for (rid, n), sent in s.out.items() if s.aside and self.s.cancel else ():
                 q = self.reqs.get(rid)
-                if (q and q.out and not q.ended and not q.bound and n == q.tries - 1 and s.answered < sent
-                        and now - sent > SILENT * q.loop.mean and self.may_repeat(now, q, s)):
+                if (
+                    q
+                    and q.out
+                    and not q.ended
+                    and not q.bound
+                    and n == q.tries - 1
+                    and s.answered < sent
+                    and now - sent > SILENT * q.loop.mean
+                    and self.may_repeat(now, q, s)
+                ):
                     self.acts.append(i.Cancel(rid, n))
 
     def may_repeat(self, now: float, q: Held, s: Server) -> bool:
@@ -490,8 +517,11 @@
         if q.tries >= self.s.max_attempts or loop.spec.effect == "unsafe" or q.until - now < 2 * loop.mean:
             return False
         first = q.sent if q.ran is None else q.ran
-        return loop.spec.effect == "safe" or now < first + loop.spec.window - self.s.tick and any(
-            x is not s and not x.aside and s.mate(x, loop.spec.group) for x in self.servers.up)
+        return (
+            loop.spec.effect == "safe"
+            or now < first + loop.spec.window - self.s.tick
+            and any(x is not s and not x.aside and s.mate(x, loop.spec.group) for x in self.servers.up)
+        )
 
     def beat(self, now: float, e: i.Timer) -> None:
         if e.token != self.token:
@@ -509,8 +539,19 @@
             if now - x.run_at >= RUN_SECONDS or x.fresh >= RUN_SAMPLES:
                 usual = sum(y.mean for y in self.loops.values()) / len(self.loops)
                 x.long = min(1.0, x.mean / usual) if x.samples else 1.0
-                x.run(now, [now - q.sent for q in self.reqs.values() if q.loop is x and q.out
-                            and not q.bound and now - q.sent > x.target and q.server and not q.server.aside])
+                x.run(
+                    now,
+                    [
+                        now - q.sent
+                        for q in self.reqs.values()
+                        if q.loop is x
+                        and q.out
+                        and not q.bound
+                        and now - q.sent > x.target
+                        and q.server
+                        and not q.server.aside
+                    ],
+                )
         if now - self.servers.warm_at >= RUN_SECONDS:
             self.servers.warm_pace(now, self.s, GAIN)
             self.customers.age(now - 2 * EPOCH)
@@ -521,8 +562,22 @@
 
 
 DOES: dict[type, Callable[[Gateway, float, Any], None]] = {
-    i.Request: Gateway.request, i.Whole: Gateway.whole, i.Outcome: Gateway.outcome, i.Gone: Gateway.gone,
-    i.Started: Gateway.started, i.ServerList: Gateway.members, i.Probed: Gateway.probed,
-    i.Timer: Gateway.beat, i.Counted: Gateway.counted, i.Total: Gateway.total, i.PeerNote: Gateway.note,
-    i.PlanFigures: Gateway.figures, i.Moved: Gateway.moved, i.Reserve: Gateway.reserve,
-    i.Settle: Gateway.settle, i.Allow: Gateway.allow, i.Gateways: Gateway.fleet, i.Shares: Gateway.shares}
+    i.Request: Gateway.request,
+    i.Whole: Gateway.whole,
+    i.Outcome: Gateway.outcome,
+    i.Gone: Gateway.gone,
+    i.Started: Gateway.started,
+    i.ServerList: Gateway.members,
+    i.Probed: Gateway.probed,
+    i.Timer: Gateway.beat,
+    i.Counted: Gateway.counted,
+    i.Total: Gateway.total,
+    i.PeerNote: Gateway.note,
+    i.PlanFigures: Gateway.figures,
+    i.Moved: Gateway.moved,
+    i.Reserve: Gateway.reserve,
+    i.Settle: Gateway.settle,
+    i.Allow: Gateway.allow,
+    i.Gateways: Gateway.fleet,
+    i.Shares: Gateway.shares,
+}
--- a/brackenpulley/policy/interface.py
+++ b/brackenpulley/policy/interface.py
@@ -110,8 +110,24 @@
         _need(bool(self.classes), "classes", self.classes)
         _need(len({c.name for c in self.classes}) == len(self.classes), "classes", "a name twice")
         _need(len({p.name for p in self.plans}) == len(self.plans), "plans", "a name twice")
-        _numbers(self, "", 0.0, ("me", "tick", "max_retry_after", "drain_grace", "cold_time", "meter_period",
-                                 "most_units", "peer_per_s", "counter_timeout", "ask_within", "conn_idle"))
+        _numbers(
+            self,
+            "",
+            0.0,
+            (
+                "me",
+                "tick",
+                "max_retry_after",
+                "drain_grace",
+                "cold_time",
+                "meter_period",
+                "most_units",
+                "peer_per_s",
+                "counter_timeout",
+                "ask_within",
+                "conn_idle",
+            ),
+        )
         _numbers(self, "", 1.0, ("gateways", "max_attempts"))
         self.places = self.places or self.gateways
         _need(self.me < self.gateways, "me", self.me)
@@ -307,8 +323,26 @@
     most: dict[str, int]
 
 
-Event = (ServerList | Request | Whole | Outcome | Started | Gone | Probed | Counted | Total | PeerNote | Timer
-         | PlanFigures | Moved | Reserve | Settle | Allow | Gateways | Shares)
+Event = (
+    ServerList
+    | Request
+    | Whole
+    | Outcome
+    | Started
+    | Gone
+    | Probed
+    | Counted
+    | Total
+    | PeerNote
+    | Timer
+    | PlanFigures
+    | Moved
+    | Reserve
+    | Settle
+    | Allow
+    | Gateways
+    | Shares
+)
 
 
 # Actions
--- a/brackenpulley/policy/state.py
+++ b/brackenpulley/policy/state.py
@@ -152,7 +152,7 @@
             return None
         at = self.calls.index(call)
         unsure = sum(x.amount for x in self.calls[:at])
-        del self.calls[:at + 1]
+        del self.calls[: at + 1]
         others = total - self.total - call.amount
         others -= min(max(0.0, others), unsure)
         self.total = total
@@ -260,8 +260,7 @@
 
     def mate(self, other: Server, group: str) -> bool:
         """The other one drops a repeat of what ran here."""
-        return group == "all" or (
-            self.e.zone == other.e.zone if group == "zone" else self.e.cell == other.e.cell)
+        return group == "all" or (self.e.zone == other.e.zone if group == "zone" else self.e.cell == other.e.cell)
 
 
 class Servers(dict[str, Server]):
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -57,8 +57,9 @@
 
 
 class Daemon:
-    def __init__(self, config: Config, log: Any, clock: Callable[[], float] | None = None,
-                 loop: Loop | None = None) -> None:
+    def __init__(
+        self, config: Config, log: Any, clock: Callable[[], float] | None = None, loop: Loop | None = None
+    ) -> None:
         """`loop`: one that this daemon is run on by its caller, who closes it."""
         self.config, self.log, self.metrics = config, log, Metrics()
         self.clock = clock or wall_clock()
@@ -67,13 +68,18 @@
         self.born = self.clock()
         told = config.operator
         if told.ledger is not None or told.leases is not None:
-            config.settings = replace(config.settings, charges=told.ledger is not None,
-                                      leased=told.leases is not None)
+            config.settings = replace(config.settings, charges=told.ledger is not None, leased=told.leases is not None)
         gateway = Gateway(config.settings, config.seed, self.born)
         self.counter: CounterClient | None = None
         if config.counter is not None and config.settings.counter:
-            self.counter = CounterClient(self.loop, self.pool, config.counter, config.settings.counter_timeout,
-                                         self.metrics, lambda event: self.ingress.counted(event))
+            self.counter = CounterClient(
+                self.loop,
+                self.pool,
+                config.counter,
+                config.settings.counter_timeout,
+                self.metrics,
+                lambda event: self.ingress.counted(event),
+            )
         self.ingress = Ingress(gateway, self.clock, self.loop, self.counter or NoCounter(), self.metrics, log)
         self.inventory = Inventory(self.ingress.members)
         sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
@@ -82,15 +88,35 @@
         folder = None
         if told.bodies.spool:
             from .bodies.spool import Folder
-            folder = Folder(told.bodies.spool, told.bodies.spool_size,
-                            lambda error: log.error("spool", error=error))
+
+            folder = Folder(told.bodies.spool, told.bodies.spool_size, lambda error: log.error("spool", error=error))
         self.shares = Shares((config.memory_mb << 20) // MEMORY_PART, folder)
-        self.south = Southside(self.loop, self.pool, self.inventory, self.metrics, sockets * 2 // 5,
-                               config.transport.idle, config.transport.connect, config.transport.fields, self.shares)
+        self.south = Southside(
+            self.loop,
+            self.pool,
+            self.inventory,
+            self.metrics,
+            sockets * 2 // 5,
+            config.transport.idle,
+            config.transport.connect,
+            config.transport.fields,
+            self.shares,
+        )
         self.drain = Drain()
         self._halves_until = 0.0  # half a message may become whole; set once the doors are closed
-        self.north = North(self.loop, self.pool, self.ingress, self.south, self.metrics, log, clients, self.ready,
-                           self.drain, self.shares, told.bodies.longest)
+        self.north = North(
+            self.loop,
+            self.pool,
+            self.ingress,
+            self.south,
+            self.metrics,
+            log,
+            clients,
+            self.ready,
+            self.drain,
+            self.shares,
+            told.bodies.longest,
+        )
         self.console: Console | None = None
         self.discovery: Any = None
         self.front: Any = None
@@ -119,17 +145,26 @@
         """What the operator's file switches on; without it nothing of it is loaded."""
         if self.config.operator != Operator() or os.environ.get("NOTIFY_SOCKET"):
             from .extras import EXTRAS
+
             for extra in EXTRAS:
                 extra(self)
         if self.discovery is None and self.config.discovery is not None:
-            self.discovery = Discovery(self.loop, self.pool, self.inventory, self.config.discovery, self.metrics,
-                                       self.log, random.Random(self.config.seed))
+            self.discovery = Discovery(
+                self.loop,
+                self.pool,
+                self.inventory,
+                self.config.discovery,
+                self.metrics,
+                self.log,
+                random.Random(self.config.seed),
+            )
 
     def ready(self) -> bool:
         told = self.discovery is None or self.discovery.heard or self.clock() - self.born > KNOWN_ENOUGH
         # What is away for work, where it may open a connection, and which revision holds.
-        told = told and all(part is None or part.knows() for part in (
-            self.maintenance, self.drains, self.configuration))
+        told = told and all(
+            part is None or part.knows() for part in (self.maintenance, self.drains, self.configuration)
+        )
         return told and self.ingress.listed and len(self.inventory) > 0
 
     def start(self, signals: bool = True) -> None:
@@ -162,8 +197,15 @@
             self.log.info("console", address=f"{where[0]}:{where[1]}")
         self.log.info("listening", name=self.config.name, address=f"{at[0]}:{at[1]}")
         # From here on others may know of it.
-        for part in (self.gateways, self.members, self.agreement, self.maintenance, self.drains, self.configuration,
-                     self.health):
+        for part in (
+            self.gateways,
+            self.members,
+            self.agreement,
+            self.maintenance,
+            self.drains,
+            self.configuration,
+            self.health,
+        ):
             if part is not None:
                 part.start()
 
@@ -176,6 +218,7 @@
 
     def _calls(self) -> dict[bytes, dict[bytes, Any]]:
         """The operators' calls: each reads what is held and answers in the same turn."""
+
         def ready() -> tuple[int, bytes, bytes]:
             yes = self.drain.ready(self.ready())
             return (200, b"ready\n", TEXT) if yes else (503, b"not ready\n", TEXT)
@@ -194,15 +237,21 @@
             self.log.info("in service")
             return 200, b"in service\n", TEXT
 
-        return {b"/control/ready": {b"GET": ready}, b"/control/counters": {b"GET": counters},
-                b"/control/out-of-service": {b"PUT": out}, b"/control/in-service": {b"PUT": back}}
+        return {
+            b"/control/ready": {b"GET": ready},
+            b"/control/counters": {b"GET": counters},
+            b"/control/out-of-service": {b"PUT": out},
+            b"/control/in-service": {b"PUT": back},
+        }
 
     def gauges(self) -> dict[str, int]:
         apart = self.ingress.gateway.servers.apart
         asked = sum(not exchange.over for exchange in self.ingress.held.values())
-        return {"active": asked + self.north.flowing,
-                "pool_size": len(self.inventory),
-                "pool_ejected": sum(self.inventory.address(name) is not None for name in apart)}
+        return {
+            "active": asked + self.north.flowing,
+            "pool_size": len(self.inventory),
+            "pool_ejected": sum(self.inventory.address(name) is not None for name in apart),
+        }
 
     def report(self) -> None:
         self.log.info("counters", **self.metrics.table())
@@ -321,11 +370,15 @@
 def make_log(output: Any = None) -> Any:
     """`output` has write and flush; standard output where it is not given."""
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, structlog.processors.LogfmtRenderer(
-                        key_order=["timestamp", "level", "event"], bool_as_flag=False)],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False),
+        ],
         logger_factory=structlog.PrintLoggerFactory(output or Output()),  # type: ignore[arg-type]
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger()
 
 
@@ -335,6 +388,7 @@
         daemon = Daemon(config, make_log())
         daemon.start()
     except ImportError as error:
-        raise ConfigError(f"operator: {error.name} is not installed; see requirements-authz.txt and "
-                          "requirements-fleet.txt") from None
+        raise ConfigError(
+            f"operator: {error.name} is not installed; see requirements-authz.txt and requirements-fleet.txt"
+        ) from None
     daemon.run()
--- a/brackenpulley/settings.py
+++ b/brackenpulley/settings.py
@@ -10,8 +10,14 @@
 
 EFFECT = {"free": "safe", "guarded": "keyed", "single_shot": "unsafe"}
 VIA = {"piggyback": "answers", "pull": "probe", "silent": "none"}
-FIELD = {"busy_reqs": "inflight", "pending": "queue", "cpu_share": "util", "svc_ms": "latency_ms",
-         "served_ps": "qps", "failed_ps": "eps"}
+FIELD = {
+    "busy_reqs": "inflight",
+    "pending": "queue",
+    "cpu_share": "util",
+    "svc_ms": "latency_ms",
+    "served_ps": "qps",
+    "failed_ps": "eps",
+}
 JSON = dict[str, Any]
 
 
@@ -36,33 +42,68 @@
 
 def settings(s: JSON) -> i.Settings:
     need(s, "Classes")
-    classes = [i.ClassSpec(
-        name=need(c, "Name", at), aim=need(c, "Objective", at), deadline=need(c, "GiveUp", at),
-        worth=need(c, "Value", at), effect=EFFECT.get(str(need(c, "Idempotency", at)), str(c["Idempotency"])),
-        group=c.get("Group", "all"),
-        window=c.get("Window", 0.0), late_worth=c.get("LateWorth", 0.0), stream=c.get("Streamed", False),
-        aim_stretch=c.get("AimStretch", 0.0)) for at, c in _rows(s, "Classes")]
-    plans = [i.PlanSpec(
-        name=need(p, "Name", at), rate=p.get("QuotaRate", 0.0), burst=p.get("Burst", 0.0), open=p.get("MaxOut", 0),
-        price=p.get("Pays", 1.0), over_worth=p.get("ExtraWorth", 0.0), over_cost=p.get("OverCost", 0.0),
-        ceiling_rate=p.get("HardRate", 0.0), ceiling_burst=p.get("CeilingBurst", 0.0),
-        ceiling_slack=p.get("CeilingSlack", 0.0)) for at, p in _rows({"TiersOfService": [], **s}, "TiersOfService")]
+    classes = [
+        i.ClassSpec(
+            name=need(c, "Name", at),
+            aim=need(c, "Objective", at),
+            deadline=need(c, "GiveUp", at),
+            worth=need(c, "Value", at),
+            effect=EFFECT.get(str(need(c, "Idempotency", at)), str(c["Idempotency"])),
+            group=c.get("Group", "all"),
+            window=c.get("Window", 0.0),
+            late_worth=c.get("LateWorth", 0.0),
+            stream=c.get("Streamed", False),
+            aim_stretch=c.get("AimStretch", 0.0),
+        )
+        for at, c in _rows(s, "Classes")
+    ]
+    plans = [
+        i.PlanSpec(
+            name=need(p, "Name", at),
+            rate=p.get("QuotaRate", 0.0),
+            burst=p.get("Burst", 0.0),
+            open=p.get("MaxOut", 0),
+            price=p.get("Pays", 1.0),
+            over_worth=p.get("ExtraWorth", 0.0),
+            over_cost=p.get("OverCost", 0.0),
+            ceiling_rate=p.get("HardRate", 0.0),
+            ceiling_burst=p.get("CeilingBurst", 0.0),
+            ceiling_slack=p.get("CeilingSlack", 0.0),
+        )
+        for at, p in _rows({"TiersOfService": [], **s}, "TiersOfService")
+    ]
     lim, inv, ext, rep = (_shape(need(s, k), dict, k) for k in ("Limits", "Invariants", "Extra", "Report"))
     _shape(rep.get("Fields") or [], list, "Report.Fields")
     return i.Settings(
-        classes=classes, plans=plans, me=need(s, "MyNumber"), gateways=need(s, "NInstances"), zone=s.get("Zone", ""),
-        tick=need(s, "Resolution"), max_attempts=need(lim, "AttemptsCap"), cancel=lim.get("MayCancel", False),
-        probes=lim.get("Probing", False), peers=lim.get("Peers", False), counter=ext.get("MayCount", False),
+        classes=classes,
+        plans=plans,
+        me=need(s, "MyNumber"),
+        gateways=need(s, "NInstances"),
+        zone=s.get("Zone", ""),
+        tick=need(s, "Resolution"),
+        max_attempts=need(lim, "AttemptsCap"),
+        cancel=lim.get("MayCancel", False),
+        probes=lim.get("Probing", False),
+        peers=lim.get("Peers", False),
+        counter=ext.get("MayCount", False),
         discovery="ask" if s.get("MembershipMode") == "subscribe" else "push",
-        retry_after=lim.get("RetryAfter", False), max_retry_after=lim.get("MaxRetryAfter", 0.0),
-        drain_grace=need(inv, "StopSendingWithin"), ask_within=inv.get("AskWithin", 10.0),
-        cold_from=need(inv, "ColdFrom"), cold_time=need(inv, "Cold"), fall_multiple=need(inv, "OverloadFactor"),
-        fall_time=need(inv, "TipAfter"), counter_timeout=ext.get("CountWait", 0.0),
+        retry_after=lim.get("RetryAfter", False),
+        max_retry_after=lim.get("MaxRetryAfter", 0.0),
+        drain_grace=need(inv, "StopSendingWithin"),
+        ask_within=inv.get("AskWithin", 10.0),
+        cold_from=need(inv, "ColdFrom"),
+        cold_time=need(inv, "Cold"),
+        fall_multiple=need(inv, "OverloadFactor"),
+        fall_time=need(inv, "TipAfter"),
+        counter_timeout=ext.get("CountWait", 0.0),
         meter_period=ext.get("Metering", 0.0),
-        conn_idle=float(lim.get("ConnIdle") or 0.0), most_units=ext.get("MostUnits", 1),
+        conn_idle=float(lim.get("ConnIdle") or 0.0),
+        most_units=ext.get("MostUnits", 1),
         settles=ext.get("Settles", False),
-        peer_per_s=ext.get("MailPerS", 0.0), report_via=VIA.get(rep.get("Via", "silent"), "none"),
-        report_fields=[FIELD.get(f, f) for f in rep.get("Fields") or []])
+        peer_per_s=ext.get("MailPerS", 0.0),
+        report_via=VIA.get(rep.get("Via", "silent"), "none"),
+        report_fields=[FIELD.get(f, f) for f in rep.get("Fields") or []],
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,5 +124,9 @@
         if value is not None and not (isinstance(value, int | float) and 0 <= value < inf):
             raise i.SettingsError(f"Limits.{name}: {value!r} is not usable")
     longest = max((float(c.get("GiveUp", 0.0)) for c in s.get("Classes", [])), default=0.0)
-    return Transport(float(limits.get("ConnIdle") or 30.0), float(limits.get("ConnectTimeout") or 0.25), longest,
-                     tuple(s.get("Report", {}).get("Fields") or ()))
+    return Transport(
+        float(limits.get("ConnIdle") or 30.0),
+        float(limits.get("ConnectTimeout") or 0.25),
+        longest,
+        tuple(s.get("Report", {}).get("Fields") or ()),
+    )
--- a/brackenpulley/simulation/faults.py
+++ b/brackenpulley/simulation/faults.py
@@ -13,8 +13,13 @@
     """`leader` tells the name of who leads now, or ""; `spoil` whether a disk may be lost or older now, without more of
     them being so at once than the voters can bear. Else it is kept."""
 
-    def __init__(self, world: World, lines: list[Line], leader: Callable[[], str] = lambda: "",
-                 spoil: Callable[[Host], bool] = lambda host: True) -> None:
+    def __init__(
+        self,
+        world: World,
+        lines: list[Line],
+        leader: Callable[[], str] = lambda: "",
+        spoil: Callable[[Host], bool] = lambda host: True,
+    ) -> None:
         self.world, self.leader, self.spoil = world, leader, spoil
         self.done: list[Line] = []
         self._usual = world.links.usual
--- a/brackenpulley/simulation/links.py
+++ b/brackenpulley/simulation/links.py
@@ -63,5 +63,7 @@
         if not stream:
             count = 0 if rng.random() < link.loss else 2 if rng.random() < link.double else 1
         begin = max(now, link.held)
-        return [begin + link.delay + (rng.expovariate(1 / link.spread) * (3 if stream else 1) if link.spread else 0.0)
-                for _ in range(count)]
+        return [
+            begin + link.delay + (rng.expovariate(1 / link.spread) * (3 if stream else 1) if link.spread else 0.0)
+            for _ in range(count)
+        ]
--- a/brackenpulley/simulation/script.py
+++ b/brackenpulley/simulation/script.py
@@ -17,8 +17,22 @@
 import random
 from dataclasses import dataclass
 
-WORDS = {"cut": 2, "part": 2, "stall": 3, "loss": 2, "double": 2, "slow": 3, "kill": 1, "start": 2, "stop": 1, "go": 1,
-         "full": 1, "room": 1, "copy": 1, "heal": 0}
+WORDS = {
+    "cut": 2,
+    "part": 2,
+    "stall": 3,
+    "loss": 2,
+    "double": 2,
+    "slow": 3,
+    "kill": 1,
+    "start": 2,
+    "stop": 1,
+    "go": 1,
+    "full": 1,
+    "room": 1,
+    "copy": 1,
+    "heal": 0,
+}
 STARTS = ("kept", "lost", "old", "power")
 
 
@@ -86,8 +100,10 @@
             lines += [Line(at, "stop", (name,)), Line(end, "go", (name,))]
         elif what == "part":
             side = rng.sample(names, rng.randrange(1, len(names)))
-            lines += [Line(at, "part", (",".join(side), ",".join(n for n in names if n not in side))),
-                      Line(end, "heal")]
+            lines += [
+                Line(at, "part", (",".join(side), ",".join(n for n in names if n not in side))),
+                Line(end, "heal"),
+            ]
         elif what == "sever":
             lines += [Line(at, "part", (name, other)), Line(end, "heal")]
         elif what == "cut":
--- a/brackenpulley/simulation/voters.py
+++ b/brackenpulley/simulation/voters.py
@@ -58,9 +58,19 @@
 class Voters:
     """`voters` with disks and `followers` without; each proposes `rate` commands a second to its own process."""
 
-    def __init__(self, seed: int, voters: int = 3, followers: int = 2, rate: float = 2.0, timing: Timing | None = None,
-                 links: Links | None = None, traced: bool = False, skew: float = 0.02,
-                 agreement: type[Agreement] = Agreement, machine: type[Machine] = Machine) -> None:
+    def __init__(
+        self,
+        seed: int,
+        voters: int = 3,
+        followers: int = 2,
+        rate: float = 2.0,
+        timing: Timing | None = None,
+        links: Links | None = None,
+        traced: bool = False,
+        skew: float = 0.02,
+        agreement: type[Agreement] = Agreement,
+        machine: type[Machine] = Machine,
+    ) -> None:
         self.world = World(seed, links or Links(Link(spread=0.004, loss=0.01, double=0.01)), traced)
         self.rng, self.truth, self.timing = random.Random(seed + 1), Truth(), timing or Timing()
         self.rate, self._agreement, self._machine = rate, agreement, machine
@@ -84,9 +94,17 @@
         def machine() -> Machine:
             self.registers[host.name] = register
             return self._machine({"register": register})
+
         part = self._agreement(
-            f"{host.name}@{host.life}", host.name, self.seats, machine, random.Random(self.rng.random()),
-            host.clock(self.world.now), host.disk if host.name.startswith("v") else None, self.timing)
+            f"{host.name}@{host.life}",
+            host.name,
+            self.seats,
+            machine,
+            random.Random(self.rng.random()),
+            host.clock(self.world.now),
+            host.disk if host.name.startswith("v") else None,
+            self.timing,
+        )
         part.applied = lambda entry: self._applied(host, part, entry, register)
         part.restored = lambda: self._restored(part, register)
         return Bare(host.address, {KIND: part})
@@ -110,7 +128,8 @@
         """All the others are sure of their disks and hold what is committed."""
         others = {h.name: node for h, node in self.nodes() if h is not host and h.name in self.names}
         return len(others) == len(self.names) - 1 and all(
-            node.proved and node.last >= self.truth.commit for node in others.values())
+            node.proved and node.last >= self.truth.commit for node in others.values()
+        )
 
     # Those that propose.
 
@@ -132,6 +151,7 @@
                 self.lost += 1
             else:
                 self.told[body] = outcome.index
+
         if part.propose(host.clock(now), "register", body, 20.0, done):
             self.asked[body] = now
             self.world.do(host, part_effects(host))
@@ -141,8 +161,10 @@
     def _applied(self, host: Host, part: Agreement, entry: Entry, register: Register) -> None:
         truth = self.truth
         if truth.terms.setdefault(entry.index, entry.term) != entry.term:
-            raise Broken(f"{host.name} applies an entry of term {entry.term} at {entry.index}, where one of term "
-                         f"{truth.terms[entry.index]} was")
+            raise Broken(
+                f"{host.name} applies an entry of term {entry.term} at {entry.index}, where one of term "
+                f"{truth.terms[entry.index]} was"
+            )
         state = register.mark, register.count
         if truth.applied.setdefault(entry.index, state) != state:
             raise Broken(f"{host.name} is another one after {entry.index}")
@@ -178,8 +200,9 @@
 
     def once(self) -> None:
         """Each command that was told as done counted once, and nothing counted that nobody proposed."""
-        counts = {register.count for name, register in self.registers.items()
-                  if self.world.host(name).driven is not None}
+        counts = {
+            register.count for name, register in self.registers.items() if self.world.host(name).driven is not None
+        }
         most = max(counts, default=0)
         if most > len(self.asked):
             raise Broken(f"{most} commands counted, {len(self.asked)} were proposed")
@@ -188,8 +211,11 @@
 
     def agreed(self) -> bool:
         """All that run have applied the same, and it is all that was committed."""
-        states = {(part.machine.index, self.registers[host.name].mark) for host in self.world.hosts.values()
-                  if (part := self.part(host)) is not None}
+        states = {
+            (part.machine.index, self.registers[host.name].mark)
+            for host in self.world.hosts.values()
+            if (part := self.part(host)) is not None
+        }
         return len(states) == 1 and next(iter(states))[0] >= self.truth.commit
 
 
@@ -210,9 +236,19 @@
     broken: str = ""
 
 
-def run(seed: int, seconds: float = 24.0, voters: int = 3, followers: int = 2, every: float = 1.5, rate: float = 2.0,
-        traced: bool = False, lines: list[Line] | None = None, prepare: Callable[[Voters], None] | None = None,
-        spoil: bool = False, **more: Any) -> Ran:
+def run(
+    seed: int,
+    seconds: float = 24.0,
+    voters: int = 3,
+    followers: int = 2,
+    every: float = 1.5,
+    rate: float = 2.0,
+    traced: bool = False,
+    lines: list[Line] | None = None,
+    prepare: Callable[[Voters], None] | None = None,
+    spoil: bool = False,
+    **more: Any,
+) -> Ran:
     """One run with faults drawn from the seed, or those of `lines`, where a disk is lost whoever else lacks something
     if `spoil`; at the end all is well, and then all must agree."""
     cluster = Voters(seed, voters, followers, rate, traced=traced, **more)
@@ -237,5 +273,13 @@
         broken = str(error)
     except AssertionError as error:
         broken = f"assertion: {error}"
-    return Ran(seed, world.events, len(cluster.told), cluster.lost, len(cluster.truth.leaders), faults.done,
-               world.trace.hexdigest() if world.trace is not None else "", broken)
+    return Ran(
+        seed,
+        world.events,
+        len(cluster.told),
+        cluster.lost,
+        len(cluster.truth.leaders),
+        faults.done,
+        world.trace.hexdigest() if world.trace is not None else "",
+        broken,
+    )
--- a/brackenpulley/simulation/world.py
+++ b/brackenpulley/simulation/world.py
@@ -52,8 +52,11 @@
         return min(part.next_tick() for part in self.parts.values())
 
     def said(self) -> list[Effect]:
-        return [Send(address, Carry(kind, self.address, data), stream=len(data) > DATAGRAM)
-                for kind, part in self.parts.items() for address, data in part.take()]
+        return [
+            Send(address, Carry(kind, self.address, data), stream=len(data) > DATAGRAM)
+            for kind, part in self.parts.items()
+            for address, data in part.take()
+        ]
 
 
 @dataclass(slots=True)
@@ -177,6 +180,7 @@
                 host.due = inf
                 if not host.stopped:
                     self._tick(host)
+
         self.at(due, tick)
 
     def _tick(self, host: Host) -> None:
--- a/brackenpulley/standins/audit.py
+++ b/brackenpulley/standins/audit.py
@@ -48,8 +48,9 @@
         return not self.faults
 
 
-def reconcile(ran: Iterable[Ran], killed: dict[str, set[str]], counted: dict[Key, int],
-              billed: dict[Key, int]) -> Verdict:
+def reconcile(
+    ran: Iterable[Ran], killed: dict[str, set[str]], counted: dict[Key, int], billed: dict[Key, int]
+) -> Verdict:
     """`killed`: for each kill a name, and the ids that were out at that moment and that its ledger had not counted."""
     verdict = Verdict(counted=sum(counted.values()), billed=sum(billed.values()))
     lost = set().union(*killed.values()) if killed else set()
@@ -63,15 +64,20 @@
     for name, told in (("counted", counted), ("billed", billed)):
         for key in sorted(must.keys() | told.keys()):
             if must.get(key, 0) != told.get(key, 0):
-                verdict.faults.append(f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: ran "
-                                      f"{must.get(key, 0) / MICRO:g} units, {name} {told.get(key, 0) / MICRO:g}")
+                verdict.faults.append(
+                    f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: ran "
+                    f"{must.get(key, 0) / MICRO:g} units, {name} {told.get(key, 0) / MICRO:g}"
+                )
     return verdict
 
 
 def answered_once(tries: Iterable[Try], down: set[int]) -> list[str]:
     """Tries that a living ingress took and that did not get exactly one answer."""
-    return [f"try {one.id}: taken by ingress {one.ingress}, {one.answers} answers" for one in tries
-            if one.taken and one.answers != 1 and one.ingress not in down]
+    return [
+        f"try {one.id}: taken by ingress {one.ingress}, {one.answers} answers"
+        for one in tries
+        if one.taken and one.answers != 1 and one.ingress not in down
+    ]
 
 
 @dataclass(slots=True)
--- a/brackenpulley/standins/billing.py
+++ b/brackenpulley/standins/billing.py
@@ -34,14 +34,18 @@
         head, end, body = line.data.partition(b"\r\n\r\n")
         if not end:
             return
-        size = next((int(row.split(b":")[1]) for row in head.split(b"\r\n") if row.lower().startswith(
-            b"content-length")), 0)
+        size = next(
+            (int(row.split(b":")[1]) for row in head.split(b"\r\n") if row.lower().startswith(b"content-length")), 0
+        )
         if size > LARGEST:
             raise Fault(413)
         if len(body) >= size:
             line.data = body[size:]
-            headers = [(name.strip().lower(), value.strip()) for row in head.split(b"\r\n")[1:]
-                       for name, _, value in [row.partition(b":")]]
+            headers = [
+                (name.strip().lower(), value.strip())
+                for row in head.split(b"\r\n")[1:]
+                for name, _, value in [row.partition(b":")]
+            ]
             self._heard(line, Payload(b"POST", b"/use", headers, body[:size]))
 
     def _heard(self, line: Line, payload: Payload) -> None:
@@ -57,7 +61,7 @@
         if self.mode == "413" and len(told) > self.room:
             line.answer(413)
             return
-        taken = told[:max(1, len(told) // 2)] if self.mode == "part" else told
+        taken = told[: max(1, len(told) // 2)] if self.mode == "part" else told
         for event in taken:
             self._take(event)
         if self.mode == "taken silently":
--- a/brackenpulley/standins/clients.py
+++ b/brackenpulley/standins/clients.py
@@ -86,7 +86,7 @@
 
     def _write(self) -> None:
         try:
-            self.out = self.out[self.sock.send(self.out):]
+            self.out = self.out[self.sock.send(self.out) :]
         except BlockingIOError:
             pass
         except OSError:
@@ -164,9 +164,11 @@
         self.tries.append(one)
         self.out += 1
         body = b"state" if method == "POST" else b""
-        data = (f"{method} /{name}/{firm.key:016x} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {one.id}\r\n"
-                f"X-Priority-Class: {name}\r\nX-Tariff: {firm.plan}\r\nX-Timeout: {wait}m\r\n"
-                f"X-Weight: units={guess},spread={firm.spread},first={firm.first % self.numbers}\r\n")
+        data = (
+            f"{method} /{name}/{firm.key:016x} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {one.id}\r\n"
+            f"X-Priority-Class: {name}\r\nX-Tariff: {firm.plan}\r\nX-Timeout: {wait}m\r\n"
+            f"X-Weight: units={guess},spread={firm.spread},first={firm.first % self.numbers}\r\n"
+        )
         if body:
             data += f"Idempotency-Key: {one.id}\r\nContent-Length: {len(body)}\r\n"
         client = self._client(one.ingress)
--- a/brackenpulley/standins/cold.py
+++ b/brackenpulley/standins/cold.py
@@ -16,8 +16,18 @@
     Sent more than `multiple` times what it can do for `fall` s it falls over and stays down. Works on `cores` at a
     time, so that what is too much waits; tells what it has in hand with each answer."""
 
-    def __init__(self, loop: Loop, name: str, rng: random.Random, full: float, cold_from: float, cold: float,
-                 multiple: float, fall: float, reports: bool = True) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        name: str,
+        rng: random.Random,
+        full: float,
+        cold_from: float,
+        cold: float,
+        multiple: float,
+        fall: float,
+        reports: bool = True,
+    ) -> None:
         super().__init__(loop, name, rng)
         self.full, self.cold_from, self.cold = full, cold_from, cold
         self.multiple, self.fall, self.reports = multiple, fall, reports
@@ -58,5 +68,4 @@
         now = self.loop.clock()
         self._free_at = max(now, self._free_at) + 1 / self.can(now)
         report = f"X-Server-Load: TEXT busy_reqs={round((self._free_at - now) * self.can(now))}\r\n" * self.reports
-        self.loop.call_at(self._free_at, lambda: line.answer(
-            200, ident.encode(), f"X-True-Cost: {cost:g}\r\n{report}"))
+        self.loop.call_at(self._free_at, lambda: line.answer(200, ident.encode(), f"X-True-Cost: {cost:g}\r\n{report}"))
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -56,13 +56,19 @@
 
 
 PARTS: dict[str, Callable[[Place], dict[str, Any]]] = {
-    "members": lambda place: {"fleet": "scale", "listen": place.listen, "advertise": place.advertise,
-                              "seeds": list(place.seeds), "keys": place.keys},
+    "members": lambda place: {
+        "fleet": "scale",
+        "listen": place.listen,
+        "advertise": place.advertise,
+        "seeds": list(place.seeds),
+        "keys": place.keys,
+    },
     "consensus": _consensus,
     "maintenance": lambda place: {"out": 2, "zone": 1, "reserve": 0.0, "settle_s": 1.0, "late_s": 120.0},
     "drains": lambda place: {"limit": 64},
     "plans": lambda place: {"snapshot": f"{place.folder}/plans"},
-    "leases": lambda place: {}}
+    "leases": lambda place: {},
+}
 USUAL = ("members", "consensus", "maintenance", "plans", "leases")
 
 
@@ -102,6 +108,7 @@
                     call()
                 finally:
                     self._took(time.perf_counter() - began)
+
         return timed
 
     def _took(self, seconds: float) -> None:
@@ -116,6 +123,7 @@
                     ready(events)
                 finally:
                     self._took(time.perf_counter() - began)
+
         return timed
 
     def register(self, sock: Watchable, events: int, ready: Ready, urgent: bool = False) -> None:
@@ -169,8 +177,14 @@
     def __init__(self, loop: Loop, rng: random.Random, mean: float = MEAN) -> None:
         self.loop, self.rng, self.mean = loop, rng, mean
 
-    def start(self, message: Message, server: str, left: float, done: Callable[[RelayEnd], None],
-              began: Callable[[RelayEnd], None]) -> Due:
+    def start(
+        self,
+        message: Message,
+        server: str,
+        left: float,
+        done: Callable[[RelayEnd], None],
+        began: Callable[[RelayEnd], None],
+    ) -> Due:
         end = RelayEnd("ok", cost=message.units)
         return Due(self.loop.call_in(self.rng.expovariate(1 / self.mean), lambda: done(end)))
 
@@ -220,8 +234,18 @@
         self.tries += 1
         classes = self.daemon.config.settings.classes
         units = float(self.rng.choice((1, 1, 1, 2, 2, 3)))
-        message = Message(f"{self._serial:016x}", classes[self._serial % len(classes)].name, firm.plan, firm.key,
-                          PATIENCE, units, firm.spread, firm.first, False, told=firm.plan)
+        message = Message(
+            f"{self._serial:016x}",
+            classes[self._serial % len(classes)].name,
+            firm.plan,
+            firm.key,
+            PATIENCE,
+            units,
+            firm.spread,
+            firm.first,
+            False,
+            told=firm.plan,
+        )
         self.daemon.ingress.take(message, self._answered, Answers(self.daemon.loop, self.rng))
 
     def _answered(self, answer: Answer) -> None:
@@ -231,8 +255,16 @@
 class Hollow:
     """One of them. `dead` is told which member this one takes for dead, `applied` which entry of the log it has."""
 
-    def __init__(self, loop: Loop, place: Place, raw: dict[str, Any], tables: dict[str, Any],
-                 firms: list[Firm], log: Any, seed: int) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        place: Place,
+        raw: dict[str, Any],
+        tables: dict[str, Any],
+        firms: list[Firm],
+        log: Any,
+        seed: int,
+    ) -> None:
         """`raw` and `tables`: its configuration and the operator's, as the files of a real one would hold them.
         Raises ConfigError."""
         self.place, self.alive = place, True
@@ -254,6 +286,7 @@
                 known(change)
                 if change.state == DEAD:
                     self.dead(change.id)
+
             service.changed = changed
         if self.daemon.agreement is not None:
             self.daemon.agreement.agreement.applied = lambda entry: self.applied(entry)
--- a/brackenpulley/standins/links.py
+++ b/brackenpulley/standins/links.py
@@ -48,7 +48,7 @@
         self.out += data
         try:
             while self.out:
-                self.out = self.out[self.to.send(self.out):]
+                self.out = self.out[self.to.send(self.out) :]
         except BlockingIOError:
             pass
         except OSError:
--- a/brackenpulley/standins/servers.py
+++ b/brackenpulley/standins/servers.py
@@ -75,8 +75,18 @@
         loop.call_in(HEARTBEAT, self._beat)
 
     def _rows(self, servers: list[SimServer]) -> list[dict[str, object]]:
-        return [{"instanceId": s.name, "hostPort": s.listener.text, "zone": "hall-a", "cell": 0, "weight": s.weight,
-                 "lifecycle": s.state, "startedAtMs": int(s.born * 1000)} for s in servers]
+        return [
+            {
+                "instanceId": s.name,
+                "hostPort": s.listener.text,
+                "zone": "hall-a",
+                "cell": 0,
+                "weight": s.weight,
+                "lifecycle": s.state,
+                "startedAtMs": int(s.born * 1000),
+            }
+            for s in servers
+        ]
 
     def _heard(self, line: Line, payload: Payload) -> None:
         whole = {"generation": self.generation, "reset": True, "instances": self._rows(self.servers)}
@@ -138,8 +148,8 @@
             size, end, rest = rest.partition(b"\r\n")
             if not end or len(rest) < int(size[1:]) + 2:
                 return None
-            parts.append(rest[:int(size[1:])])
-            rest = rest[int(size[1:]) + 2:]
+            parts.append(rest[: int(size[1:])])
+            rest = rest[int(size[1:]) + 2 :]
         return parts, rest
 
     def _add(self, parts: list[bytes]) -> bytes:
--- a/brackenpulley/standins/wire.py
+++ b/brackenpulley/standins/wire.py
@@ -50,7 +50,7 @@
         self.out = bytes(self.out) + data if self.out else data
         try:
             while self.out:
-                self.out = memoryview(self.out)[self.sock.send(self.out):]
+                self.out = memoryview(self.out)[self.sock.send(self.out) :]
         except BlockingIOError:
             pass
         except OSError:
@@ -81,8 +81,14 @@
 class Listener:
     """Port 0 takes a free one; `at` is where it listens. `stop` and `listen` again make it go and come back."""
 
-    def __init__(self, loop: Loop, heard: Heard | None = None, host: str = "127.0.0.1", port: int = 0,
-                 shares: Shares | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        heard: Heard | None = None,
+        host: str = "127.0.0.1",
+        port: int = 0,
+        shares: Shares | None = None,
+    ) -> None:
         """`shares`: for long bodies, which are heard of while they come."""
         self.loop, self.heard, self.shares = loop, heard, shares
         self.lines: set[Line] = set()
--- a/brackenpulley/xds/source.py
+++ b/brackenpulley/xds/source.py
@@ -46,7 +46,8 @@
             elif kind == endpoint_pb2.ClusterLoadAssignment.DESCRIPTOR.full_name:
                 fields = {k: v for k, v in packed.items() if k != "@type"}
                 assignment = json_format.ParseDict(
-                    fields, endpoint_pb2.ClusterLoadAssignment(), ignore_unknown_fields=True)
+                    fields, endpoint_pb2.ClusterLoadAssignment(), ignore_unknown_fields=True
+                )
                 assignments[assignment.cluster_name] = assignment
         return clusters, assignments, str(response.get("versionInfo", response.get("version_info", "")))
     except (ValueError, AttributeError, TypeError, json_format.ParseError) as error:
@@ -90,8 +91,15 @@
         cell, started = int(told.get("cell", 0)), float(told.get("startedAtMs", 0)) / 1000
     except (TypeError, ValueError):
         raise XdsError(f"{text}: metadata {told!r}") from None
-    return i.ServerEntry(server=lb.endpoint.hostname or text, zone=locality.zone, cell=cell, size=size, state=state,
-                         started=started, kind=str(told.get("machineType", ""))), at
+    return i.ServerEntry(
+        server=lb.endpoint.hostname or text,
+        zone=locality.zone,
+        cell=cell,
+        size=size,
+        state=state,
+        started=started,
+        kind=str(told.get("machineType", "")),
+    ), at
 
 
 class FileSource:
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -18,7 +18,8 @@
 def main() -> list[str]:
     settings = Settings(
         classes=[ClassSpec("read", aim=0.5, deadline=2.0, worth=1.0, effect="safe")],
-        plans=[PlanSpec("basic", rate=2.0, burst=4.0)])
+        plans=[PlanSpec("basic", rate=2.0, burst=4.0)],
+    )
     gateway, now, story = Gateway(settings, seed=1, now=0.0), 0.0, []
     todo = gateway.handle(now, ServerList("full", [ServerEntry("server-1")]))
     for n in range(6):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -31,7 +31,7 @@
     def send(self, data: bytes) -> Wire:
         while data:
             try:
-                data = data[self.sock.send(data):]
+                data = data[self.sock.send(data) :]
             except BlockingIOError:
                 self.rig.turn()
         return self
@@ -49,8 +49,10 @@
 
     def until(self, text: bytes) -> bytes:
         """All up to and with this text; the rest stays."""
+
         def there() -> bool:
             return text in self.seen or not self._more()
+
         self.rig.until(there)
         assert text in self.seen, self.seen
         head, self.seen = self.seen.split(text, 1)
@@ -99,13 +101,15 @@
             if wire := self.connected():
                 found.append(wire)
             return bool(found)
+
         self.rig.until(there)
         return found[0]
 
 
 class Rig:
-    def __init__(self, servers: int = 1, counter: bool = False, effect: str = "free", operator: Any = None,
-                 **config: Any) -> None:
+    def __init__(
+        self, servers: int = 1, counter: bool = False, effect: str = "free", operator: Any = None, **config: Any
+    ) -> None:
         self.skipped, self.frozen = 0.0, 0.0
         self.peers = {f"s-{n}": Peer(self) for n in range(servers)}
         told: dict[str, Any] = copy.deepcopy(SETTINGS)
@@ -113,23 +117,31 @@
         told["Extra"] = {"MayCount": counter, "CountWait": 0.03, "Settles": True, "MostUnits": 8}
         told["Limits"].update(AttemptsCap=3, MayCancel=True, RetryAfter=True, MaxRetryAfter=2.0)
         self.counter = Peer(self)
-        raw = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": self.counter.at,
-               "settings": told, "known": self.listing(), **config}
+        raw = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "counter": self.counter.at,
+            "settings": told,
+            "known": self.listing(),
+            **config,
+        }
         conf = decode(raw, {}, operator_of(operator or {}))
         if "discovery" not in config:
             conf.discovery = None
         start = time.time() - time.monotonic()
         self.log = structlog.wrap_logger(structlog.PrintLogger())
-        self.daemon = Daemon(conf, self.log, 
-                             lambda: start + (self.frozen or time.monotonic()) + self.skipped)
+        self.daemon = Daemon(conf, self.log, lambda: start + (self.frozen or time.monotonic()) + self.skipped)
         self.daemon.start(signals=False)
         listener = self.daemon.north.listener
         assert listener is not None
         self.at = listener.getsockname()
 
     def listing(self, **state: str) -> dict[str, Any]:
-        rows = [{"instanceId": k, "hostPort": p.at, "zone": "z", "lifecycle": state.get(k.replace("-", "_"), "SERVING")}
-                for k, p in self.peers.items()]
+        rows = [
+            {"instanceId": k, "hostPort": p.at, "zone": "z", "lifecycle": state.get(k.replace("-", "_"), "SERVING")}
+            for k, p in self.peers.items()
+        ]
         return {"generation": 7, "reset": True, "instances": rows}
 
     def turn(self) -> None:
@@ -158,12 +170,22 @@
     def client(self) -> Wire:
         return Wire(self, socket.create_connection(self.at))
 
-    def ask(self, number: int = 1, timeout: str = "9000m", more: str = "", method: str = "GET", body: bytes = b"",
-            wire: Wire | None = None, ident: int = 0) -> Wire:
+    def ask(
+        self,
+        number: int = 1,
+        timeout: str = "9000m",
+        more: str = "",
+        method: str = "GET",
+        body: bytes = b"",
+        wire: Wire | None = None,
+        ident: int = 0,
+    ) -> Wire:
         if wire is not None:  # a client thinks for as long as the connection to the server rests
             self.skipped += REST
-        head = (f"{method} /a/{number:016x}?q=1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: {ident or number:016x}\r\n"
-                f"X-Priority-Class: a\r\nX-Tariff: p\r\nX-Timeout: {timeout}\r\n{more}")
+        head = (
+            f"{method} /a/{number:016x}?q=1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: {ident or number:016x}\r\n"
+            f"X-Priority-Class: a\r\nX-Tariff: p\r\nX-Timeout: {timeout}\r\n{more}"
+        )
         head += f"Content-Length: {len(body)}\r\n" if body else ""
         return (wire or self.client()).send(head.encode() + b"\r\n" + body)
 
@@ -176,6 +198,7 @@
                 if not found and (wire := peer.connected()):
                     found.append((name, wire))
             return bool(found)
+
         self.until(there)
         return found[0]
 
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -60,8 +60,15 @@
     part = made.part(host)
     assert part is not None
     told.say(f"{made.world.now - START:7.3f} {name} proposes {body.decode()}")
-    part.propose(made.world.now, "register", body, 9.0, lambda outcome: told.say(
-        f"{made.world.now - START:7.3f} {name} is told {outcome.answer if outcome else 'nothing'}"))
+    part.propose(
+        made.world.now,
+        "register",
+        body,
+        9.0,
+        lambda outcome: told.say(
+            f"{made.world.now - START:7.3f} {name} is told {outcome.answer if outcome else 'nothing'}"
+        ),
+    )
     made.world.do(host, host.driven.said())  # type: ignore[union-attr]
 
 
@@ -114,6 +121,7 @@
 
     def sure() -> bool:
         return any(host.name == lost and node.proved for host, node in made.nodes())
+
     assert world.until(sure, 4.0)
     told.title(f"{lost} may vote again")
     assert told.text() == approved
@@ -125,12 +133,14 @@
 
     def make(host: Host) -> Station:
         return Station(f"{host.name}@{host.life}", host.address, random.Random(host.name), world.now, quick)
+
     told.title("three join through the first")
     for name in ("m0", "m1", "m2"):
         world.add(name, f"a-{name}", make)
     told.watch(world)
     world.changed = lambda host, change: told.say(
-        f"{world.now - START:7.3f} {host.name}: {change.id} is {change.state}")
+        f"{world.now - START:7.3f} {host.name}: {change.id} is {change.state}"
+    )
     for name in ("m1", "m2"):
         host = world.host(name)
         world.do(host, host.driven.join(["a-m0"]))  # type: ignore[union-attr]
@@ -176,6 +186,7 @@
         desk.now += after
         answer = desk.permits.apply(desk.now, encode(Step(FACTS, BOUNDS, 5.0, 30.0, carried)))
         told.say(f"-- {after:g} s later whoever leads steps: {json.dumps(answer)}")
+
     told.title("asked for, and what makes no sense")
     call("POST", "/v1/work", {"id": "host-7", "by": "ann", "servers": ["s0"], "zone": "a"})
     call("POST", "/v1/work", {"id": "host-7", "by": "ann", "servers": ["s0"], "zone": "a"})
@@ -224,6 +235,7 @@
         def say(wire: Any, data: bytes, text: str) -> None:
             told.say(f"{r.daemon.clock() - begin if begin else 0:6.1f} discovery: {text}")
             wire.send(data)
+
         wire = source.accept()
         heard(wire)
         body = json.dumps(r.listing(), indent=1).encode()
@@ -243,8 +255,12 @@
                 r.step(0.1)
                 call = source.connected()
             heard(call)
-        say(call, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(
-            {**r.listing(), "reset": False, "generation": 9}), "s-0 serves, version 9")
+        say(
+            call,
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk({**r.listing(), "reset": False, "generation": 9}),
+            "s-0 serves, version 9",
+        )
         r.until(lambda: r.daemon.inventory.usable("s-0"))
         told.say(f"       ingress: uses s-0: {r.daemon.inventory.usable('s-0')}")
     assert told.text() == approved
@@ -265,6 +281,7 @@
         def heard(count: int, said: str) -> None:
             r.until(lambda: len(ends) == count)
             told.say(f"  {said}: {', '.join(ends[-1:])}")
+
         asked(5, 1.5)
         wire = r.counter.accept()
         wire.until(b"4000\r\n")
@@ -284,5 +301,3 @@
         wire.reset()
         heard(5, "the connection breaks after the last byte")
     assert told.text() == approved
-
-
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -99,9 +99,14 @@
         other.close()
 
 
-@pytest.mark.parametrize(("request_", "status"), [
-    (check(left="soon"), grpc.StatusCode.INVALID_ARGUMENT),
-    (check(x_weight="units=x"), grpc.StatusCode.INVALID_ARGUMENT), (CheckRequest(), grpc.StatusCode.INVALID_ARGUMENT)])
+@pytest.mark.parametrize(
+    ("request_", "status"),
+    [
+        (check(left="soon"), grpc.StatusCode.INVALID_ARGUMENT),
+        (check(x_weight="units=x"), grpc.StatusCode.INVALID_ARGUMENT),
+        (CheckRequest(), grpc.StatusCode.INVALID_ARGUMENT),
+    ],
+)
 def test_malformed_checks(request_: Any, status: Any) -> None:
     with rig(operator=SERVER) as r, asker(r) as stub:
         assert result(r, stub.Check.future(request_, timeout=5)).code() == status
@@ -110,10 +115,12 @@
 
 def raw(r: Rig, method: str, data: bytes, **more: Any) -> Any:
     assert r.daemon.front is not None and r.daemon.front.listener is not None
-    channel = grpc.insecure_channel(f"127.0.0.1:{r.daemon.front.listener.getsockname()[1]}",
-                                    (("grpc.use_local_subchannel_pool", 1),))
+    channel = grpc.insecure_channel(
+        f"127.0.0.1:{r.daemon.front.listener.getsockname()[1]}", (("grpc.use_local_subchannel_pool", 1),)
+    )
     call = channel.unary_unary(method, request_serializer=bytes, response_deserializer=bytes).future(
-        data, timeout=5, **more)
+        data, timeout=5, **more
+    )
     found = result(r, call)
     channel.close()
     return found
@@ -122,11 +129,15 @@
 CHECK = "/envoy.service.auth.v3.Authorization/Check"
 
 
-@pytest.mark.parametrize(("method", "data", "more", "status"), [
-    ("/other.Service/Check", b"", {}, grpc.StatusCode.UNIMPLEMENTED),
-    (CHECK, b"\xff\xff\xff", {}, grpc.StatusCode.INVALID_ARGUMENT),
-    (CHECK, b"x" * (200 << 10), {}, grpc.StatusCode.RESOURCE_EXHAUSTED),
-    (CHECK, check().SerializeToString(), {"compression": grpc.Compression.Gzip}, grpc.StatusCode.UNIMPLEMENTED)])
+@pytest.mark.parametrize(
+    ("method", "data", "more", "status"),
+    [
+        ("/other.Service/Check", b"", {}, grpc.StatusCode.UNIMPLEMENTED),
+        (CHECK, b"\xff\xff\xff", {}, grpc.StatusCode.INVALID_ARGUMENT),
+        (CHECK, b"x" * (200 << 10), {}, grpc.StatusCode.RESOURCE_EXHAUSTED),
+        (CHECK, check().SerializeToString(), {"compression": grpc.Compression.Gzip}, grpc.StatusCode.UNIMPLEMENTED),
+    ],
+)
 def test_errors_have_their_grpc_status(method: str, data: bytes, more: Any, status: Any) -> None:
     with rig(operator=SERVER) as r:
         assert raw(r, method, data, **more).code() == status
@@ -136,8 +147,9 @@
 def test_a_draining_endpoint_is_not_named() -> None:
     with rig(2, operator=SERVER) as r, asker(r) as stub:
         r.daemon.inventory.told(r.listing(s_0="DRAINING"))
-        names = {result(r, stub.Check.future(check(n), timeout=5)).ok_response.headers[0].header.value
-                 for n in range(1, 7)}
+        names = {
+            result(r, stub.Check.future(check(n), timeout=5)).ok_response.headers[0].header.value for n in range(1, 7)
+        }
         assert names == {r.peers["s-1"].at}
 
 
@@ -180,8 +192,9 @@
 
 
 @contextmanager
-def authorised(delay: float = 0.0, reply: Any = None, timeout_ms: int = 10_000, on_failure: str = "deny",
-               **more: Any) -> Iterator[tuple[Rig, Authoriser]]:
+def authorised(
+    delay: float = 0.0, reply: Any = None, timeout_ms: int = 10_000, on_failure: str = "deny", **more: Any
+) -> Iterator[tuple[Rig, Authoriser]]:
     stand_in = Authoriser(delay, CheckResponse() if reply is None else reply)
     server = grpc.server(futures.ThreadPoolExecutor(4))
     external_auth_pb2_grpc.add_AuthorizationServicer_to_server(stand_in, server)
@@ -200,8 +213,9 @@
     reply = CheckResponse(status=status_pb2.Status(code=7))
     reply.denied_response.status.CopyFrom(http_status_pb2.HttpStatus(code=status))
     reply.denied_response.body = "not you"
-    reply.denied_response.headers.append(base_pb2.HeaderValueOption(
-        header=base_pb2.HeaderValue(key="x-why", value="because")))
+    reply.denied_response.headers.append(
+        base_pb2.HeaderValueOption(header=base_pb2.HeaderValue(key="x-why", value="because"))
+    )
     return reply
 
 
@@ -218,8 +232,7 @@
 def test_an_allowed_message_goes_on_with_the_headers_that_were_added() -> None:
     reply = CheckResponse()
     for key, value in (("x-member", "firm-7"), ("x-request-id", "forged"), ("x-bad", "a\r\nx-evil: 1")):
-        reply.ok_response.headers.append(base_pb2.HeaderValueOption(
-            header=base_pb2.HeaderValue(key=key, value=value)))
+        reply.ok_response.headers.append(base_pb2.HeaderValueOption(header=base_pb2.HeaderValue(key=key, value=value)))
     reply.ok_response.headers_to_remove.append("x-tariff")
     with authorised(reply=reply) as (r, _):
         client = r.ask(1)
@@ -246,6 +259,7 @@
                 wire.answer()
                 wire.send(OK)
             return b"\r\n\r\n" in client.seen or not client._more()
+
         while r.skipped < min(delay, wait) and not there():
             r.step(0.01)
         if r.skipped >= delay:
@@ -304,8 +318,20 @@
         r.until(lambda: link.wire.closed)
 
 
-@pytest.mark.parametrize(("text", "seconds"), [("100m", 0.1), ("2S", 2.0), ("1H", 3600.0), ("5u", 5e-6), (None, 10.0),
-                                               ("", None), ("1", None), ("-1S", None), ("123456789m", None)])
+@pytest.mark.parametrize(
+    ("text", "seconds"),
+    [
+        ("100m", 0.1),
+        ("2S", 2.0),
+        ("1H", 3600.0),
+        ("5u", 5e-6),
+        (None, 10.0),
+        ("", None),
+        ("1", None),
+        ("-1S", None),
+        ("123456789m", None),
+    ],
+)
 def test_grpc_timeouts(text: str | None, seconds: float | None) -> None:
     if seconds is None:
         with pytest.raises(MessageError):
@@ -314,17 +340,24 @@
         assert timeout(text) == pytest.approx(seconds)
 
 
-@pytest.mark.parametrize(("data", "kind", "status"), [
-    (b"", "allow", 0), (b"\xff", None, 0), (denial(401).SerializeToString(), "deny", 401),
-    (denial(200).SerializeToString(), "deny", 403),
-    (CheckResponse(status=status_pb2.Status(code=7)).SerializeToString(), "deny", 403)])
+@pytest.mark.parametrize(
+    ("data", "kind", "status"),
+    [
+        (b"", "allow", 0),
+        (b"\xff", None, 0),
+        (denial(401).SerializeToString(), "deny", 401),
+        (denial(200).SerializeToString(), "deny", 403),
+        (CheckResponse(status=status_pb2.Status(code=7)).SerializeToString(), "deny", 403),
+    ],
+)
 def test_verdicts(data: bytes, kind: str | None, status: int) -> None:
     verdict = verdict_of(data)
     assert (verdict and verdict.kind) == kind and (not verdict or verdict.status == status)
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"", 3), (b"\0\0\0\0\2a", 3), (b"\0\0\0\0\1ab", 3), (b"\1\0\0\0\1a", 12)])
+@pytest.mark.parametrize(
+    ("data", "status"), [(b"", 3), (b"\0\0\0\0\2a", 3), (b"\0\0\0\0\1ab", 3), (b"\1\0\0\0\1a", 12)]
+)
 def test_framing(data: bytes, status: int) -> None:
     with pytest.raises(http2.FramingError) as error:
         http2.unframe(data)
@@ -336,14 +369,19 @@
     assert operator.server and operator.client == ClientPart(("127.0.0.1", 9292), 0.25, False) and operator.xds is None
 
 
-@pytest.mark.parametrize(("raw_", "field"), [
-    ({"authz": 3}, "authz: "), ({"other": {}}, "operator.other: "),
-    ({"authz": {"server": {}}}, "authz.server.listen: "),
-    ({"authz": {"server": {"listen": "x"}}}, "authz.server.listen: "),
-    ({"authz": {"server": {"listen": "127.0.0.1:1", "endpoint_header": "a b"}}}, "authz.server.endpoint_header: "),
-    ({"authz": {"client": {"address": "127.0.0.1:1", "on_failure": "maybe"}}}, "authz.client.on_failure: "),
-    ({"authz": {"client": {"address": "127.0.0.1:1", "timeout_ms": 0}}}, "authz.client.timeout_ms: "),
-    ({"xds": {"path": "x"}}, "xds.cluster: ")])
+@pytest.mark.parametrize(
+    ("raw_", "field"),
+    [
+        ({"authz": 3}, "authz: "),
+        ({"other": {}}, "operator.other: "),
+        ({"authz": {"server": {}}}, "authz.server.listen: "),
+        ({"authz": {"server": {"listen": "x"}}}, "authz.server.listen: "),
+        ({"authz": {"server": {"listen": "127.0.0.1:1", "endpoint_header": "a b"}}}, "authz.server.endpoint_header: "),
+        ({"authz": {"client": {"address": "127.0.0.1:1", "on_failure": "maybe"}}}, "authz.client.on_failure: "),
+        ({"authz": {"client": {"address": "127.0.0.1:1", "timeout_ms": 0}}}, "authz.client.timeout_ms: "),
+        ({"xds": {"path": "x"}}, "xds.cluster: "),
+    ],
+)
 def test_a_bad_operators_file_names_the_field(raw_: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError) as error:
         decode(raw_)
@@ -356,13 +394,26 @@
 
 def discovery(version: str, *endpoints: dict[str, Any]) -> str:
     kind = "type.googleapis.com/envoy.config."
-    return json.dumps({"versionInfo": version, "resources": [
-        {"@type": kind + "cluster.v3.Cluster", "name": "sims", "type": "EDS",
-         "edsClusterConfig": {"serviceName": "eds"},
-         "transportSocket": {"name": "tls", "typedConfig": {"@type": "type.googleapis.com/not.known.Here"}}},
-        {"@type": kind + "listener.v3.Listener", "name": "passed over"},
-        {"@type": kind + "endpoint.v3.ClusterLoadAssignment", "clusterName": "eds", "endpoints": [
-            {"locality": {"zone": "hall-a"}, "lbEndpoints": list(endpoints)}]}]})
+    return json.dumps(
+        {
+            "versionInfo": version,
+            "resources": [
+                {
+                    "@type": kind + "cluster.v3.Cluster",
+                    "name": "sims",
+                    "type": "EDS",
+                    "edsClusterConfig": {"serviceName": "eds"},
+                    "transportSocket": {"name": "tls", "typedConfig": {"@type": "type.googleapis.com/not.known.Here"}},
+                },
+                {"@type": kind + "listener.v3.Listener", "name": "passed over"},
+                {
+                    "@type": kind + "endpoint.v3.ClusterLoadAssignment",
+                    "clusterName": "eds",
+                    "endpoints": [{"locality": {"zone": "hall-a"}, "lbEndpoints": list(endpoints)}],
+                },
+            ],
+        }
+    )
 
 
 def write(path: Path, text: str) -> None:
@@ -374,8 +425,15 @@
 def test_clusters_and_endpoints_in_xds_form_fill_the_inventory(tmp_path: Path) -> None:
     path = tmp_path / "eds.json"
     started = {"filterMetadata": {"brackenpulley": {"startedAtMs": 5000, "cell": 2}}}
-    write(path, discovery("3", endpoint(1, loadBalancingWeight=4, metadata=started),
-                          endpoint(2, healthStatus="DRAINING"), endpoint(3, healthStatus="UNHEALTHY")))
+    write(
+        path,
+        discovery(
+            "3",
+            endpoint(1, loadBalancingWeight=4, metadata=started),
+            endpoint(2, healthStatus="DRAINING"),
+            endpoint(3, healthStatus="UNHEALTHY"),
+        ),
+    )
     with rig(0, known={}, operator={"xds": {"path": str(path), "cluster": "sims"}}) as r:
         servers = r.daemon.ingress.gateway.servers
         assert {k: s.e.state for k, s in servers.items()} == {"127.0.0.1:1": "up", "127.0.0.1:2": "draining"}
@@ -389,15 +447,17 @@
         assert not r.daemon.inventory.usable("127.0.0.1:1") and r.daemon.inventory.version == 4
 
 
-
-
 def test_the_second_front_as_a_process_serves_and_ends_in_order(tmp_path: Path) -> None:
     path, operator = tmp_path / "config.json", tmp_path / "operator.toml"
     known = {"generation": 1, "instances": [{"instanceId": "s", "hostPort": "127.0.0.1:9", "lifecycle": "SERVING"}]}
     path.write_text(json.dumps({**GOOD, "known": known}))
     operator.write_text('[authz.server]\nlisten = "127.0.0.1:0"\n')
-    child = subprocess.Popen([sys.executable, "-m", "brackenpulley", "serve", "--operator", str(operator)],
-                             stdout=subprocess.PIPE, text=True, env={**os.environ, "BALANCER_CONFIG": str(path)})
+    child = subprocess.Popen(
+        [sys.executable, "-m", "brackenpulley", "serve", "--operator", str(operator)],
+        stdout=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+    )
     assert child.stdout is not None
     line = next(x for x in child.stdout if 'event="answering checks"' in x)
     with grpc.insecure_channel("127.0.0.1:" + line.strip().rsplit(":", 1)[1]) as channel:
@@ -425,9 +485,17 @@
         self.wire.send(self.h2.data_to_send())
 
     def call(self, stream: int, body: bytes | None, left: str = "5S") -> None:
-        self.h2.send_headers(stream, [
-            (":method", "POST"), (":scheme", "http"), (":path", CHECK), (":authority", "a"),
-            ("content-type", "application/grpc"), ("grpc-timeout", left)])
+        self.h2.send_headers(
+            stream,
+            [
+                (":method", "POST"),
+                (":scheme", "http"),
+                (":path", CHECK),
+                (":authority", "a"),
+                ("content-type", "application/grpc"),
+                ("grpc-timeout", left),
+            ],
+        )
         if body is not None:
             self.h2.send_data(stream, http2.frame(body), end_stream=True)
         self.flush()
@@ -442,6 +510,7 @@
             self.flush()
             found.extend(e for e in self.events if isinstance(e, kind) and getattr(e, "stream_id", stream) == stream)
             return bool(found) or not more
+
         self.wire.rig.until(there)
         assert found, self.events
         return found[0]
@@ -502,9 +571,14 @@
         assert not r.daemon.front.peers
 
 
-@pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n" + b"x" * 24,
-                                  b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 20,
-                                  b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\0\0\4\1\5\0\0\0\1\xff\xff\xff\xff"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n" + b"x" * 24,
+        b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 20,
+        b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\0\0\4\1\5\0\0\0\1\xff\xff\xff\xff",
+    ],
+)
 def test_what_is_no_http2_ends_its_own_connection_alone(data: bytes) -> None:
     with rig(operator=SERVER) as r, asker(r) as stub:
         listener = r.daemon.front.listener
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -39,11 +39,24 @@
 
 # The state machine.
 
-@pytest.mark.parametrize(("first", "then", "state"), [
-    ("", "", State.WAITING), ("begin", "", State.FLOWING), ("begin", "end", State.ENDED), ("begin", "cut", State.CUT),
-    ("", "end", State.ENDED), ("", "cut", State.CUT), ("end", "cut", State.ENDED), ("cut", "end", State.CUT),
-    ("end", "drop", State.DROPPED), ("cut", "drop", State.DROPPED), ("drop", "end", State.DROPPED),
-    ("drop", "cut", State.DROPPED)])
+
+@pytest.mark.parametrize(
+    ("first", "then", "state"),
+    [
+        ("", "", State.WAITING),
+        ("begin", "", State.FLOWING),
+        ("begin", "end", State.ENDED),
+        ("begin", "cut", State.CUT),
+        ("", "end", State.ENDED),
+        ("", "cut", State.CUT),
+        ("end", "cut", State.ENDED),
+        ("cut", "end", State.CUT),
+        ("end", "drop", State.DROPPED),
+        ("cut", "drop", State.DROPPED),
+        ("drop", "end", State.DROPPED),
+        ("drop", "cut", State.DROPPED),
+    ],
+)
 def test_states(first: str, then: str, state: State) -> None:
     body = Body(Shares(TOTAL))
     for step in (first, then):
@@ -52,8 +65,9 @@
     assert body.state is state and body.shares.flows == (0 if state is State.DROPPED else 1)
 
 
-STEPS = st.one_of(st.binary(min_size=1, max_size=40), st.integers(1, 60),
-                  st.sampled_from(["again", "end", "full", "drop"]))
+STEPS = st.one_of(
+    st.binary(min_size=1, max_size=40), st.integers(1, 60), st.sampled_from(["again", "end", "full", "drop"])
+)
 
 
 @given(st.lists(STEPS, max_size=40), st.booleans())
@@ -130,21 +144,24 @@
 HALF = 32 << 10
 
 
-@pytest.mark.parametrize(("said", "given_up"), [
-    # (seconds, what came: head, body bytes so far, hold, free), in order; then whether it is given up and when
-    ([(0, "begin")], pace.HEAD),
-    ([(0, "begin"), (2.0, "head")], 2.0 + pace.STANDS),
-    ([(0, "begin"), (0.1, "head"), (1.9, HALF), (3.7, 2 * HALF)], 3.7 + pace.STANDS),
-    ([(0, "begin"), (0.1, "head"), (0.2, HALF), (0.3, "hold")], None),
-    ([(0, "begin"), (0.1, "head"), (0.2, HALF), (0.3, "hold"), (9.0, "free")], 9.0 + pace.STANDS),
-    ([(0, "begin"), *((0.1 + n, 1000 * n) for n in range(40))], pace.GRACE + 0.1),
-    ([(0, "begin"), *((0.1 + n, 64_000 * n) for n in range(400))], 399.1 + pace.STANDS),
-    ([(0, "connect")], pace.HEAD),
-    ([(0, "connect"), (0.1, "head")], 0.1 + pace.STANDS),
-    ([(0, "connect"), (0.9, "head")], pace.HEAD),
-    ([(0, "connect"), (1.5, "head")], 1.5 + pace.STANDS_FIRST),
-    ([(0, "connect"), (0.1, "head"), (1.0, HALF), (1.9, 2 * HALF), (2.8, 3 * HALF)], 2.8 + pace.STANDS_FIRST),
-])
+@pytest.mark.parametrize(
+    ("said", "given_up"),
+    [
+        # (seconds, what came: head, body bytes so far, hold, free), in order; then whether it is given up and when
+        ([(0, "begin")], pace.HEAD),
+        ([(0, "begin"), (2.0, "head")], 2.0 + pace.STANDS),
+        ([(0, "begin"), (0.1, "head"), (1.9, HALF), (3.7, 2 * HALF)], 3.7 + pace.STANDS),
+        ([(0, "begin"), (0.1, "head"), (0.2, HALF), (0.3, "hold")], None),
+        ([(0, "begin"), (0.1, "head"), (0.2, HALF), (0.3, "hold"), (9.0, "free")], 9.0 + pace.STANDS),
+        ([(0, "begin"), *((0.1 + n, 1000 * n) for n in range(40))], pace.GRACE + 0.1),
+        ([(0, "begin"), *((0.1 + n, 64_000 * n) for n in range(400))], 399.1 + pace.STANDS),
+        ([(0, "connect")], pace.HEAD),
+        ([(0, "connect"), (0.1, "head")], 0.1 + pace.STANDS),
+        ([(0, "connect"), (0.9, "head")], pace.HEAD),
+        ([(0, "connect"), (1.5, "head")], 1.5 + pace.STANDS_FIRST),
+        ([(0, "connect"), (0.1, "head"), (1.0, HALF), (1.9, 2 * HALF), (2.8, 3 * HALF)], 2.8 + pace.STANDS_FIRST),
+    ],
+)
 def test_pace(said: list[tuple[float, str | int]], given_up: float | None) -> None:
     one, size, steps = Pace(0.0), 0, list(said)
     when = None
@@ -177,20 +194,21 @@
     if form == "close":
         return b"\r\n" + body
     parts = [body[:cut], body[cut:]]
-    chunks = b"".join(b"%x;ext=\"a;b\"\r\n%s\r\n" % (len(part), part) for part in parts if part)
+    chunks = b"".join(b'%x;ext="a;b"\r\n%s\r\n' % (len(part), part) for part in parts if part)
     return b"Transfer-Encoding:  chunked \r\n\r\n" + chunks + b"0\r\nX-Trailer: t\r\n\r\n"
 
 
-@given(BODIES, st.sampled_from(["length", "chunked"]), st.integers(1, 70_000), st.integers(1, 2000),
-       st.integers(0, 300))
+@given(
+    BODIES, st.sampled_from(["length", "chunked"]), st.integers(1, 70_000), st.integers(1, 2000), st.integers(0, 300)
+)
 @hypothesis_settings(max_examples=60, deadline=None)
 def test_a_message_in_any_form_and_pieces(size: int, form: str, cut: int, step: int, behind: int) -> None:
     body, account = noise(size), Shares(TOTAL)
     data = b"POST /a/1 HTTP/1.1\r\nX-Tariff:  p \r\n" + forms(body, form, cut)
     data += b"GET /b HTTP/1.1\r\n\r\n"
     reader, at = Reader(account), 0
-    first = data[:len(data) - behind]  # the first piece may end anywhere in the last few hundred bytes
-    for piece in [first] if step > 1000 else [data[i:i + step * 40] for i in range(0, len(data), step * 40)]:
+    first = data[: len(data) - behind]  # the first piece may end anywhere in the last few hundred bytes
+    for piece in [first] if step > 1000 else [data[i : i + step * 40] for i in range(0, len(data), step * 40)]:
         reader.feed(memoryview(piece))
         at += len(piece)
     reader.feed(memoryview(data[at:]))
@@ -209,7 +227,7 @@
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + forms(body, form, cut)
     reply, stream = Reply(32 << 20), None
     for i in range(0, len(data), step):
-        reply.feed(data[i:i + step])
+        reply.feed(data[i : i + step])
         if reply.long and stream is None:
             stream = Body(account, reply.length)
             reply.flow(stream)
@@ -233,6 +251,7 @@
 
 # Answers, over sockets.
 
+
 def asked(r: Rig, body: bytes = b"", method: str = "GET") -> tuple[Wire, Wire]:
     client = r.ask(1, method=method, body=body)
     _, server = r.served()
@@ -244,7 +263,7 @@
     body = b""
     while size := int(client.until(b"\r\n"), 16):
         client.rig.until(lambda size=size: len(client.seen) >= size + 2 or not client._more())  # type: ignore[misc]
-        body, client.seen = body + client.seen[:size], client.seen[size + 2:]
+        body, client.seen = body + client.seen[:size], client.seen[size + 2 :]
     client.until(b"\r\n")
     return body
 
@@ -299,7 +318,7 @@
             client = r.client().send(b"GET /a/1 HTTP/1.0\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n\r\n")
             _, server = r.served()
             server.answer()
-            server.send(b"HTTP/1.1 200 OK\r\n" + forms(noise(300_000), "chunked", 100)[:280_000 if cut else None])
+            server.send(b"HTTP/1.1 200 OK\r\n" + forms(noise(300_000), "chunked", 100)[: 280_000 if cut else None])
             r.until(lambda: r.count("flowed") == 1)
             server.close()
             r.until(lambda: r.count("closed") == 1)
@@ -325,7 +344,7 @@
         while still < 50 or not all(flow.full for flow in flows(r)):
             r.turn()
             try:
-                sent, still = sent + server.sock.send(data[sent:sent + 65536]), 0
+                sent, still = sent + server.sock.send(data[sent : sent + 65536]), 0
             except BlockingIOError:
                 still += 1
         assert sent < len(data) and max(conn.ahead for conn in flows(r)) <= shares.MOST
@@ -335,7 +354,7 @@
         while seen < len(body):
             if sent < len(data):
                 try:
-                    sent += server.sock.send(data[sent:sent + 65536])
+                    sent += server.sock.send(data[sent : sent + 65536])
                 except BlockingIOError:
                     pass
             r.turn()
@@ -349,7 +368,7 @@
     body = noise(900_000)
     with rig() as r:
         client, server = asked(r)
-        ours, = r.daemon.north.clients
+        (ours,) = r.daemon.north.clients
         ours.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         data = H200 + b"Content-Length: %d\r\n\r\n" % len(body) + body
         sent = 0
@@ -359,7 +378,7 @@
                 sent += server.sock.send(data[sent:])
             except BlockingIOError:
                 pass
-        flow, = flows(r)
+        (flow,) = flows(r)
         while flow.ahead == shares.MOST:
             r.turn()
             client.seen += client.sock.recv(4096) if select.select([client.sock], [], [], 0)[0] else b""
@@ -398,9 +417,11 @@
 
 # Clients' bodies, over sockets.
 
+
 def post(size: int) -> bytes:
-    return (f"POST /a/1 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 4000m\r\n"
-            f"Content-Length: {size}\r\n\r\n").encode()
+    return (
+        f"POST /a/1 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 4000m\r\nContent-Length: {size}\r\n\r\n"
+    ).encode()
 
 
 def test_a_long_body_flows_and_its_time_begins_with_its_last_byte() -> None:
@@ -412,7 +433,7 @@
         gateway = r.daemon.ingress.gateway
         for n in range(1, 19):  # over three times what the client waits for its answer
             r.skip(0.7)
-            client.send(body[n * 100_000:(n + 1) * 100_000])
+            client.send(body[n * 100_000 : (n + 1) * 100_000])
         assert not gateway.servers["s-0"].out and r.daemon.metrics.classes["tries", "a"] == 0
         client.send(body[1_900_000:])
         r.until(lambda: r.daemon.metrics.classes["tries", "a"] == 1 or not server._more())
@@ -620,6 +641,7 @@
 
 # Kept in files.
 
+
 def spooled(path: str, most: int = 1 << 30) -> tuple[Body, list[str]]:
     errors = list[str]()
     account = Shares(TOTAL, Folder(path, most, errors.append))
@@ -631,7 +653,7 @@
     """In and taken, slice by slice."""
     taken = b""
     for at in range(0, len(data), 30_000):
-        body.put(data[at:at + 30_000])
+        body.put(data[at : at + 30_000])
         taken += b"".join(body.take())
     return taken
 
@@ -671,7 +693,8 @@
 
 @pytest.mark.parametrize("how", ["disk full", "short write", "account full", "no folder"])
 def test_a_file_that_cannot_take_it_is_the_next_lower_step_and_loses_nothing(
-        how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real, calls = os.pwrite, [0]
 
     def full(number: int, data: memoryview, at: int) -> int:
@@ -681,10 +704,12 @@
                 raise OSError(errno.ENOSPC, "No space left on device")
             return real(number, data[:100], at)
         return real(number, data, at)
+
     if how in ("disk full", "short write"):
         monkeypatch.setattr(os, "pwrite", full)
-    body, errors = spooled(str(tmp_path / "gone" if how == "no folder" else tmp_path),
-                           200_000 if how == "account full" else 1 << 30)
+    body, errors = spooled(
+        str(tmp_path / "gone" if how == "no folder" else tmp_path), 200_000 if how == "account full" else 1 << 30
+    )
     body.begin()
     data = noise(600_000)
     assert through(body, data) == data  # the attempt that is out goes on
@@ -714,7 +739,7 @@
         sent, first = 0, None
         while first is None or len(first.seen) < shares.KEPT_MOST + 100_000:
             if sent < shares.KEPT_MOST + 600_000:
-                client.send(body[sent:sent + 100_000])
+                client.send(body[sent : sent + 100_000])
                 sent += 100_000
             r.turn()
             if first is None:
@@ -733,10 +758,17 @@
         assert folder is not None and folder.used == 0
 
 
-@pytest.mark.parametrize(("told", "field"), [
-    ({"longest_mb": 0}, "bodies.longest_mb"), ({"longest_mb": "x"}, "bodies.longest_mb"),
-    ({"spool": 7}, "bodies.spool"), ({"spool_mb": 5}, "bodies.spool"),
-    ({"spool": "/x", "spool_mb": 0}, "bodies.spool_mb"), ({"most": 1}, "bodies.most")])
+@pytest.mark.parametrize(
+    ("told", "field"),
+    [
+        ({"longest_mb": 0}, "bodies.longest_mb"),
+        ({"longest_mb": "x"}, "bodies.longest_mb"),
+        ({"spool": 7}, "bodies.spool"),
+        ({"spool_mb": 5}, "bodies.spool"),
+        ({"spool": "/x", "spool_mb": 0}, "bodies.spool_mb"),
+        ({"most": 1}, "bodies.most"),
+    ],
+)
 def test_a_bad_setting_is_named(told: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
         decode({"bodies": told})
@@ -744,8 +776,10 @@
 
 # Many at once, as `python -m benchmarks.bodies` plays it in full.
 
+
 def test_a_short_trial_of_many_bodies_loses_none_and_spoils_none() -> None:
     from benchmarks.bodies import run
+
     report = run(4.0, 80, 3, rounds=1)
     assert (report["wrong"], report["lost"], report["cutOffForNothing"]) == (0, 0, 0), report
     assert report["outcomes"]["whole"] > 50 and report["outcomes"]["told as cut off"] > 0, report
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -66,8 +66,10 @@
     assert checked(tmp_path, other, PAGE.read_text(encoding="utf-8")) == 1
 
 
-@pytest.mark.parametrize(("what", "said"), [({"limit": None}, "no limit"), ({"says": ""}, "no limit"),
-                                            ({"mechanism": ""}, "neither a mechanism nor 'none'")])
+@pytest.mark.parametrize(
+    ("what", "said"),
+    [({"limit": None}, "no limit"), ({"says": ""}, "no limit"), ({"mechanism": ""}, "neither a mechanism nor 'none'")],
+)
 def test_a_row_that_lacks_something_is_found(raw: dict[str, Any], what: dict[str, Any], said: str) -> None:
     rows = [replace(ROWS[0], **what), *ROWS[1:]]
     assert any(said in line for line in faults(raw, text(raw, rows), rows))
@@ -84,8 +86,16 @@
     row["points"] = [{"n": n, "values": [180.0 * n] * 3} for n in (100, 400, 1000, 2900)]
     found = faults(other, text(other))
     assert found and all("list.bytes is stretched 4.1 times, no second source" in line for line in found)
-    other["source2"] = [*other["source2"], {"key": "list.bytes", "source": "counting", "n": SIZE["servers"],
-                                            "value": 2e6, "how": "an entry has 180 bytes"}]
+    other["source2"] = [
+        *other["source2"],
+        {
+            "key": "list.bytes",
+            "source": "counting",
+            "n": SIZE["servers"],
+            "value": 2e6,
+            "how": "an entry has 180 bytes",
+        },
+    ]
     assert faults(other, text(other)) == []
     near = copy.deepcopy(other)
     near["source2"][-1]["n"] = 2990.0  # stretched over four times itself
@@ -96,9 +106,15 @@
     assert "**stretched 4.1 times**; second source, counting" in text(other)
 
 
-@pytest.mark.parametrize(("form", "shape"), [
-    ("constant", lambda n: 40.0), ("n", lambda n: 3.0 + 0.2 * n), ("n squared", lambda n: 5.0 + 0.001 * n * n),
-    ("log n", lambda n: 2.0 + 7.0 * math.log(n))])
+@pytest.mark.parametrize(
+    ("form", "shape"),
+    [
+        ("constant", lambda n: 40.0),
+        ("n", lambda n: 3.0 + 0.2 * n),
+        ("n squared", lambda n: 5.0 + 0.001 * n * n),
+        ("log n", lambda n: 2.0 + 7.0 * math.log(n)),
+    ],
+)
 def test_the_fit_chooses_the_form_of_made_up_figures(form: str, shape: Callable[[float], float]) -> None:
     for seed in range(50):
         rng = random.Random(seed)
@@ -125,12 +141,19 @@
 
 
 def test_the_walk_is_by_the_fits_and_what_is_missing_from_the_start_comes_first(raw: dict[str, Any]) -> None:
-    rows = [made("half way", lambda at: at.ingresses, 465.0), made("never", lambda at: at.ingresses, 1000.0),
-            made("services", lambda at: at.services, 1.0, mechanism="none", counted=True),
-            made("missing", None, 14.0, mechanism="none", start=True), made("open", None, 1.0),
-            made("passed today", lambda at: at.servers, 50.0, "assumption"),
-            made("by a slope", lambda at: at.slope("list.bytes", at.servers),
-                 fitted(next(row for row in raw["slopes"] if row["key"] == "list.bytes")).at(6100))]
+    rows = [
+        made("half way", lambda at: at.ingresses, 465.0),
+        made("never", lambda at: at.ingresses, 1000.0),
+        made("services", lambda at: at.services, 1.0, mechanism="none", counted=True),
+        made("missing", None, 14.0, mechanism="none", start=True),
+        made("open", None, 1.0),
+        made("passed today", lambda at: at.servers, 50.0, "assumption"),
+        made(
+            "by a slope",
+            lambda at: at.slope("list.bytes", at.servers),
+            fitted(next(row for row in raw["slopes"] if row["key"] == "list.bytes")).at(6100),
+        ),
+    ]
     found = walk(rows, Measured(raw))
     assert [one.row.what for one in found] == ["missing", "passed today", "services", "half way", "by a slope"]
     assert [one.f for one in found] == pytest.approx([0.0, 0.0, 1 / 259, 0.5, 6040 / 11940], abs=1e-6)
@@ -151,7 +174,8 @@
     found = deciding(walk(ROWS, Measured(raw)))
     assert (found[0].row.role, found[0].row.part, found[0].row.mechanism) == (INGRESS, CONFIGURATION, "none")
     assert "[configuration]" in found[0].row.note and CONFIGURATION not in [
-        one.row.part for one in following(found, 20)]
+        one.row.part for one in following(found, 20)
+    ]
     rows = [row for row in ROWS if row.role == FLEET and row.part == CONFIGURATION]
     assert [row.limit for row in rows] == [5.0, 14.0, 14_000.0, 32.0, 14.0, 5.0]
     assert all(row.need is not None and row.mechanism != "none" for row in rows)
@@ -177,8 +201,19 @@
     write(tmp_path / "capacity.json", raw)
     (tmp_path / "scale.json").write_text(json.dumps(rows))
     for _ in range(2):  # the second time it replaces the first
-        assert main(["--take", str(tmp_path / "scale.json"), "--file", str(tmp_path / "capacity.json"),
-                     "--out", str(tmp_path / "CAPACITY.md")]) == 0
+        assert (
+            main(
+                [
+                    "--take",
+                    str(tmp_path / "scale.json"),
+                    "--file",
+                    str(tmp_path / "capacity.json"),
+                    "--out",
+                    str(tmp_path / "CAPACITY.md"),
+                ]
+            )
+            == 0
+        )
     told = read(tmp_path / "capacity.json")
     assert [row for row in told["source2"] if row["source"] == "hollow" and row["n"] == 890] == hollow(rows)
     assert checked(tmp_path, told, (tmp_path / "CAPACITY.md").read_text(encoding="utf-8")) == 0
@@ -190,21 +225,46 @@
         (tmp_path / "scale.json").write_text(json.dumps(rows))
         if not (tmp_path / "capacity.json").exists():
             write(tmp_path / "capacity.json", raw)
-        assert main(["--take", str(tmp_path / "scale.json"), "--file", str(tmp_path / "capacity.json"),
-                     "--out", str(tmp_path / "CAPACITY.md")]) == 0
+        assert (
+            main(
+                [
+                    "--take",
+                    str(tmp_path / "scale.json"),
+                    "--file",
+                    str(tmp_path / "capacity.json"),
+                    "--out",
+                    str(tmp_path / "CAPACITY.md"),
+                ]
+            )
+            == 0
+        )
     found = [(row["value"], row["how"]) for row in read(tmp_path / "capacity.json")["source2"] if row["n"] == 12001]
     assert found == [(3.1, "200 hollow"), (1.2, "400 hollow")]
 
 
 def test_the_report_of_a_hollow_run_is_read() -> None:
-    sent = {"ping": {"outMessages": 1.0, "outBytes": 85.0}, "sync": {"outMessages": 0.1, "outBytes": 240.0},
-            "carry_agree": {"outMessages": 1.0, "outBytes": 115.0}, "records": {"outMessages": 5.0, "outBytes": 1100.0}}
-    real = {"members": sent, "controlBytesASecond": 3597.1, "cpuPercent": {"median": 1.7},
-            "residentMb": {"median": 58.0}, "longestHoldMs": {"least": 248.0}}
+    sent = {
+        "ping": {"outMessages": 1.0, "outBytes": 85.0},
+        "sync": {"outMessages": 0.1, "outBytes": 240.0},
+        "carry_agree": {"outMessages": 1.0, "outBytes": 115.0},
+        "records": {"outMessages": 5.0, "outBytes": 1100.0},
+    }
+    real = {
+        "members": sent,
+        "controlBytesASecond": 3597.1,
+        "cpuPercent": {"median": 1.7},
+        "residentMb": {"median": 58.0},
+        "longestHoldMs": {"least": 248.0},
+    }
     report = {
-        "hollow": 100, "real": 4, "voters": 3, "servers": 12000, "seed": 1,
+        "hollow": 100,
+        "real": 4,
+        "voters": 3,
+        "servers": 12000,
+        "seed": 1,
         "calm": {"hollow": {"members": sent}, "real": real, "voter": {"members": sent}},
-        "times": {"agreedToAll": [{"most": 0.2}, {"most": 1.1}], "deathKnown": [], "readyReal": {"most": 1.8}}}
+        "times": {"agreedToAll": [{"most": 0.2}, {"most": 1.1}], "deathKnown": [], "readyReal": {"most": 1.8}},
+    }
     rows = {row["key"]: row for row in hollow(report)}
     assert (rows["members.bytes"]["n"], rows["members.bytes"]["value"]) == (107, 325.0)
     assert (rows["log.all"]["n"], rows["log.all"]["value"]) == (104, 1.1)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -33,9 +33,22 @@
 class Fleet:
     """So many processes before warm servers and some that start. All that varies is drawn from a seed."""
 
-    def __init__(self, seed: int, processes: int, load: float, told: int = 0, warm: int = 8, cold: int = 2,
-                 each: float = 6.0, restart: bool = False, shift: bool = False, fail: float = 0.0, late: float = 0.3,
-                 lose: int = 0, **more: Any) -> None:
+    def __init__(
+        self,
+        seed: int,
+        processes: int,
+        load: float,
+        told: int = 0,
+        warm: int = 8,
+        cold: int = 2,
+        each: float = 6.0,
+        restart: bool = False,
+        shift: bool = False,
+        fail: float = 0.0,
+        late: float = 0.3,
+        lose: int = 0,
+        **more: Any,
+    ) -> None:
         self.rng = random.Random(seed)
         more = {"cold_from": 0.1, "cold_time": 12.0, "fall_multiple": 1.5, "fall_time": 3.0, **more}
         self.s: Settings = settings(plans=[], counter=False, gateways=told or processes, **more)
@@ -95,8 +108,12 @@
         gateway, life = gateway or self.gateways[me], self.lives[me]
         for act in gateway.handle(self.at, event):
             if isinstance(act, SetTimer):
-                self.call(self.at + act.delay, lambda token=act.token: (  # type: ignore[misc]
-                    self.put(me, Timer(token)) if self.lives[me] == life else None))
+                self.call(
+                    self.at + act.delay,
+                    lambda token=act.token: (  # type: ignore[misc]
+                        self.put(me, Timer(token)) if self.lives[me] == life else None
+                    ),
+                )
             elif isinstance(act, Send):
                 self.sent(me, life, act, gateway.reqs[act.id].tries - 1)
             elif isinstance(act, Cancel):
@@ -119,6 +136,7 @@
         def end() -> None:
             if self.lives[me] == life:
                 self.put(me, Outcome(ident, server, attempt, status, self.at - began, closed=status == "ok"))
+
         self.call(began + after, end)
 
     def share(self, at: float) -> float:
@@ -146,17 +164,24 @@
 
 
 CASES: dict[str, dict[str, Any]] = {
-    "quiet": {"load": 0.5}, "pressed": {"load": 0.95}, "beyond": {"load": 1.5}, "thin": {"load": 0.1},
-    "small servers": {"load": 0.8, "each": 1.0}, "restarts": {"load": 0.8, "restart": True},
-    "shifts and failures": {"load": 0.8, "shift": True, "fail": 0.2}, "more than are told": {"load": 0.8, "told": 10},
-    "mostly cold": {"load": 0.7, "warm": 2, "cold": 8}, "long window": {"load": 0.9, "fall_time": 8.0},
-    "all cold": {"load": 0.7, "warm": 0, "cold": 6}, "all cold, restarts": {
-        "load": 0.7, "warm": 0, "cold": 6, "restart": True, "each": 1.0},
+    "quiet": {"load": 0.5},
+    "pressed": {"load": 0.95},
+    "beyond": {"load": 1.5},
+    "thin": {"load": 0.1},
+    "small servers": {"load": 0.8, "each": 1.0},
+    "restarts": {"load": 0.8, "restart": True},
+    "shifts and failures": {"load": 0.8, "shift": True, "fail": 0.2},
+    "more than are told": {"load": 0.8, "told": 10},
+    "mostly cold": {"load": 0.7, "warm": 2, "cold": 8},
+    "long window": {"load": 0.9, "fall_time": 8.0},
+    "all cold": {"load": 0.7, "warm": 0, "cold": 6},
+    "all cold, restarts": {"load": 0.7, "warm": 0, "cold": 6, "restart": True, "each": 1.0},
     "a zone is lost": {"load": 0.4, "warm": 40, "cold": 2, "lose": 36, "each": 1.5, "cold_time": 30.0},
-    "large servers": {"load": 0.95, "each": 30.0}, "large servers, shifts and restarts": {
-        "load": 0.95, "each": 30.0, "shift": True, "restart": True, "fail": 0.1},
-    "short window": {"load": 0.9, "fall_time": 1.0, "fall_multiple": 2.5}, "restarts late": {
-        "load": 0.9, "restart": True, "late": 5.0, "fail": 0.1}}
+    "large servers": {"load": 0.95, "each": 30.0},
+    "large servers, shifts and restarts": {"load": 0.95, "each": 30.0, "shift": True, "restart": True, "fail": 0.1},
+    "short window": {"load": 0.9, "fall_time": 1.0, "fall_multiple": 2.5},
+    "restarts late": {"load": 0.9, "restart": True, "late": 5.0, "fail": 0.1},
+}
 
 
 @pytest.mark.parametrize("processes", [20, 30])
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -38,31 +38,42 @@
 
 def content() -> Content:
     found = Content()
-    found.apply(Change(0, "ann", {"county": FIGURES, "school": Figures(1.0, 4.0)}, {7: "county", 9: "county"},
-                       {"discovery": "10.0.0.1:80"}))
+    found.apply(
+        Change(
+            0,
+            "ann",
+            {"county": FIGURES, "school": Figures(1.0, 4.0)},
+            {7: "county", 9: "county"},
+            {"discovery": "10.0.0.1:80"},
+        )
+    )
     return found
 
 
-@pytest.mark.parametrize(("change", "field", "text"), [
-    (Change(0, "", {"a": FIGURES}), "by", "who"),
-    (Change(0, "a", {"a": FIGURES}, note="x" * 201), "note", "201 characters"),
-    (Change(0, "a"), "plans", "no change"),
-    (Change(0, "a", {"": FIGURES}), "plans", "no plan's name"),
-    (Change(0, "a", {"a\nb": FIGURES}), "plans", "no plan's name"),
-    (Change(0, "a", {"a": Figures(-1.0, 2.0)}), "plans.a.rate", "-1.0"),
-    (Change(0, "a", {"a": Figures(inf, 2.0)}), "plans.a.rate", "inf"),
-    (Change(0, "a", {"a": Figures(5.0, 0.0)}), "plans.a.figures", "burst"),
-    (Change(0, "a", {"a": Figures(5.0, 1.0, ceiling_rate=2.0)}), "plans.a.figures", "ceiling_burst"),
-    (Change(0, "a", {"county": None}), "plans.county", "2 firms are on it"),
-    (Change(0, "a", {"county": None}, {7: "school"}), "plans.county", "1 firms are on it"),
-    (Change(0, "a", {"school": None}, {7: "school"}), "firms.0000000000000007", "no plan 'school'"),
-    (Change(0, "a", {}, {7: "nowhere"}), "firms.0000000000000007", "no plan 'nowhere'"),
-    (Change(0, "a", {}, {1 << 33: "county"}), "firms", "no firm"),
-    (Change(0, "a", {}, {-1: "county"}), "firms", "no firm"),
-    (Change(0, "a", {}, {}, {"billing": "10.0.0.1:80"}), "addresses.billing", "no such entry"),
-    (Change(0, "a", {}, {}, {"counter": "here"}), "addresses.counter", "'here' is no address:port"),
-    (Change(0, "a", {}, {}, {"counter": "10.0.0.1:0"}), "addresses.counter", "no address:port"),
-    (Change(0, "a", {}, {firm: "county" for firm in range(20_000)}), "firms", "make several of it")])
+@pytest.mark.parametrize(
+    ("change", "field", "text"),
+    [
+        (Change(0, "", {"a": FIGURES}), "by", "who"),
+        (Change(0, "a", {"a": FIGURES}, note="x" * 201), "note", "201 characters"),
+        (Change(0, "a"), "plans", "no change"),
+        (Change(0, "a", {"": FIGURES}), "plans", "no plan's name"),
+        (Change(0, "a", {"a\nb": FIGURES}), "plans", "no plan's name"),
+        (Change(0, "a", {"a": Figures(-1.0, 2.0)}), "plans.a.rate", "-1.0"),
+        (Change(0, "a", {"a": Figures(inf, 2.0)}), "plans.a.rate", "inf"),
+        (Change(0, "a", {"a": Figures(5.0, 0.0)}), "plans.a.figures", "burst"),
+        (Change(0, "a", {"a": Figures(5.0, 1.0, ceiling_rate=2.0)}), "plans.a.figures", "ceiling_burst"),
+        (Change(0, "a", {"county": None}), "plans.county", "2 firms are on it"),
+        (Change(0, "a", {"county": None}, {7: "school"}), "plans.county", "1 firms are on it"),
+        (Change(0, "a", {"school": None}, {7: "school"}), "firms.0000000000000007", "no plan 'school'"),
+        (Change(0, "a", {}, {7: "nowhere"}), "firms.0000000000000007", "no plan 'nowhere'"),
+        (Change(0, "a", {}, {1 << 33: "county"}), "firms", "no firm"),
+        (Change(0, "a", {}, {-1: "county"}), "firms", "no firm"),
+        (Change(0, "a", {}, {}, {"billing": "10.0.0.1:80"}), "addresses.billing", "no such entry"),
+        (Change(0, "a", {}, {}, {"counter": "here"}), "addresses.counter", "'here' is no address:port"),
+        (Change(0, "a", {}, {}, {"counter": "10.0.0.1:0"}), "addresses.counter", "no address:port"),
+        (Change(0, "a", {}, {firm: "county" for firm in range(20_000)}), "firms", "make several of it"),
+    ],
+)
 def test_a_change_that_makes_no_sense_is_one_line_that_names_the_field(change: Change, field: str, text: str) -> None:
     held = content()
     before = pack(held)
@@ -129,10 +140,16 @@
     change = Change(1, "ann", {"a": Figures(1.0, 1.0)})
     good = pack_change(change, "f")
     older = encoded(Envelope(FORMAT - 1, "f", mark_of(b"f", encoded(change)), encoded(change)))
-    for data, cause in ((good[:-1], "torn"), (good[:-9] + bytes((good[-9] ^ 1,)) + good[-8:], "torn"), (b"", "torn"),
-                        (seal(b"\xc1", "f"), "torn"), (good + b"x" * 60_000, "oversized"),
-                        (pack_change(change, "g"), "other_fleet"), (older, "other_format"),
-                        (pack_change(Change(1, "a", {}, {1: "x"}), "f"), "unfit")):
+    for data, cause in (
+        (good[:-1], "torn"),
+        (good[:-9] + bytes((good[-9] ^ 1,)) + good[-8:], "torn"),
+        (b"", "torn"),
+        (seal(b"\xc1", "f"), "torn"),
+        (good + b"x" * 60_000, "oversized"),
+        (pack_change(change, "g"), "other_fleet"),
+        (older, "other_format"),
+        (pack_change(Change(1, "a", {}, {1: "x"}), "f"), "unfit"),
+    ):
         counted = log.counts.get(cause, 0)
         assert "error" in log.apply(9.0, data)
         assert log.counts[cause] == counted + 1 and log.dump() == before
@@ -194,6 +211,7 @@
 
 def test_firms_that_unpack_to_more_than_was_said_are_refused() -> None:
     import zlib
+
     bomb = zlib.compress(b"\0" * 40_000_000)
     for count in (3, 1 << 40, -1):
         with pytest.raises(ValueError):
@@ -278,8 +296,11 @@
     assert roll.status(60.0) == {"byRevision": {"3": 1, "4": 2}, "silent": 0, "silentNamed": []}
     roll.gone(70.0, "n2@1", left=False)
     roll.gone(70.0, "n1@1", left=True)
-    assert roll.status(90.0) == {"byRevision": {"4": 1}, "silent": 1, "silentNamed": [
-        {"name": "n2", "revision": 3, "silentS": 20.0, "revisionAgeS": 40.0}]}
+    assert roll.status(90.0) == {
+        "byRevision": {"4": 1},
+        "silent": 1,
+        "silentNamed": [{"name": "n2", "revision": 3, "silentS": 20.0, "revisionAgeS": 40.0}],
+    }
     roll.told("n2@2", pack_row("n2", 4, b"abcdefgh", 95.0, 94.0))  # its next life
     roll.told("n2@1", pack_row("n2", 3, b"abcdefgh", 50.0, 49.0))  # the old one's word, from who was cut off
     roll.gone(96.0, "n2@1", left=False)  # the old one is forgotten late: it says nothing of the new one
@@ -328,8 +349,13 @@
             change = unpack_change(body, self.fleet)
         except WireError:
             return before(self, at, body)
-        return before(self, at, pack_change(Change(self.number, change.by, change.plans, change.firms,
-                                                   change.addresses, change.note), self.fleet))
+        return before(
+            self,
+            at,
+            pack_change(
+                Change(self.number, change.by, change.plans, change.firms, change.addresses, change.note), self.fleet
+            ),
+        )
 
     def way_back(self: Revisions, number: int, by: str) -> Change:
         if number + 2 > self.number:
@@ -350,6 +376,7 @@
         before(self, dumped)
         if dumped:
             self.content = held
+
     planted = {"apply": apply, "way_back": way_back, "_take": take, "touched": touched, "load": load}
     monkeypatch.setattr(owner, member, planted[member])
     assert any(run(seed)["broken"] for seed in range(12))
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -21,18 +21,22 @@
 AGREED = {"members": MEMBERS, "consensus": {"voters": {"a": "127.0.0.1:9301"}}}
 
 
-@pytest.mark.parametrize(("raw", "said"), [
-    ({"configuration": {}}, "configuration: needs [consensus]"),
-    ({"members": MEMBERS, "configuration": {}}, "configuration: needs [consensus]"),
-    ({**AGREED, "configuration": {}, "plans": {"snapshot": "p"}}, "configuration: not with [plans]"),
-    ({**AGREED, "configuration": {"most_entries": 0}}, "configuration.most_entries: 0"),
-    ({**AGREED, "configuration": {"most_entries": 100_001}}, "configuration.most_entries: 100001"),
-    ({**AGREED, "configuration": {"most_kb": 185}}, "configuration.most_kb: 185"),
-    ({**AGREED, "configuration": {"change_kb": 13}}, "configuration.change_kb: 13"),
-    ({**AGREED, "configuration": {"most_kb": 8}}, "configuration.change_kb: 12 is over configuration.most_kb, 8"),
-    ({**AGREED, "configuration": {"path": ""}}, "configuration.path: ''"),
-    ({**AGREED, "configuration": {"snapshot": "x"}}, "configuration.snapshot: no such setting"),
-    ({**AGREED, "configuration": 5}, "configuration: not a table")])
+@pytest.mark.parametrize(
+    ("raw", "said"),
+    [
+        ({"configuration": {}}, "configuration: needs [consensus]"),
+        ({"members": MEMBERS, "configuration": {}}, "configuration: needs [consensus]"),
+        ({**AGREED, "configuration": {}, "plans": {"snapshot": "p"}}, "configuration: not with [plans]"),
+        ({**AGREED, "configuration": {"most_entries": 0}}, "configuration.most_entries: 0"),
+        ({**AGREED, "configuration": {"most_entries": 100_001}}, "configuration.most_entries: 100001"),
+        ({**AGREED, "configuration": {"most_kb": 185}}, "configuration.most_kb: 185"),
+        ({**AGREED, "configuration": {"change_kb": 13}}, "configuration.change_kb: 13"),
+        ({**AGREED, "configuration": {"most_kb": 8}}, "configuration.change_kb: 12 is over configuration.most_kb, 8"),
+        ({**AGREED, "configuration": {"path": ""}}, "configuration.path: ''"),
+        ({**AGREED, "configuration": {"snapshot": "x"}}, "configuration.snapshot: no such setting"),
+        ({**AGREED, "configuration": 5}, "configuration: not a table"),
+    ],
+)
 def test_a_wrong_setting_is_one_line_that_names_the_field(raw: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError) as error:
         decode(raw)
@@ -55,9 +59,13 @@
     consensus: dict[str, Any] = {"voters": {"n0": at} if voter else {"elsewhere": f"127.0.0.1:{other}"}}
     if voter:
         consensus["path"] = f"{tmp_path}/log"
-    return {"control": {"listen": f"unix:{tmp_path}/c"}, "consensus": consensus,
-            "members": {"fleet": "f", "listen": at, "keys": str(keys)},
-            "configuration": {"path": f"{tmp_path}/copy"}, **more}
+    return {
+        "control": {"listen": f"unix:{tmp_path}/c"},
+        "consensus": consensus,
+        "members": {"fleet": "f", "listen": at, "keys": str(keys)},
+        "configuration": {"path": f"{tmp_path}/copy"},
+        **more,
+    }
 
 
 def change(r: Rig, path: Path, base: int, status: int = 200, **more: Any) -> Any:
@@ -68,14 +76,18 @@
 
 def knows(r: Rig) -> None:
     """An election takes seconds, which the clock is moved on by."""
+
     def known() -> bool:
         r.skip(0.05)
         return bool(r.daemon.configuration.knows())
+
     r.until(known)
 
 
 BAD: list[tuple[dict[str, Any], str]] = [
-    ({}, "by"), ({"by": "ann"}, "plans"), ({"by": "ann", "who": "x"}, "who"),
+    ({}, "by"),
+    ({"by": "ann"}, "plans"),
+    ({"by": "ann", "who": "x"}, "who"),
     ({"by": "ann", "plans": {"p": {"rate": 1.0}}}, "plans.p.burst"),
     ({"by": "ann", "plans": {"p": {"rate": "x", "burst": 1.0}}}, "plans.p.rate"),
     ({"by": "ann", "plans": {"p": {"rate": -1.0, "burst": 1.0}}}, "plans.p.rate"),
@@ -84,7 +96,8 @@
     ({"by": "ann", "firms": {"7": "p", "007": "p"}}, "firms"),
     ({"by": "ann", "firms": {"7": "p"}}, "firms.0000000000000007"),  # of the file, not of the configuration
     ({"by": "ann", "addresses": {"discovery": "10.0.0.1:80"}}, "addresses.discovery"),  # the rig has none
-    ({"by": "ann", "addresses": {"billing": "10.0.0.1:80"}}, "addresses.billing")]
+    ({"by": "ann", "addresses": {"billing": "10.0.0.1:80"}}, "addresses.billing"),
+]
 
 
 def test_what_is_wrong_is_told_before_it_is_proposed(tmp_path: Path) -> None:
@@ -118,9 +131,14 @@
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "before"}
         assert change(r, tmp_path, 0, 409, plans={"big": FIGURES})["error"]["field"] == "base"
         assert change(r, tmp_path, 1, 400, plans={"big": None})["error"] == {
-            "field": "plans.big", "text": "1 firms are on it"}
+            "field": "plans.big",
+            "text": "1 firms are on it",
+        }
         assert call(r, tmp_path, "GET", f"/v1/configuration/firms/{FIRM}")[1] == {
-            "firm": FIRM, "plan": "big", "revision": 1}
+            "firm": FIRM,
+            "plan": "big",
+            "revision": 1,
+        }
         shown = call(r, tmp_path, "GET", "/v1/status")[1]["configuration"]
         assert (shown["revision"], shown["inLog"], shown["from"], shown["firms"]) == (1, 1, "log", 1)
         r.until(lambda: r.daemon.configuration.status()["byRevision"] == {"1": 1})
@@ -128,12 +146,16 @@
         assert (code, answer["error"]["field"]) == (400, "to")
         for taken in ("now", "before"):  # asked twice
             assert call(r, tmp_path, "POST", "/v1/configuration/revert", {"to": 0, "by": "bob"}) == (
-                200, {"revision": 2, "taken": taken})
+                200,
+                {"revision": 2, "taken": taken},
+            )
         assert gateway.plans["p"].rate == 5.0  # the file's again
         assert r.daemon.configuration.plan_of(1, "big") == ("", 2)  # a plan that went is none
         rows = call(r, tmp_path, "GET", "/v1/configuration/history")[1]["revisions"]
         assert [(row["revision"], row["by"], row["note"]) for row in rows] == [
-            (1, "ann", ""), (2, "bob", "back to revision 0")]
+            (1, "ann", ""),
+            (2, "bob", "back to revision 0"),
+        ]
         assert change(r, tmp_path, 2, firms={FIRM: "big"}, plans={"big": FIGURES})["revision"] == 3
     with rig(operator=told) as r:  # the next life: by its own disk before anything is agreed
         assert r.daemon.configuration.force.number == 3 and r.daemon.configuration.force.source == "copy"
@@ -153,8 +175,11 @@
         agreement = r.daemon.agreement.agreement
         assert agreement is not None and agreement.node is not None
         for number, body in enumerate((b"torn", b"x" * 40_000)):
-            agreement._do(agreement.node.propose(r.daemon.clock(), encode(
-                Command("another", number + 1, "configuration", body)))[1])
+            agreement._do(
+                agreement.node.propose(r.daemon.clock(), encode(Command("another", number + 1, "configuration", body)))[
+                    1
+                ]
+            )
         r.until(lambda: r.count("configuration_oversized") == 1)
         assert r.count("configuration_torn") == 1 and r.daemon.configuration.force.number == 1
 
@@ -167,8 +192,9 @@
         assert r.daemon.ready() and serve(r, 1) == 200
         status = r.daemon.configuration.status()
         assert status["revision"] == 0 and status["logSilentS"] >= 8.5
-        later = r.daemon.control.routes.answer("POST", "/v1/configuration",
-                                               b'{"base":0,"by":"a","plans":{"p":{"rate":1,"burst":1}}}')
+        later = r.daemon.control.routes.answer(
+            "POST", "/v1/configuration", b'{"base":0,"by":"a","plans":{"p":{"rate":1,"burst":1}}}'
+        )
         r.skip(4.1)
         r.until(lambda: later.reply is not None)
         assert later.reply.status == 503 and r.daemon.configuration.force.number == 0
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -59,12 +59,24 @@
     return Entry(index, term, "op", data)
 
 
-@pytest.mark.parametrize(("state", "event", "role"), [
-    ("follower", "time", "asking"), ("follower", "term", "follower"), ("asking", "time", "asking"),
-    ("asking", "term", "follower"), ("asking", "majority", "candidate"), ("asking", "leader", "follower"),
-    ("candidate", "time", "asking"), ("candidate", "term", "follower"), ("candidate", "majority", "leader"),
-    ("candidate", "leader", "follower"), ("leader", "time", "leader"), ("leader", "term", "follower"),
-    ("leader", "alone", "follower")])
+@pytest.mark.parametrize(
+    ("state", "event", "role"),
+    [
+        ("follower", "time", "asking"),
+        ("follower", "term", "follower"),
+        ("asking", "time", "asking"),
+        ("asking", "term", "follower"),
+        ("asking", "majority", "candidate"),
+        ("asking", "leader", "follower"),
+        ("candidate", "time", "asking"),
+        ("candidate", "term", "follower"),
+        ("candidate", "majority", "leader"),
+        ("candidate", "leader", "follower"),
+        ("leader", "time", "leader"),
+        ("leader", "term", "follower"),
+        ("leader", "alone", "follower"),
+    ],
+)
 def test_the_table_of_who_leads(state: str, event: str, role: str) -> None:
     n = node()
     if state != "follower":
@@ -210,7 +222,7 @@
     assert not a.config.voters
     effects = a.receive(100.0, "c", Here(a.nonce, 77, True, 0, 0, 0))
     assert a.config.voters == SEATS and a.proved and isinstance(effects[0], Store)
-    found, = to(effects, "b")
+    (found,) = to(effects, "b")
     assert isinstance(found, Found) and found.nonces == {"b": b.nonce, "c": 77}
     later = fresh("b", 3)
     later.receive(100.0, "a", found)
@@ -221,7 +233,8 @@
 
 @pytest.mark.parametrize(("beyond", "founds"), [((1, 1), True), ((2, 1), False), ((1, 2), False)])
 def test_one_that_missed_the_founding_joins_it_only_while_nobody_is_beyond_it(
-        beyond: tuple[int, int], founds: bool) -> None:
+    beyond: tuple[int, int], founds: bool
+) -> None:
     b = fresh("b", 2)
     b.receive(100.0, "a", Here(b.nonce, 0, False, *beyond, 1))
     b.receive(100.0, "c", Here(b.nonce, 9, True, 0, 0, 0))
@@ -251,6 +264,7 @@
 def test_a_store_holds_what_it_was_given_and_knows_an_older_copy_of_itself(tmp_path: Path) -> None:
     def opened() -> LogStore:
         return LogStore(str(tmp_path / "log"), str(tmp_path / "seal"), "a")
+
     store = opened()
     assert store.load()[0] == Kept()
     assert store.store(Store(1, NOBODY, False, (0, 0), 2, (), BASE))
@@ -326,7 +340,8 @@
     machine.restore(Snapshot(1, 1, BASE.config, old.dump()))
     assert machine.parts["register"].dump()[1] == 1
     assert old.apply(Entry(2, 1, "op", encode(Command("me", 2, "register", b"x")))).answer == {  # type: ignore
-        "error": "no part register"}
+        "error": "no part register"
+    }
 
 
 def test_a_follower_asks_again_for_what_was_lost_and_another_voter_where_nothing_comes() -> None:
@@ -372,8 +387,16 @@
 def test_the_same_seed_is_the_same_run_in_another_process() -> None:
     """The order of a set of names differs from process to process: a leader wrote to its peers in that order."""
     code = "from brackenpulley.simulation.voters import run; print(run(5, 8.0, traced=True).trace)"
-    found = {subprocess.run([sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": str(seed)},
-                            capture_output=True, text=True, check=True).stdout for seed in (1, 2, 3)}
+    found = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            env={**os.environ, "PYTHONHASHSEED": str(seed)},
+            capture_output=True,
+            text=True,
+            check=True,
+        ).stdout
+        for seed in (1, 2, 3)
+    }
     assert len(found) == 1
 
 
@@ -406,9 +429,16 @@
     assert sorted(took)[7] < 3.0
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("x kill a", "line 1: 'x' is no time in s"), ("1 fly a", "line 1: no fly"), ("\n1 kill", "line 2: kill takes 1"),
-    ("1 start a gone", "line 1: 'gone' is none of"), ("1 loss * much", "line 1: 'much' is no number")])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("x kill a", "line 1: 'x' is no time in s"),
+        ("1 fly a", "line 1: no fly"),
+        ("\n1 kill", "line 2: kill takes 1"),
+        ("1 start a gone", "line 1: 'gone' is none of"),
+        ("1 loss * much", "line 1: 'much' is no number"),
+    ],
+)
 def test_a_script_names_the_line_that_is_wrong(text: str, said: str) -> None:
     with pytest.raises(ScriptError, match=said):
         parse(text)
