--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,9 +22,13 @@
 
 
 def operator(tmp_path: Path, **more: Any) -> dict[str, Any]:
-    return {"control": {"listen": f"unix:{tmp_path}/c"}, "plans": {"snapshot": f"{tmp_path}/plans"},
-            "reservations": {"grant_s": 2.0}, "ledger": {"path": f"{tmp_path}/ledger", "period_s": 1.0, "grace_s": 0.0},
-            **more}
+    return {
+        "control": {"listen": f"unix:{tmp_path}/c"},
+        "plans": {"snapshot": f"{tmp_path}/plans"},
+        "reservations": {"grant_s": 2.0},
+        "ledger": {"path": f"{tmp_path}/ledger", "period_s": 1.0, "grace_s": 0.0},
+        **more,
+    }
 
 
 def call(r: Rig, path: Path, method: str, target: str, body: Any = None, raw: bytes | None = None) -> tuple[int, Any]:
@@ -40,7 +44,7 @@
         nonlocal send, got
         try:
             if send:
-                send = send[sock.send(send):]
+                send = send[sock.send(send) :]
         except BlockingIOError:
             pass
         try:
@@ -62,14 +66,21 @@
 
 
 BAD = [
-    (b"", 400, "body"), (b"[]", 400, "body"), (b"{", 400, "body"), (b"\xff", 400, "body"), (b"[" * 60_000, 400, "body"),
-    (b'{"kind":"move"}', 400, "revision"), (b'{"revision":1,"kind":"drop","at":1}', 400, "kind"),
+    (b"", 400, "body"),
+    (b"[]", 400, "body"),
+    (b"{", 400, "body"),
+    (b"\xff", 400, "body"),
+    (b"[" * 60_000, 400, "body"),
+    (b'{"kind":"move"}', 400, "revision"),
+    (b'{"revision":1,"kind":"drop","at":1}', 400, "kind"),
     (b'{"revision":"1","kind":"move","at":1}', 400, "revision"),
     (b'{"revision":1,"kind":"move","at":NaN}', 400, "body"),
     (b'{"revision":1,"kind":"move","at":1,"who":"me"}', 400, "who"),
     (b'{"revision":1,"kind":"set","at":1,"figures":{"rate":"x","burst":1}}', 400, "figures.rate"),
     (b'{"revision":1,"kind":"set","at":1,"figures":{"rate":1}}', 400, "figures.burst"),
-    (b'{"revision":1,"kind":"move","at":1e999}', 400, "at"), (b"x" * 10_000_000, 413, "body")]
+    (b'{"revision":1,"kind":"move","at":1e999}', 400, "at"),
+    (b"x" * 10_000_000, 413, "body"),
+]
 
 
 @pytest.mark.parametrize(("body", "status", "field"), BAD, ids=[f"{n}" for n in range(len(BAD))])
@@ -80,11 +91,20 @@
         assert r.daemon.plans.book.revision == 0 and not (tmp_path / "plans").exists()
 
 
-@pytest.mark.parametrize(("method", "target", "status", "field"), [
-    ("GET", "/v1/nothing", 404, "path"), ("DELETE", "/v1/plans", 405, "method"), ("GET", "/v1/plans/gold", 404, "plan"),
-    ("GET", "/v1/firms/zz", 400, "firm"), ("GET", "/v1/plans?when=soon", 400, "when"),
-    ("GET", "/v1/changes?most=0", 400, "most"), ("GET", "/v1/reservations/r", 404, "id"),
-    ("POST", "/v1/reservations/r/release", 404, "id"), ("GET", "/v1/ledger/entries?from=0", 400, "from")])
+@pytest.mark.parametrize(
+    ("method", "target", "status", "field"),
+    [
+        ("GET", "/v1/nothing", 404, "path"),
+        ("DELETE", "/v1/plans", 405, "method"),
+        ("GET", "/v1/plans/gold", 404, "plan"),
+        ("GET", "/v1/firms/zz", 400, "firm"),
+        ("GET", "/v1/plans?when=soon", 400, "when"),
+        ("GET", "/v1/changes?most=0", 400, "most"),
+        ("GET", "/v1/reservations/r", 404, "id"),
+        ("POST", "/v1/reservations/r/release", 404, "id"),
+        ("GET", "/v1/ledger/entries?from=0", 400, "from"),
+    ],
+)
 def test_wrong_paths_and_arguments(tmp_path: Path, method: str, target: str, status: int, field: str) -> None:
     with rig(operator=operator(tmp_path)) as r:
         code, told = call(r, tmp_path, method, target)
@@ -100,8 +120,16 @@
         code, told = call(r, tmp_path, "POST", "/v1/changes", change(r, note="another operator"))
         assert code == 409 and told["error"]["text"] == "1 is another change; the next is 2"
         figures = {"rate": 5.0, "burst": 5.0}
-        assert call(r, tmp_path, "POST", "/v1/changes", change(r, revision=2, kind="set", firm="", plan="new",
-                                                               figures=figures))[0] == 201
+        assert (
+            call(
+                r,
+                tmp_path,
+                "POST",
+                "/v1/changes",
+                change(r, revision=2, kind="set", firm="", plan="new", figures=figures),
+            )[0]
+            == 201
+        )
         assert r.daemon.ingress.gateway.plans["new"].rate == 5.0
     with rig(operator=operator(tmp_path)) as r:  # the next life
         assert call(r, tmp_path, "GET", "/v1/plans")[1]["revision"] == 2
@@ -156,8 +184,16 @@
 def test_commit_release_and_end_of_a_reservation_reach_store_and_ledger(tmp_path: Path) -> None:
     with rig(operator=operator(tmp_path)) as r:
         for n in range(3):
-            assert call(r, tmp_path, "POST", "/v1/reservations", {"id": f"r{n}", "firm": FIRM, "units": 2.0,
-                                                                  "lifetime": 5.0, "plan": "p"})[0] == 201
+            assert (
+                call(
+                    r,
+                    tmp_path,
+                    "POST",
+                    "/v1/reservations",
+                    {"id": f"r{n}", "firm": FIRM, "units": 2.0, "lifetime": 5.0, "plan": "p"},
+                )[0]
+                == 201
+            )
         full = r.daemon.ingress.gateway.customers[1].level
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[1]["charged"] == 1.0
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[0] == 200
@@ -167,8 +203,13 @@
         assert call(r, tmp_path, "POST", "/v1/reservations/r2/commit", {"units": 1.0})[0] == 410
         assert call(r, tmp_path, "GET", "/v1/reservations")[1]["held"] == 0
         assert r.daemon.ledger.tally.heads.counted == 1_000_000
-        code, told = call(r, tmp_path, "POST", "/v1/reservations", {"id": "x", "firm": FIRM, "units": 9.0,
-                                                                    "lifetime": 5.0, "plan": "p"})
+        code, told = call(
+            r,
+            tmp_path,
+            "POST",
+            "/v1/reservations",
+            {"id": "x", "firm": FIRM, "units": 9.0, "lifetime": 5.0, "plan": "p"},
+        )
         assert code == 400 and told["error"]["field"] == "units"
 
 
@@ -210,13 +251,21 @@
         Rig(operator=operator(tmp_path, ledger={"path": f"{tmp_path}/third"}))
 
 
-@pytest.mark.parametrize(("table", "said"), [
-    ({"control": {"listen": "10.0.0.1:1"}}, "control.listen"), ({"control": {"listen": "unix:c"}}, "control.listen"),
-    ({"plans": {}}, "plans.snapshot"), ({"plans": {"snapshot": "x", "y": 1}}, "plans.y"),
-    ({"ledger": {"path": "x", "sync_s": -1}}, "ledger.sync_s"), ({"ledger": {"path": "x", "period_s": True}}, "ledger"),
-    ({"ledger": {"path": "x", "on_failure": "stop"}}, "ledger.on_failure"),
-    ({"ledger": {"path": "x", "export": {"url": "https://1.1.1.1:1/"}}}, "ledger.export.url"),
-    ({"reservations": {"most": 0}}, "reservations.most"), ({"leases": {"ahead_s": float("nan")}}, "leases.ahead_s")])
+@pytest.mark.parametrize(
+    ("table", "said"),
+    [
+        ({"control": {"listen": "10.0.0.1:1"}}, "control.listen"),
+        ({"control": {"listen": "unix:c"}}, "control.listen"),
+        ({"plans": {}}, "plans.snapshot"),
+        ({"plans": {"snapshot": "x", "y": 1}}, "plans.y"),
+        ({"ledger": {"path": "x", "sync_s": -1}}, "ledger.sync_s"),
+        ({"ledger": {"path": "x", "period_s": True}}, "ledger"),
+        ({"ledger": {"path": "x", "on_failure": "stop"}}, "ledger.on_failure"),
+        ({"ledger": {"path": "x", "export": {"url": "https://1.1.1.1:1/"}}}, "ledger.export.url"),
+        ({"reservations": {"most": 0}}, "reservations.most"),
+        ({"leases": {"ahead_s": float("nan")}}, "leases.ahead_s"),
+    ],
+)
 def test_the_operators_file_is_checked(table: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError, match=f"^{said}"):
         operator_of(table)
@@ -224,8 +273,12 @@
 
 def test_the_commands_speak_to_a_daemon(tmp_path: Path) -> None:
     def run(r: Rig, *words: str) -> tuple[int, str, str]:
-        process = subprocess.Popen([sys.executable, "-m", "brackenpulley", *words, "--control", f"unix:{tmp_path}/c"],
-                                   stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "brackenpulley", *words, "--control", f"unix:{tmp_path}/c"],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         r.until(lambda: process.poll() is not None)
         out, err = process.communicate()
         return process.returncode, out, err
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -113,6 +113,7 @@
         if isinstance(event, kind):
             raise RuntimeError("no")
         return handle(now, event)
+
     ingress.gateway.handle = failing  # type: ignore[method-assign]
     ask(ports, ingress)
     for done in ports.ends:
@@ -127,8 +128,20 @@
     assert [a.status for a in ports.answers] == [500]
 
 
-@pytest.mark.parametrize(("text", "seconds"), [("480m", 0.48), ("2500u", 0.0025), ("99999999999S", 3600.0), ("", None),
-                                               ("m", None), ("1.5m", None), ("-1m", None), ("5x", None), ("٣m", None)])
+@pytest.mark.parametrize(
+    ("text", "seconds"),
+    [
+        ("480m", 0.48),
+        ("2500u", 0.0025),
+        ("99999999999S", 3600.0),
+        ("", None),
+        ("m", None),
+        ("1.5m", None),
+        ("-1m", None),
+        ("5x", None),
+        ("٣m", None),
+    ],
+)
 def test_durations(text: str, seconds: float | None) -> None:
     if seconds is None:
         with pytest.raises(MessageError):
@@ -137,10 +150,19 @@
         assert duration(text) == pytest.approx(seconds)
 
 
-@pytest.mark.parametrize(("text", "found"), [
-    ("units=2,spread=3,first=1", (2.0, 3, 1)), (" first=1, units=8 ", (8.0, 1, 1)), ("", (1.0, 1, 0)),
-    ("new=x,units=4", (4.0, 1, 0)), ("spread=0", (1.0, 0, 0)), ("units=1,units=2", None),
-    ("units=", None), ("units=1e9", None)])
+@pytest.mark.parametrize(
+    ("text", "found"),
+    [
+        ("units=2,spread=3,first=1", (2.0, 3, 1)),
+        (" first=1, units=8 ", (8.0, 1, 1)),
+        ("", (1.0, 1, 0)),
+        ("new=x,units=4", (4.0, 1, 0)),
+        ("spread=0", (1.0, 0, 0)),
+        ("units=1,units=2", None),
+        ("units=", None),
+        ("units=1e9", None),
+    ],
+)
 def test_weights(text: str, found: Any) -> None:
     if found is None:
         with pytest.raises(MessageError):
@@ -149,10 +171,18 @@
         assert weight(text) == found
 
 
-@pytest.mark.parametrize(("path", "customer"), [
-    ("/check/00000000b4d65521", 0xB4D65521), ("/check/x/00000001ffffffff?a=/b", 0x1FFFFFFFF),
-    ("/check/0000000200000000", -1),
-    ("/", -1), ("/check/-1", -1), ("/check/0x1", -1), ("/check/1_0", -1)])
+@pytest.mark.parametrize(
+    ("path", "customer"),
+    [
+        ("/check/00000000b4d65521", 0xB4D65521),
+        ("/check/x/00000001ffffffff?a=/b", 0x1FFFFFFFF),
+        ("/check/0000000200000000", -1),
+        ("/", -1),
+        ("/check/-1", -1),
+        ("/check/0x1", -1),
+        ("/check/1_0", -1),
+    ],
+)
 def test_customers(path: str, customer: int) -> None:
     headers = {"x-request-id": "1", "x-timeout": "480m"}
     if customer < 0:
@@ -201,8 +231,12 @@
         return Handle(lambda: self.verdicts.pop(message.id, None))
 
     # What happens.
-    @rule(cls=st.sampled_from(["check", "push", "blast"]), left=st.sampled_from([0.0, 3.0, 9.0, 9.0]),
-          asked=st.booleans(), units=st.integers(1, 3))
+    @rule(
+        cls=st.sampled_from(["check", "push", "blast"]),
+        left=st.sampled_from([0.0, 3.0, 9.0, 9.0]),
+        asked=st.booleans(),
+        units=st.integers(1, 3),
+    )
     def message(self, cls: str, left: float, asked: bool, units: int) -> None:
         self.serial += 1
         rid = str(self.serial)
@@ -220,11 +254,12 @@
             self.ingress.fail_open = open_
             self.verdicts.pop(sorted(self.verdicts)[pick % len(self.verdicts)])(Verdict(kind, 403))
 
-    @rule(pick=st.integers(0, 99),
-          status=st.sampled_from(["ok", "error", "full", "reset", "connect_failed", "granted"]))
+    @rule(
+        pick=st.integers(0, 99), status=st.sampled_from(["ok", "error", "full", "reset", "connect_failed", "granted"])
+    )
     def end(self, pick: int, status: str) -> None:
         if self.out:
-            done, = self.out.pop(sorted(self.out)[pick % len(self.out)])
+            (done,) = self.out.pop(sorted(self.out)[pick % len(self.out)])
             done(RelayEnd(status, (b"", [])))
             done(RelayEnd("ok", (b"", [])))  # told a second time: not heard
 
@@ -286,8 +321,21 @@
 
 @pytest.mark.parametrize("name", ["exchange", "ingress", "message"])
 def test_the_core_imports_no_wire(name: str) -> None:
-    allowed = {"__future__", "collections", "collections.abc", "dataclasses", "functools", "math", "typing",
-               ".exchange", ".message", "..metrics", "..policy", "..policy.brain", "..policy.interface"}
+    allowed = {
+        "__future__",
+        "collections",
+        "collections.abc",
+        "dataclasses",
+        "functools",
+        "math",
+        "typing",
+        ".exchange",
+        ".message",
+        "..metrics",
+        "..policy",
+        "..policy.brain",
+        "..policy.interface",
+    }
     assert imports(ROOT / "brackenpulley" / "core" / f"{name}.py") <= allowed
 
 
@@ -297,8 +345,10 @@
 
 
 def test_the_platforms_program_loads_nothing_of_the_second_front() -> None:
-    code = ("import sys, brackenpulley.serve, brackenpulley.cli\n"
-            "print([m for m in sys.modules if m.split('.')[0] in ('h2', 'grpc', 'google', 'envoy')"
-            " or m.startswith(('brackenpulley.authz', 'brackenpulley.xds'))])")
+    code = (
+        "import sys, brackenpulley.serve, brackenpulley.cli\n"
+        "print([m for m in sys.modules if m.split('.')[0] in ('h2', 'grpc', 'google', 'envoy')"
+        " or m.startswith(('brackenpulley.authz', 'brackenpulley.xds'))])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -27,7 +27,7 @@
     """A customer takes so much that it is told; the call."""
     for _ in range(count):
         d.ask(spread=3)
-    call, = of(Count, d.log)
+    (call,) = of(Count, d.log)
     d.log.clear()
     return call
 
@@ -45,7 +45,7 @@
         if not of(Count, d.log):
             d.now += 0.05
             d.do(Timer(d.g.token))
-    call, = of(Count, d.log)
+    (call,) = of(Count, d.log)
     d.log.clear()
     return call
 
@@ -80,7 +80,7 @@
     c.unsaid, at = 5.0, c.at
     d.g.customers.to_tell(c, True)
     d.now += 0.7
-    call, = of(Count, d.do(Timer(d.g.token)))
+    (call,) = of(Count, d.do(Timer(d.g.token)))
     assert c.at == d.now > at and c.calls[-1].serial == call.call
     assert c.calls[-1].granted == c.granted > 0
 
@@ -376,8 +376,10 @@
     told: list[tuple[str, int, str, float]] = []
 
     def tell(e: Counted | Total) -> None:
-        told.append(("end", e.name, e.status, e.total) if isinstance(e, Counted) else
-                    ("total", e.call, e.status, e.total))
+        told.append(
+            ("end", e.name, e.status, e.total) if isinstance(e, Counted) else ("total", e.call, e.status, e.total)
+        )
+
     client.tell = tell
     return told
 
@@ -450,8 +452,8 @@
         r.until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
         wire = r.counter.accept()
         wire.until(b"60000\r\n")
-        c, = gateway.customers.values()
-        call, = c.calls
+        (c,) = gateway.customers.values()
+        (call,) = c.calls
         assert call.amount > 0 and c.read_at < 0
         r.step(0.035)
         assert r.count("count_timeout") == 1 and c.read_at < 0 and c.calls == [call]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,21 +35,28 @@
             found.append(b"reset")
         wire.seen += found[-1]
         return found[-1] in (b"", b"reset")
+
     wire.rig.until(there)
     return found[-1] == b""
 
 
 def head(number: int, more: str = "", method: str = "GET") -> bytes:
-    return (f"{method} /a/{number:016x} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {number:016x}\r\nX-Tariff: p\r\n"
-            f"X-Timeout: 9000m\r\n{more}\r\n").encode()
+    return (
+        f"{method} /a/{number:016x} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {number:016x}\r\nX-Tariff: p\r\n"
+        f"X-Timeout: 9000m\r\n{more}\r\n"
+    ).encode()
 
 
 # A client that has gone is noticed from whatever state, and nothing is begun for it after.
 
-GONE = {"another message behind": head(2), "a crowd behind": b"".join(head(n) for n in range(2, 40)),
-        "what is no message behind": b"\0 nothing\r\n\r\n", "half a message behind": head(2)[:40],
-        "two bodies behind": b"".join(head(n, "Content-Length: 60000\r\n", "POST") + b"x" * 60000 for n in (2, 3)),
-        "a flood behind": b"\0" * (2 << 20)}
+GONE = {
+    "another message behind": head(2),
+    "a crowd behind": b"".join(head(n) for n in range(2, 40)),
+    "what is no message behind": b"\0 nothing\r\n\r\n",
+    "half a message behind": head(2)[:40],
+    "two bodies behind": b"".join(head(n, "Content-Length: 60000\r\n", "POST") + b"x" * 60000 for n in (2, 3)),
+    "a flood behind": b"\0" * (2 << 20),
+}
 
 
 @pytest.mark.parametrize("how", GONE)
@@ -82,6 +89,7 @@
                 except BlockingIOError:
                     return False
             return bool(r.daemon.north.unread)
+
         r.until(stuck)
         wire.reset() if reset else wire.close()
         r.until(lambda: not r.daemon.north.clients)
@@ -109,6 +117,7 @@
         def long_turn() -> None:
             r.ask(1, wire=wire).close()
             r.skipped += 0.4
+
         r.daemon.loop.call_soon(long_turn)
         r.until(lambda: not r.daemon.north.clients)
         assert r.count("messages") == 0 and r.count("gone_unheard") == 1
@@ -116,6 +125,7 @@
 
 # Every connection is ended in one way: our side shut down, then read and lost, then closed.
 
+
 def test_bytes_behind_the_last_message_do_not_take_its_answer_with_them() -> None:
     with rig() as r:
         wire = r.ask(1, more="Connection: close\r\n")
@@ -131,7 +141,8 @@
 
 @pytest.mark.parametrize("how", ["out of service", "idle", "evicted"])
 def test_a_message_that_crosses_the_end_of_a_resting_connection_is_left_to_its_client(
-        how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     with rig() as r:
         wire = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
         assert wire.answer()[0] == 200
@@ -144,6 +155,7 @@
                 r.daemon.metrics.add("crossed")
                 r.ask(1, wire=wire)  # in the very moment between the look and the end
             return found
+
         monkeypatch.setattr(sockets, "waiting", crossing)
         if how == "out of service":
             r.daemon.north.close_unused()
@@ -186,6 +198,7 @@
 
 # SIGTERM.
 
+
 def ends(r: Rig, *after: float) -> None:
     r.daemon.loop.running = True
     r.daemon.end()
@@ -278,6 +291,7 @@
 
 # Discovery.
 
+
 @contextlib.contextmanager
 def with_discovery(**more: Any) -> Iterator[tuple[Rig, Peer]]:
     with rig() as outside:
@@ -320,11 +334,17 @@
         assert b"from=9 " in asked(new)[1]
 
 
-@pytest.mark.parametrize(("answer", "whole"), [
-    (b"HTTP/1.1 503 Busy\r\nContent-Length: 90\r\n\r\nnot yet", False),  # and never the rest
-    (b"HTTP/1.1 429 Busy\r\nTransfer-Encoding: chunked\r\n\r\n", False),
-    (b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", True), (b"HTTP/1.1 204 Nothing\r\n\r\n", True),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n<html", True), (b"not HTTP at all\r\n\r\n", False)])
+@pytest.mark.parametrize(
+    ("answer", "whole"),
+    [
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 90\r\n\r\nnot yet", False),  # and never the rest
+        (b"HTTP/1.1 429 Busy\r\nTransfer-Encoding: chunked\r\n\r\n", False),
+        (b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", True),
+        (b"HTTP/1.1 204 Nothing\r\n\r\n", True),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n<html", True),
+        (b"not HTTP at all\r\n\r\n", False),
+    ],
+)
 def test_whatever_is_no_list_is_asked_for_again_at_once(answer: bytes, whole: bool) -> None:
     """`whole`: what is held may not be good any more. The answer's end is not waited for."""
     with with_discovery() as (r, place):
@@ -362,8 +382,17 @@
 
 
 BAD: list[dict[str, Any]] = [
-    {"hostPort": "nowhere"}, {"hostPort": None}, {"weight": "heavy"}, {"weight": float("nan")}, {"weight": -1},
-    {"weight": float("inf")}, {"startedAtMs": "yesterday"}, {"cell": float("inf")}, {"cell": None}, {"weight": [1]}]
+    {"hostPort": "nowhere"},
+    {"hostPort": None},
+    {"weight": "heavy"},
+    {"weight": float("nan")},
+    {"weight": -1},
+    {"weight": float("inf")},
+    {"startedAtMs": "yesterday"},
+    {"cell": float("inf")},
+    {"cell": None},
+    {"weight": [1]},
+]
 
 
 @pytest.mark.parametrize("bad", BAD)
@@ -371,8 +400,10 @@
     with with_discovery(servers=2) as (r, place):
         wire, _ = asked(place)
         rows = r.listing()["instances"]
-        wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(
-            {"generation": 8, "instances": [{**rows[0], **bad}, rows[1]]}))
+        wire.send(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk({"generation": 8, "instances": [{**rows[0], **bad}, rows[1]]})
+        )
         r.until(lambda: r.daemon.inventory.version == 8)
         assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
         assert r.count("list_entries_unread") == 1 and r.count("watch_breaks") == 0
@@ -388,9 +419,13 @@
     with rig(servers=1) as r:
         other = Peer(r)
         row = r.listing()["instances"][0]
-        told = {"drains": [{**row, "lifecycle": "DRAINING"}], "gone": [{"instanceId": "s-0", "lifecycle": "DELETED"}],
-                "left out": [], "elsewhere": [{**row, "hostPort": other.at}],
-                "another there": [{**row, "lifecycle": "DELETED"}, {**row, "instanceId": "s-9"}]}[how]
+        told = {
+            "drains": [{**row, "lifecycle": "DRAINING"}],
+            "gone": [{"instanceId": "s-0", "lifecycle": "DELETED"}],
+            "left out": [],
+            "elsewhere": [{**row, "hostPort": other.at}],
+            "another there": [{**row, "lifecycle": "DELETED"}, {**row, "instanceId": "s-9"}],
+        }[how]
         began = r.daemon.south._begin
 
         def crossing(conn: Any, attempt: Any) -> None:
@@ -398,6 +433,7 @@
                 r.daemon.metrics.add("crossed")
                 r.daemon.inventory.told({"generation": 8, "reset": how == "left out", "instances": told})
             began(conn, attempt)
+
         r.daemon.south._begin = crossing  # type: ignore[method-assign]
         client = r.ask(1)
         r.until(lambda: r.count("drained_before_send") == 1)
@@ -433,6 +469,7 @@
                     wire.seen = b""
                     wire.send(said(r.listing()))
             return bool(r.daemon.discovery.heard)
+
         r.until(back)
         assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
         client = r.ask(1)
@@ -448,6 +485,7 @@
 
 # Attempts and repeats.
 
+
 def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_messages() -> None:
     with rig() as r:
         client = r.ask(1)
@@ -540,13 +578,20 @@
         r.until(lambda: not r.daemon.ingress.held)
 
 
-@pytest.mark.parametrize(("answer", "never"), [
-    (b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", True),
-    (b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\ncut", False),
-    (b"HTTP/1.1 503 Busy\r\nX-Not-Proc", False), (b"HTTP/1.1 200 OK\r\n\r\na part", False), (b"", False)])
+@pytest.mark.parametrize(
+    ("answer", "never"),
+    [
+        (b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", True),
+        (b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\ncut", False),
+        (b"HTTP/1.1 503 Busy\r\nX-Not-Proc", False),
+        (b"HTTP/1.1 200 OK\r\n\r\na part", False),
+        (b"", False),
+    ],
+)
 @pytest.mark.parametrize("effect", ["free", "single_shot"])
 def test_a_reset_is_no_end_of_an_answer_and_only_a_whole_one_proves_that_nothing_ran(
-        effect: str, answer: bytes, never: bool) -> None:
+    effect: str, answer: bytes, never: bool
+) -> None:
     with rig(servers=2, effect=effect) as r:
         client = r.ask(1, method="POST", body=b"x")
         name, server = r.served()
@@ -579,6 +624,7 @@
 
 # Settings of another customer: names that nothing in the program knows, and what cannot be meant.
 
+
 def changed(path: list[Any], value: Any) -> dict[str, Any]:
     told = copy.deepcopy(SETTINGS)
     place: Any = told
@@ -591,40 +637,71 @@
     return told
 
 
-@pytest.mark.parametrize(("path", "value", "field"), [
-    (["Classes", 0, "GiveUp"], None, "Classes[0].GiveUp: missing"),
-    (["Classes", 0, "GiveUp"], "soon", "classes[a].deadline"),
-    (["Classes", 0, "Idempotency"], "perhaps", "classes[a].effect"),
-    (["Classes", 0, "Idempotency"], ["free"], "classes[a].effect"),
-    (["Classes"], [], "classes: "), (["Classes"], None, "Classes: "), (["Classes", 0], 5, "Classes[0]: "),
-    (["Limits", "AttemptsCap"], -1, "max_attempts"), (["Limits", "ConnectTimeout"], -1, "Limits.ConnectTimeout"),
-    (["Limits", "ConnectTimeout"], "x", "Limits.ConnectTimeout"), (["Limits", "ConnIdle"], -3, "conn_idle"),
-    (["Limits"], [], "Limits: "), (["TiersOfService"], None, "TiersOfService: "), (["Report"], None, "Report: "),
-    (["Report", "Fields"], 3, "Report.Fields: ")])
+@pytest.mark.parametrize(
+    ("path", "value", "field"),
+    [
+        (["Classes", 0, "GiveUp"], None, "Classes[0].GiveUp: missing"),
+        (["Classes", 0, "GiveUp"], "soon", "classes[a].deadline"),
+        (["Classes", 0, "Idempotency"], "perhaps", "classes[a].effect"),
+        (["Classes", 0, "Idempotency"], ["free"], "classes[a].effect"),
+        (["Classes"], [], "classes: "),
+        (["Classes"], None, "Classes: "),
+        (["Classes", 0], 5, "Classes[0]: "),
+        (["Limits", "AttemptsCap"], -1, "max_attempts"),
+        (["Limits", "ConnectTimeout"], -1, "Limits.ConnectTimeout"),
+        (["Limits", "ConnectTimeout"], "x", "Limits.ConnectTimeout"),
+        (["Limits", "ConnIdle"], -3, "conn_idle"),
+        (["Limits"], [], "Limits: "),
+        (["TiersOfService"], None, "TiersOfService: "),
+        (["Report"], None, "Report: "),
+        (["Report", "Fields"], 3, "Report.Fields: "),
+    ],
+)
 def test_settings_that_cannot_be_meant_are_one_line_that_names_the_field(
-        path: list[Any], value: Any, field: str) -> None:
-    raw = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:1",
-           "settings": changed(path, value)}
+    path: list[Any], value: Any, field: str
+) -> None:
+    raw = {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "counter": "127.0.0.1:1",
+        "settings": changed(path, value),
+    }
     with pytest.raises(ConfigError) as found:
         decode(raw, {})
     assert str(found.value).startswith("settings." + field) and "\n" not in str(found.value)
 
 
-@pytest.mark.parametrize("effects", [
-    ["single_shot"], ["guarded", "single_shot"], ["free", "guarded", "single_shot", "free"]])
+@pytest.mark.parametrize(
+    "effects", [["single_shot"], ["guarded", "single_shot"], ["free", "guarded", "single_shot", "free"]]
+)
 def test_classes_with_names_and_effects_of_another_customer_are_served_and_repeated_as_they_allow(
-        effects: list[str]) -> None:
+    effects: list[str],
+) -> None:
     told = copy.deepcopy(SETTINGS)
-    told["Classes"] = [{**told["Classes"][0], "Name": f"zx-{n}", "Idempotency": effect, "Group": "all", "Window": 5.0,
-                        "Objective": 8.0, "GiveUp": 20.0} for n, effect in enumerate(effects)]
+    told["Classes"] = [
+        {
+            **told["Classes"][0],
+            "Name": f"zx-{n}",
+            "Idempotency": effect,
+            "Group": "all",
+            "Window": 5.0,
+            "Objective": 8.0,
+            "GiveUp": 20.0,
+        }
+        for n, effect in enumerate(effects)
+    ]
     told["TiersOfService"] = [{"Name": "qq", "QuotaRate": 100.0, "Burst": 100.0}]
     told["Extra"] = {"MayCount": False, "MostUnits": 3}
     told["Limits"].update(AttemptsCap=2, MayCancel=False, RetryAfter=False)
     with rig(servers=4, settings=told) as r:  # one that is set aside for its resets leaves others
         for number, effect in enumerate(effects, 1):
             client = r.client().send(
-                (f"POST /zx-{number - 1}/{number:016x} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {number:016x}\r\n"
-                 f"X-Tariff: qq\r\nX-Timeout: 19000m\r\nX-Weight: units=3\r\nContent-Length: 1\r\n\r\nx").encode())
+                (
+                    f"POST /zx-{number - 1}/{number:016x} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {number:016x}\r\n"
+                    f"X-Tariff: qq\r\nX-Timeout: 19000m\r\nX-Weight: units=3\r\nContent-Length: 1\r\n\r\nx"
+                ).encode()
+            )
             _, server = r.served()
             server.answer()
             server.reset()
@@ -643,14 +720,17 @@
 
 # A new process, with the list that it last held in its configuration.
 
+
 def test_what_the_agent_has_goes_before_the_old_list_from_the_first_message_on() -> None:
     with with_discovery(servers=2) as (r, place):
         early = r.ask(1)  # before the agent has said a word: not sent by the old list
         assert early.answer()[0] == 429 and r.count("relays") == 0
         wire, line = asked(place)
         assert b"?watch=1&from=7 " in line
-        wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(
-            {**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}))
+        wire.send(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk({**r.listing(s_0="DRAINING"), "reset": False, "generation": 8})
+        )
         r.until(lambda: r.daemon.inventory.version == 8)
         r.freeze()  # no connection rests long enough to be used again: each message is seen to arrive at its server
         for number in range(2, 8):
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -46,27 +46,46 @@
     words = told["run"].split()
     assert words[:4] == ["exec", ".venv/bin/python", "-m", "brackenpulley"] and words[4:] == ["serve"]
     assert not set(told["run"]) & set(";&|$`()<>")
-    assert not any(name.startswith(("brackenpulley/fleet", "brackenpulley/authz", "brackenpulley/growth"))
-                   for name in told["node"])
+    assert not any(
+        name.startswith(("brackenpulley/fleet", "brackenpulley/authz", "brackenpulley/growth")) for name in told["node"]
+    )
 
 
 def test_the_interpreter_is_linked_dynamically() -> None:
     """A library loaded into the process at its start needs a loader: an ELF file with an interpreter of its own."""
-    head = Path(os.path.realpath(sys.executable)).read_bytes()[:1 << 16]
+    head = Path(os.path.realpath(sys.executable)).read_bytes()[: 1 << 16]
     assert head[:4] == b"\x7fELF" and b"ld-linux" in head
 
 
 def test_the_program_started_alone_forks_nothing_and_opens_ipv4_alone(tmp_path: Path) -> None:
     config, out = tmp_path / "config.json", tmp_path / "seen.json"
     with socket.create_server(("127.0.0.1", 0)) as discovery, socket.create_server(("127.0.0.1", 0)) as server:
-        known = {"generation": 1, "reset": True, "instances": [
-            {"instanceId": "s-1", "hostPort": f"127.0.0.1:{server.getsockname()[1]}", "lifecycle": "SERVING"}]}
-        config.write_text(json.dumps({
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery.getsockname()[1]}",
-            "counter": "127.0.0.1:1", "known": known, "settings": SETTINGS}))
-        child = subprocess.Popen([sys.executable, "-c", TRACE, str(out), str(config)], stdout=subprocess.PIPE,
-                                 text=True, cwd=ROOT,
-                                 env={k: v for k, v in os.environ.items() if k != "BALANCER_OPERATOR"})
+        known = {
+            "generation": 1,
+            "reset": True,
+            "instances": [
+                {"instanceId": "s-1", "hostPort": f"127.0.0.1:{server.getsockname()[1]}", "lifecycle": "SERVING"}
+            ],
+        }
+        config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": "127.0.0.1:0",
+                    "discovery": f"127.0.0.1:{discovery.getsockname()[1]}",
+                    "counter": "127.0.0.1:1",
+                    "known": known,
+                    "settings": SETTINGS,
+                }
+            )
+        )
+        child = subprocess.Popen(
+            [sys.executable, "-c", TRACE, str(out), str(config)],
+            stdout=subprocess.PIPE,
+            text=True,
+            cwd=ROOT,
+            env={k: v for k, v in os.environ.items() if k != "BALANCER_OPERATOR"},
+        )
         assert child.stdout is not None
         port = int(next(x for x in child.stdout if "event=listening" in x).strip().rsplit(":", 1)[1])
         discovery.settimeout(30)
@@ -79,8 +98,10 @@
                 if probe.recv(4096).startswith(b"HTTP/1.1 200"):
                     break
         with socket.create_connection(("127.0.0.1", port)) as client:
-            client.sendall(b"GET /a/0000000000000001 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: a\r\n"
-                           b"X-Tariff: p\r\nX-Timeout: 20000m\r\n\r\n")
+            client.sendall(
+                b"GET /a/0000000000000001 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Priority-Class: a\r\n"
+                b"X-Tariff: p\r\nX-Timeout: 20000m\r\n\r\n"
+            )
             relay = server.accept()[0]
             assert relay.recv(4096).startswith(b"GET /a/")
             relay.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -164,18 +185,49 @@
 
 
 NOT_FOR_SERVING = (
-    "typer", "click", "rich.console", "pydantic", "prometheus_client", "tomllib", "email", "http", "lmdb", "h2", "grpc",
-    "msgspec", "brackenpulley.cli", "brackenpulley.extras", "brackenpulley.commands", "brackenpulley.fleet",
-    "brackenpulley.control", "brackenpulley.ledger", "brackenpulley.members")
+    "typer",
+    "click",
+    "rich.console",
+    "pydantic",
+    "prometheus_client",
+    "tomllib",
+    "email",
+    "http",
+    "lmdb",
+    "h2",
+    "grpc",
+    "msgspec",
+    "brackenpulley.cli",
+    "brackenpulley.extras",
+    "brackenpulley.commands",
+    "brackenpulley.fleet",
+    "brackenpulley.control",
+    "brackenpulley.ledger",
+    "brackenpulley.members",
+)
 
 
 def test_the_serving_path_loads_nothing_that_it_does_not_use(tmp_path: Path) -> None:
     """The command line alone took half of the CPU from start to ready: a killed ingress serves nobody until then."""
     config = tmp_path / "config.json"
-    config.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-                                  "counter": "127.0.0.1:1", "settings": SETTINGS}))
-    process = subprocess.Popen([sys.executable, "-X", "importtime", "-m", "brackenpulley", "serve", "--config",
-                                str(config)], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    config.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:1",
+                "counter": "127.0.0.1:1",
+                "settings": SETTINGS,
+            }
+        )
+    )
+    process = subprocess.Popen(
+        [sys.executable, "-X", "importtime", "-m", "brackenpulley", "serve", "--config", str(config)],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     assert process.stdout is not None
     assert any("event=listening" in line for line in process.stdout)
     process.send_signal(signal.SIGTERM)
@@ -185,9 +237,18 @@
     assert not [name for name in loaded for other in NOT_FOR_SERVING if name == other or name.startswith(other + ".")]
 
 
-@pytest.mark.parametrize(("words", "options"), [
-    ("serve", {}), ("serve --config a --operator=b", {"--config": "a", "--operator": "b"}), ("serve --help", None),
-    ("serve --config", None), ("serve --config a --config b", None), ("check-config", None), ("", None),
-    ("serve x", None)])
+@pytest.mark.parametrize(
+    ("words", "options"),
+    [
+        ("serve", {}),
+        ("serve --config a --operator=b", {"--config": "a", "--operator": "b"}),
+        ("serve --help", None),
+        ("serve --config", None),
+        ("serve --config a --config b", None),
+        ("check-config", None),
+        ("", None),
+        ("serve x", None),
+    ],
+)
 def test_what_is_not_plainly_serve_goes_to_the_command_line(words: str, options: dict[str, str] | None) -> None:
     assert plain(words.split()) == options
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -90,8 +90,12 @@
     assert other.limits == {}
 
 
-@given(st.lists(st.tuples(st.sampled_from(["want", "leave", "enter", "limit"]), st.integers(0, 4),
-                          st.integers(0, 15)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["want", "leave", "enter", "limit"]), st.integers(0, 4), st.integers(0, 15)),
+        max_size=60,
+    )
+)
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_no_order_of_words_passes_a_limit(rows: list[tuple[str, int, int]]) -> None:
     log, lives = Log(12, 0), {n: 1 for n in range(5)}
@@ -165,6 +169,7 @@
         def over() -> None:
             if self.host.life == life and self.fleet.ports.get(self.host.name) is self:
                 self.now_busy[server] -= 1
+
         world.at(world.now + rng.expovariate(2.0), over)
 
 
@@ -182,12 +187,19 @@
         self.world.checks.append(self.check)
 
     def make(self, host: Host) -> Bare:
-        part = Agreement(f"{host.name}@{host.life}", host.name, self.seats, lambda: Machine({PART: Limits()}),
-                         random.Random(self.rng.random()), self.world.now,
-                         host.disk if host.name in self.seats else None)
+        part = Agreement(
+            f"{host.name}@{host.life}",
+            host.name,
+            self.seats,
+            lambda: Machine({PART: Limits()}),
+            random.Random(self.rng.random()),
+            self.world.now,
+            host.disk if host.name in self.seats else None,
+        )
         port = self.ports[host.name] = South(self, host)
         holder = self.holders[host.name] = Holder(
-            host.address, part, lambda: part.machine.parts[PART], port, self.world.now)  # type: ignore
+            host.address, part, lambda: part.machine.parts[PART], port, self.world.now
+        )  # type: ignore
         life = host.life
 
         def look() -> None:
@@ -196,14 +208,16 @@
                 if not host.stopped:
                     holder.tick(self.world.now)
                     self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
+
         self.world.at(self.world.now + 0.01, look)
         self.world.at(self.world.now + 0.5, port.attempt)
         return Bare(host.address, {KIND: part})
 
     def check(self) -> None:
         for server in SERVERS:
-            total = sum(self.ports[host.name].now_open[server] for host in self.world.hosts.values()
-                        if host.driven is not None)  # a stopped one's stand; a killed one's are gone with it
+            total = sum(
+                self.ports[host.name].now_open[server] for host in self.world.hosts.values() if host.driven is not None
+            )  # a stopped one's stand; a killed one's are gone with it
             self.most = max(self.most, total)
             if total > LIMIT:
                 self.wrong.append(f"{self.world.now:.2f}: {total} at {server}")
@@ -213,8 +227,14 @@
 def test_the_sum_of_all_connections_never_passes_a_limit_whatever_fails(seed: int) -> None:
     fleet = Fleet(seed)
     world = fleet.world
-    Faults(world, [line for line in drawn(fleet.rng, fleet.names, 30.0, 2.0, 3)
-                   if line.what != "start" or line.words[1] in ("kept", "power")])
+    Faults(
+        world,
+        [
+            line
+            for line in drawn(fleet.rng, fleet.names, 30.0, 2.0, 3)
+            if line.what != "start" or line.words[1] in ("kept", "power")
+        ],
+    )
     world.run(world.now + 30.0)
     assert not fleet.wrong, fleet.wrong[:3]
     assert fleet.most >= LIMIT - 3 and fleet.served > 200  # the limit was wanted, and used
@@ -290,8 +310,10 @@
 # The schedule.
 
 
-@pytest.mark.parametrize(("wave", "place", "good"), [
-    ([], 0, True), ([0], 1, False), ([0], 2, True), ([0, 2], 4, False), ([1], 0, False), ([5], 0, False)])
+@pytest.mark.parametrize(
+    ("wave", "place", "good"),
+    [([], 0, True), ([0], 1, False), ([0], 2, True), ([0, 2], 4, False), ([1], 0, False), ([5], 0, False)],
+)
 def test_each_rule_of_a_wave(wave: list[int], place: int, good: bool) -> None:
     rules = Rules(most=2, zone=2, spread=2, places=6)
     assert fits([Ingress(n) for n in wave], Ingress(place), rules) == good
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,8 +36,9 @@
 from brackenpulley.fleet.spec import decode
 from brackenpulley.health.vitals import WINDOW, Bounds, Lag, Vitals
 
-GOOD: dict[str, Any] = {"fleet": {"name": "hall", "run": "/run/hall", "config": "c.json",
-                                  "listen": "127.0.0.1:9100-9103", "instances": 3}}
+GOOD: dict[str, Any] = {
+    "fleet": {"name": "hall", "run": "/run/hall", "config": "c.json", "listen": "127.0.0.1:9100-9103", "instances": 3}
+}
 TIMES, PACE = Times(10.0, 5.0, 1.0, 4.0), Pace(0.5, 8.0, 0.5, 3, 60.0)
 
 
@@ -47,20 +48,23 @@
     assert spec.control == "/run/hall/supervisor.sock"
 
 
-@pytest.mark.parametrize("table, key, value, said", [
-    ("fleet", "instances", 5, "fleet.instances: 5, and fleet.listen has 4 addresses"),
-    ("fleet", "instances", 0, "fleet.instances: Expected `int` >= 1"),
-    ("fleet", "instance", 3, "fleet.instance: no such field"),
-    ("fleet", "run", "hall", "fleet.run: 'hall' is no absolute path of at most 80 bytes"),
-    ("fleet", "listen", "127.0.0.1:9103-9100", "fleet.listen: '127.0.0.1:9103-9100' is no range"),
-    ("fleet", "listen", ["127.0.0.1:1", "host:2"], "fleet.listen[1]: 'host:2' is no address:port"),
-    ("fleet", "listen", ["127.0.0.1:1"] * 3, "fleet.listen: an address twice"),
-    ("fleet", "members", "127.0.0.1:9300", "fleet.instances: 3, and fleet.members has 1 addresses"),
-    ("fleet", "part", 0, "fleet.part: Expected `float` > 0.0"),
-    ("restart", "jitter", 1.5, "restart.jitter: Expected `float` <= 1.0"),
-    ("start", "ready_s", "soon", "start.ready_s: Expected `float`, got `str`"),
-    ("environment", "NOTIFY_SOCKET", "/x", "environment.NOTIFY_SOCKET: set by the supervisor itself"),
-])
+@pytest.mark.parametrize(
+    "table, key, value, said",
+    [
+        ("fleet", "instances", 5, "fleet.instances: 5, and fleet.listen has 4 addresses"),
+        ("fleet", "instances", 0, "fleet.instances: Expected `int` >= 1"),
+        ("fleet", "instance", 3, "fleet.instance: no such field"),
+        ("fleet", "run", "hall", "fleet.run: 'hall' is no absolute path of at most 80 bytes"),
+        ("fleet", "listen", "127.0.0.1:9103-9100", "fleet.listen: '127.0.0.1:9103-9100' is no range"),
+        ("fleet", "listen", ["127.0.0.1:1", "host:2"], "fleet.listen[1]: 'host:2' is no address:port"),
+        ("fleet", "listen", ["127.0.0.1:1"] * 3, "fleet.listen: an address twice"),
+        ("fleet", "members", "127.0.0.1:9300", "fleet.instances: 3, and fleet.members has 1 addresses"),
+        ("fleet", "part", 0, "fleet.part: Expected `float` > 0.0"),
+        ("restart", "jitter", 1.5, "restart.jitter: Expected `float` <= 1.0"),
+        ("start", "ready_s", "soon", "start.ready_s: Expected `float`, got `str`"),
+        ("environment", "NOTIFY_SOCKET", "/x", "environment.NOTIFY_SOCKET: set by the supervisor itself"),
+    ],
+)
 def test_a_wrong_description_is_one_line_that_names_the_field(table: str, key: str, value: Any, said: str) -> None:
     raw = {**GOOD, table: {**GOOD.get(table, {}), key: value}}
     with pytest.raises(ConfigError) as error:
@@ -171,22 +175,26 @@
     assert one.state == WAITING
 
 
-@given(st.integers(0, 2 ** 32), st.lists(st.floats(0.0, 59.0), max_size=80))
+@given(st.integers(0, 2**32), st.lists(st.floats(0.0, 59.0), max_size=80))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_back_off_doubles_within_its_jitter_and_stays_under_the_longest(seed: int, lives: list[float]) -> None:
     backoff, now = Backoff(Pace(0.5, 8.0, 0.5, 1000, 60.0), random.Random(seed)), 0.0
     for row, lived in enumerate(lives):
         wait = backoff.ended(now, lived)
-        full = min(8.0, 0.5 * 2 ** row)
+        full = min(8.0, 0.5 * 2**row)
         assert wait is not None and full / 2 <= wait <= full
         now += lived + wait
     backoff.ended(now, 60.0)
     assert backoff.row == 1
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(
-    ["start", "stop", "restart", "ended", "READY", "sign", "yes", "no", "tick", "late"]), st.floats(0.0, 3.0)),
-    max_size=60)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["start", "stop", "restart", "ended", "READY", "sign", "yes", "no", "tick", "late"]),
+        st.floats(0.0, 3.0),
+    ),
+    max_size=60,
+)
 
 
 def operate(one: Instance, what: str, now: float) -> list[Any] | None:
@@ -195,9 +203,13 @@
     if what in ("start", "stop", "restart"):
         return getattr(one, what)(now)
     if one.pid:
-        {"ended": lambda: one.ended(now, "exit 1"), "READY": lambda: one.notified(now, {"READY": "1"}),
-         "sign": lambda: one.notified(now, {"WATCHDOG": "1"}), "yes": lambda: one.looked(now, True),
-         "no": lambda: one.looked(now, False)}[what]()
+        {
+            "ended": lambda: one.ended(now, "exit 1"),
+            "READY": lambda: one.notified(now, {"READY": "1"}),
+            "sign": lambda: one.notified(now, {"WATCHDOG": "1"}),
+            "yes": lambda: one.looked(now, True),
+            "no": lambda: one.looked(now, False),
+        }[what]()
     return None
 
 
@@ -263,7 +275,7 @@
     assert sorted(order) == list(range(count))
     stride = max(1, count // at_once)
     for start in range(len(order)):  # whichever ones of the order are under way
-        away = sorted(order[start:start + at_once])
+        away = sorted(order[start : start + at_once])
         assert all(b - a >= stride - 1 for a, b in zip(away, away[1:], strict=False))
 
 
@@ -324,9 +336,30 @@
                 self.sharing.found(number, 1, 1, 0.0)
 
 
-@given(st.integers(0, 2 ** 32), st.lists(st.sampled_from(
-    ["start", "start", "end", "tell", "tell", "tell", "arrive", "arrive", "arrive", "arrive", "wait", "long", "heir"]),
-    min_size=30, max_size=150))
+@given(
+    st.integers(0, 2**32),
+    st.lists(
+        st.sampled_from(
+            [
+                "start",
+                "start",
+                "end",
+                "tell",
+                "tell",
+                "tell",
+                "arrive",
+                "arrive",
+                "arrive",
+                "arrive",
+                "wait",
+                "long",
+                "heir",
+            ]
+        ),
+        min_size=30,
+        max_size=150,
+    ),
+)
 @settings(derandomize=True, deadline=None, max_examples=300)
 def test_the_parts_never_pass_the_whole_whatever_is_lost_late_or_killed(seed: int, steps: list[str]) -> None:
     group = Group(random.Random(seed))
@@ -387,16 +420,20 @@
 # Cold servers.
 
 
-@pytest.mark.parametrize("now, told, report, expected", [
-    (0.0, 3, None, 40),  # young: as large as it may be
-    (YOUNG + 1, 3, None, 3),
-    (YOUNG + 1, 20, None, 20),
-    (YOUNG + 1, 3, (12.0, 2), 6),  # what the server says
-    (YOUNG + 1, 3, (12.0, 0), 12),
-    (YOUNG + HEARD + 2, 3, (12.0, 2), 3),  # it said that too long ago
-])
+@pytest.mark.parametrize(
+    "now, told, report, expected",
+    [
+        (0.0, 3, None, 40),  # young: as large as it may be
+        (YOUNG + 1, 3, None, 3),
+        (YOUNG + 1, 20, None, 20),
+        (YOUNG + 1, 3, (12.0, 2), 6),  # what the server says
+        (YOUNG + 1, 3, (12.0, 0), 12),
+        (YOUNG + HEARD + 2, 3, (12.0, 2), 3),  # it said that too long ago
+    ],
+)
 def test_a_cold_server_is_divided_by_the_most_that_anything_says(
-        now: float, told: int, report: tuple[float, int] | None, expected: int) -> None:
+    now: float, told: int, report: tuple[float, int] | None, expected: int
+) -> None:
     crowd = Crowd(0.0, 40)
     if report:
         crowd.reported(YOUNG + 1, *report)
@@ -418,11 +455,15 @@
 # Datagrams, lines, health.
 
 
-@pytest.mark.parametrize("data, fields", [
-    (b"READY=1\nSTATUS=well; 3 of 4\n", {"READY": "1", "STATUS": "well; 3 of 4"}),
-    (b"WATCHDOG=1\nnonsense\nA=b=c", {"WATCHDOG": "1", "A": "b=c"}),
-    (b"", {}), (b"\xff\xfe=1", {"\ufffd\ufffd": "1"}),
-])
+@pytest.mark.parametrize(
+    "data, fields",
+    [
+        (b"READY=1\nSTATUS=well; 3 of 4\n", {"READY": "1", "STATUS": "well; 3 of 4"}),
+        (b"WATCHDOG=1\nnonsense\nA=b=c", {"WATCHDOG": "1", "A": "b=c"}),
+        (b"", {}),
+        (b"\xff\xfe=1", {"\ufffd\ufffd": "1"}),
+    ],
+)
 def test_notices_are_read_as_systemd_reads_them(data: bytes, fields: dict[str, str]) -> None:
     assert notify.parse(data) == fields
 
@@ -435,7 +476,8 @@
     assert found == ["x" * 8192, "next"]
     assert merged("timestamp=1 event=a", "now", 3, 77) == "timestamp=1 event=a instance=3 pid=77"
     assert merged("Traceback (x):", "now", 3, 77) == (
-        "timestamp=now level=info event=output text=\"Traceback (x):\" instance=3 pid=77")
+        'timestamp=now level=info event=output text="Traceback (x):" instance=3 pid=77'
+    )
 
 
 def test_a_reader_that_does_not_read_costs_a_bounded_place_and_is_told_what_it_missed() -> None:
@@ -475,12 +517,24 @@
         assert lag.worst(now) == max(late for at, late in seen if at >= now - WINDOW)
 
 
-@pytest.mark.parametrize("change, trouble", [
-    ({}, []), ({"lag": 0.6}, ["the loop was held for 0.60 s"]), ({"descriptors": 240}, ["240 of 256 descriptors"]),
-    ({"memory_mb": 31.0}, ["31 of 32 MB"]), ({"list_age": 11.0}, ["the list is 11 s old"]),
-    ({"list_age": None}, ["no list of servers yet"]),
-])
+@pytest.mark.parametrize(
+    "change, trouble",
+    [
+        ({}, []),
+        ({"lag": 0.6}, ["the loop was held for 0.60 s"]),
+        ({"descriptors": 240}, ["240 of 256 descriptors"]),
+        ({"memory_mb": 31.0}, ["31 of 32 MB"]),
+        ({"list_age": 11.0}, ["the list is 11 s old"]),
+        ({"list_age": None}, ["no list of servers yet"]),
+    ],
+)
 def test_troubles_are_named(change: dict[str, Any], trouble: list[str]) -> None:
-    good = {"lag": 0.01, "descriptors": 30, "most_descriptors": 256, "memory_mb": 20.0, "most_memory_mb": 32.0,
-            "list_age": 1.0}
+    good = {
+        "lag": 0.01,
+        "descriptors": 30,
+        "most_descriptors": 256,
+        "memory_mb": 20.0,
+        "most_memory_mb": 32.0,
+        "list_age": 1.0,
+    }
     assert Vitals(**{**good, **change}).troubles(Bounds()) == trouble
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -42,8 +42,13 @@
 def command(one: Trial, *words: str) -> subprocess.CompletedProcess[str]:
     """A `fleet` command, beside which the stand-ins go on."""
     words = (words[0], str(one.file), *words[1:])
-    process = subprocess.Popen([sys.executable, "-m", "brackenpulley", "fleet", *words], cwd=ROOT, text=True,
-                               stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "brackenpulley", "fleet", *words],
+        cwd=ROOT,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    )
     while process.poll() is None:
         one.turn(0.02)
     out, err = process.communicate()
@@ -176,8 +181,12 @@
     if "disk" in target:
         change(one, "[restart]", '[log]\npath = "/dev/full"\n[restart]')
     read, write = os.pipe()
-    one.supervisor = subprocess.Popen([sys.executable, "-m", "brackenpulley", "fleet", "run", str(one.file)], cwd=ROOT,
-                                      stdout=write, stderr=subprocess.DEVNULL)
+    one.supervisor = subprocess.Popen(
+        [sys.executable, "-m", "brackenpulley", "fleet", "run", str(one.file)],
+        cwd=ROOT,
+        stdout=write,
+        stderr=subprocess.DEVNULL,
+    )
     os.close(write)
     one.all_ready(1, 30, "start")
     pid = one.status()["places"][0]["pid"]
@@ -238,6 +247,7 @@
                 return bool(control.call("GET", "/v1/members")["members"] == count)
             except ControlError:
                 return False
+
         return there
 
     one.until(members(3), 30, "joined")
@@ -247,13 +257,27 @@
     one.until(lambda s: bool(s["rolling"]["over"]) and s["ready"] == 1, 30, "alone")
     one.ask("POST", "/v1/fleet/start", {"instances": [0, 2]})
     one.until(members(3), 30, "together again")
-    done = subprocess.run([sys.executable, "-m", "brackenpulley", "members", "status", "--json", "--control",
-                           f"unix:{one.folder}/run/0.sock"], cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "brackenpulley",
+            "members",
+            "status",
+            "--json",
+            "--control",
+            f"unix:{one.folder}/run/0.sock",
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert len(json.loads(done.stdout)[0]["keys"]) == 1
 
 
 def test_instances_started_after_a_step_of_an_hour_count_under_the_names_of_those_before(
-        made: Callable[..., Trial]) -> None:
+    made: Callable[..., Trial],
+) -> None:
     one = made(1)
     config = json.loads((one.folder / "ingress.json").read_text())
     for plan in config["settings"]["TiersOfService"]:
@@ -282,6 +306,7 @@
 def test_a_step_of_the_time_of_day_does_not_divide_a_fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Names of the counter go by the fleet's clock: whoever starts after the step must use those of before."""
     from brackenpulley.fleet.files import keep
+
     first, _ = kept(tmp_path, 3, 1_000_000.0, 50.0)
     keep(tmp_path, first)
     later, _ = kept(tmp_path, 3, 1_000_000.0 + 3600 + 10, 60.0)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,8 +18,11 @@
 
 
 def line(at: int, relays: int, server: str = "s-1", prefix: str = "") -> str:
-    tally = {"counts": {"relays": relays, "messages": relays + 1}, "servers": {server: {"relays": relays}},
-             "now": {"aside": 1, "out": 2}}
+    tally = {
+        "counts": {"relays": relays, "messages": relays + 1},
+        "servers": {server: {"relays": relays}},
+        "now": {"aside": 1, "out": 2},
+    }
     return f"{prefix}timestamp=x level=info event=second at={at} tally={json.dumps(json.dumps(tally))}\n"
 
 
@@ -29,7 +32,10 @@
     merged.add("n1", [line(101, 4, "s-2", "7.001 "), line(102, 2)])
     rows = merged.table()
     assert [(r["second"], r["relays"], r["ingresses"], r["aside"], r["servers"], r["most"]) for r in rows] == [
-        (0, 3, 1, 1, 1, 3), (1, 5, 2, 2, 2, 4), (2, 2, 1, 1, 1, 2)]
+        (0, 3, 1, 1, 1, 3),
+        (1, 5, 2, 2, 2, 4),
+        (2, 2, 1, 1, 1, 2),
+    ]
     assert [(r["server"], r["relays"]) for r in merged.by("server")] == [("s-1", 6), ("s-2", 4)]
     assert {r["ingress"]: r["messages"] for r in merged.by("ingress")} == {"n0": 6, "n1": 8}
     assert merged.logs["n0"].other == 1 and merged.whole()["counters"] == {"relays": 10, "messages": 14}
@@ -44,8 +50,18 @@
     assert log.bad == 0 or line(100, 3).startswith(log.first_bad)
 
 
-@pytest.mark.parametrize("tally", ["", "3", "[]", '{"counts":{}}', '{"counts":{"a":"b"},"servers":{},"now":{}}',
-                                   '{"counts":[],"servers":{},"now":{"aside":0,"out":0}}', "[" * 100_000])
+@pytest.mark.parametrize(
+    "tally",
+    [
+        "",
+        "3",
+        "[]",
+        '{"counts":{}}',
+        '{"counts":{"a":"b"},"servers":{},"now":{}}',
+        '{"counts":[],"servers":{},"now":{"aside":0,"out":0}}',
+        "[" * 100_000,
+    ],
+)
 def test_what_is_no_record_is_refused_as_one(tally: str) -> None:
     with pytest.raises(BadRecord):
         record(f"event=second at=5 tally={tally}")
@@ -60,6 +76,7 @@
 
         def flush(self) -> None:
             pass
+
     with rig(operator={"log": {"seconds": True}}) as r:
         log = make_log(Output())
         r.daemon.tally.log = log
@@ -88,14 +105,22 @@
     (tmp_path / "n1.log").write_text(line(100, 1))
 
     def run(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "brackenpulley", "growth", *words], capture_output=True, text=True,
-                              env={**os.environ, "NO_COLOR": "1"}, timeout=60)
+        return subprocess.run(
+            [sys.executable, "-m", "brackenpulley", "growth", *words],
+            capture_output=True,
+            text=True,
+            env={**os.environ, "NO_COLOR": "1"},
+            timeout=60,
+        )
+
     good = run("count", str(tmp_path), "--json")
     told: dict[str, Any] = json.loads(good.stdout)
     assert good.returncode == 0 and told["seconds"][0]["relays"] == 4 and "n0: 1 lines are no records" in good.stderr
     assert run("count", str(tmp_path), "--by", "server").stdout.startswith("server\tmessages\trelays")
-    for words, text in ((["count", str(tmp_path / "none.log")], "none.log: No such file"),
-                        (["count", str(tmp_path), "--by", "x"], "--by: 'x' is none of")):
+    for words, text in (
+        (["count", str(tmp_path / "none.log")], "none.log: No such file"),
+        (["count", str(tmp_path), "--by", "x"], "--by: 'x' is none of"),
+    ):
         bad = run(*words)
         assert bad.returncode == 2 and text in bad.stderr and len(bad.stderr.strip().splitlines()) <= 2
 
@@ -103,6 +128,7 @@
 def test_the_operators_word_is_checked() -> None:
     from brackenpulley.address import ConfigError
     from brackenpulley.operator import decode
+
     with pytest.raises(ConfigError, match=r"^log.seconds: 'yes' is neither true nor false$"):
         decode({"log": {"seconds": "yes"}})
     assert not decode({}).seconds
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -58,8 +58,10 @@
             total, end = 0.0, self.now + call.ttl
         self.numbers[call.name] = total + call.amount, end
         status = "timeout" if self.rng.random() < self.lost else "ok"
-        self.at(0.02 if status == "timeout" else self.rng.uniform(0.0005, 0.012),
-                lambda: self.back(n, keeper, call, status, total + call.amount))
+        self.at(
+            0.02 if status == "timeout" else self.rng.uniform(0.0005, 0.012),
+            lambda: self.back(n, keeper, call, status, total + call.amount),
+        )
 
     def back(self, n: int, keeper: Keeper, call: Call, status: str, total: float) -> None:
         if self.keepers[n] is keeper:  # else it was killed
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -45,7 +45,9 @@
     assert not t.close(end + 9.9)
     made = t.close(end + 10.0)
     assert [(e.seq, e.id, e.units, e.tries, e.key.revision) for e in made] == [
-        (1, "n0/e/1", 7_500_000, 3, 0), (2, "n0/e/2", 1_000_000, 1, 4)]
+        (1, "n0/e/1", 7_500_000, 3, 0),
+        (2, "n0/e/2", 1_000_000, 1, 4),
+    ]
     assert t.open == {} and t.heads.counted == 8_500_000 and t.heads.closed == end * 1000
 
 
@@ -54,7 +56,7 @@
     t.charge(1, "school", 0, 1.0, T0)
     t.close(T0 + 100)
     t.charge(1, "school", 0, 4.0, T0)
-    entry, = t.close(T0 + 170)
+    (entry,) = t.close(T0 + 170)
     assert entry.key.kind == "correction" and entry.seq == 2 and entry.units == 4 * MICRO
     assert entry.key.start <= T0 * 1000 < entry.key.end
 
@@ -106,7 +108,7 @@
     def crash(self, torn: bytes) -> None:
         store = self.service.store
         assert store.lock is not None and store._log is not None
-        store._log[store._size:store._size + len(torn)] = torn  # a record that the process was writing when it died
+        store._log[store._size : store._size + len(torn)] = torn  # a record that the process was writing when it died
         store._log.close()
         store.env.close()
         store.lock.close()
@@ -195,9 +197,17 @@
     return [fault for fault, _ in store.verify() if fault]
 
 
-@pytest.mark.parametrize(("damage", "said"), [
-    ("gap", "sequence: 6 where 5 should be"), ("units", "entries hold"), ("id", "does not belong to it"),
-    ("open", "sum: counted"), ("ack twice", "entries 3 to 4: exported twice"), ("ack gap", "entries 5 to 6: never")])
+@pytest.mark.parametrize(
+    ("damage", "said"),
+    [
+        ("gap", "sequence: 6 where 5 should be"),
+        ("units", "entries hold"),
+        ("id", "does not belong to it"),
+        ("open", "sum: counted"),
+        ("ack twice", "entries 3 to 4: exported twice"),
+        ("ack gap", "entries 5 to 6: never"),
+    ],
+)
 def test_verify_names_the_first_fault(tmp_path: Path, damage: str, said: str) -> None:
     store, t = filled(tmp_path)
     store.acknowledge(t.heads, 1, 4, False)
@@ -218,8 +228,12 @@
             txn.put(number(9), packed([7, 8, False]), db=store._acks)
     assert said in faults(store)[0]
     store.end()
-    run = subprocess.run([sys.executable, "-m", "brackenpulley", "ledger", "verify", "--path", str(tmp_path)],
-                         capture_output=True, text=True, check=False)
+    run = subprocess.run(
+        [sys.executable, "-m", "brackenpulley", "ledger", "verify", "--path", str(tmp_path)],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert run.returncode == 1 and said in run.stderr
 
 
@@ -323,7 +337,7 @@
         store.append(turn, [("i" * 16, 1, "p", 0, float(turn), T0)])
     assert [uses[0][4] for uses in store.turns(5)] == [6.0, 7.0]  # 3, 4 and 5 still stand behind them
     assert store._log is not None
-    store._log[size + cut:2 * size] = b"\xff" * (size - cut)
+    store._log[size + cut : 2 * size] = b"\xff" * (size - cut)
     assert [uses[0][4] for uses in store.turns(5)] == [6.0]
     store.end()
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -9,42 +9,73 @@
 SETTINGS = {
     "Classes": [{"Name": "a", "Objective": 1.0, "GiveUp": 3.0, "Value": 1.0, "Idempotency": "free", "New": 1}],
     "TiersOfService": [{"Name": "p", "QuotaRate": 5.0, "Burst": 10.0}],
-    "Extra": {"MayCount": True}, "Report": {"Via": "silent", "Fields": []}, "Limits": {"AttemptsCap": 2},
+    "Extra": {"MayCount": True},
+    "Report": {"Via": "silent", "Fields": []},
+    "Limits": {"AttemptsCap": 2},
     "Invariants": {"StopSendingWithin": 1.0, "ColdFrom": 0.2, "Cold": 5.0, "OverloadFactor": 3.0, "TipAfter": 2.0},
-    "MyNumber": 0, "NInstances": 1, "Resolution": 0.004, "MembershipMode": "automatic", "Zone": "z"}
+    "MyNumber": 0,
+    "NInstances": 1,
+    "Resolution": 0.004,
+    "MembershipMode": "automatic",
+    "Zone": "z",
+}
 
 
 def start(who: int, settings: Any = SETTINGS) -> list[Any]:
     lines = [{"Worker": f"10.0.0.{n}:1", "Az": "z", "Units": 1, "StageState": "healthy"} for n in range(3)]
-    return [{"Provision": {"Who": who, "Prng": 5, "Settings": settings}},
-            {"Membership": {"Who": who, "How": "stale_copy", "SeqNo": 1, "Lines": lines}}]
+    return [
+        {"Provision": {"Who": who, "Prng": 5, "Settings": settings}},
+        {"Membership": {"Who": who, "How": "stale_copy", "SeqNo": 1, "Lines": lines}},
+    ]
 
 
 def item(who: int, n: int) -> dict[str, Any]:
-    return {"WorkItem": {"Who": who, "Ref": f"{who:08x}{n:08x}", "Category": "a", "Package": "p", "Caller": n % 5,
-                         "Grace": 3.0, "CostUnits": 1, "EntryPoints": 1, "Base": 0, "Unknown": [1]}}
+    return {
+        "WorkItem": {
+            "Who": who,
+            "Ref": f"{who:08x}{n:08x}",
+            "Category": "a",
+            "Package": "p",
+            "Caller": n % 5,
+            "Grace": 3.0,
+            "CostUnits": 1,
+            "EntryPoints": 1,
+            "Base": 0,
+            "Unknown": [1],
+        }
+    }
 
 
 def play(batches: list[Any], seed: str = "0") -> tuple[list[Any], int, str]:
     text = "".join(b if isinstance(b, str) else json.dumps(b) + "\n" for b in batches)
-    done = subprocess.run([sys.executable, "-m", "brackenpulley.adapter"], input=text, capture_output=True, text=True,
-                          env={**os.environ, "PYTHONHASHSEED": seed}, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "brackenpulley.adapter"],
+        input=text,
+        capture_output=True,
+        text=True,
+        env={**os.environ, "PYTHONHASHSEED": seed},
+        timeout=60,
+    )
     return [json.loads(x) for x in done.stdout.splitlines()], done.returncode, done.stderr
 
 
 def days() -> list[Any]:
-    return [{"AtTime": 1.0, "in": []}, {"AtTime": 1.0, "in": start(0) + start(1)},
-            {"AtTime": 1.1, "in": [item(n % 2, n) for n in range(200)]},
-            {"AtTime": 1.2, "in": [{"Halt": {"Who": 1}}, *start(1), item(1, 999)]},
-            {"AtTime": 1.3, "in": [{"Mystery": {"Who": 0}}, {"Alarm": {"Who": 1, "Tag": 77}}]}]
+    return [
+        {"AtTime": 1.0, "in": []},
+        {"AtTime": 1.0, "in": start(0) + start(1)},
+        {"AtTime": 1.1, "in": [item(n % 2, n) for n in range(200)]},
+        {"AtTime": 1.2, "in": [{"Halt": {"Who": 1}}, *start(1), item(1, 999)]},
+        {"AtTime": 1.3, "in": [{"Mystery": {"Who": 0}}, {"Alarm": {"Who": 1, "Tag": 77}}]},
+    ]
 
 
 def test_batches_restart_and_end_of_input() -> None:
     replies, code, errors = play(days())
     assert code == 0 and not errors and len(replies) == 5
     assert replies[0] == {"steps": []}
-    answered = {row["Ref"] for step in replies[2]["steps"] for name, row in step.items()
-                if name in ("HandOff", "OverloadReply")}
+    answered = {
+        row["Ref"] for step in replies[2]["steps"] for name, row in step.items() if name in ("HandOff", "OverloadReply")
+    }
     assert len(answered) == 200
     assert [name for step in replies[3]["steps"] for name in step if name == "HandOff"] == ["HandOff"]
     assert replies[4] == {"steps": []}
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -72,8 +72,11 @@
         self.see(self.d.ask(cls, customer, left=left, spread=1 + customer % 3))
         assert (rid in self.out) != bool(self.answers[rid])
 
-    @rule(pick=st.integers(0, 99), closed=st.booleans(),
-          status=st.sampled_from(["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"]))
+    @rule(
+        pick=st.integers(0, 99),
+        closed=st.booleans(),
+        status=st.sampled_from(["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"]),
+    )
     def outcome(self, pick: int, status: str, closed: bool) -> None:
         if not self.out:
             return
@@ -136,8 +139,11 @@
 
     size = dict(gateways=300, probes=True, peers=True, peer_per_s=40.0, report_fields=["queue"])
 
-    @rule(n=st.integers(0, 9), status=st.sampled_from(["ok", "timeout", "full"]),
-          load=st.lists(st.floats(0, 99), max_size=2))
+    @rule(
+        n=st.integers(0, 9),
+        status=st.sampled_from(["ok", "timeout", "full"]),
+        load=st.lists(st.floats(0, 99), max_size=2),
+    )
     def probed(self, n: int, status: str, load: list[float]) -> None:
         self.see(self.d.do(Probed(f"s{n}", status, 0.01, load)))
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -67,9 +67,14 @@
         self.do(Ask("h", "ann", ["s0"], zone="a"))
         steps = {"asked": 0, "waiting": 1, "clearing": 2, "clear": 3, "at work": 4, "returning": 5, "done": 6}
         many = steps.get(state, 2 if state == "stuck" else 0)
-        calls = [lambda: self.step(facts=FACTS if many != 1 else Facts(SERVERS, lost=["b"])), lambda: None, self.say,
-                 lambda: self.do(Begin("h", self.permits.jobs["h"].token)),
-                 lambda: self.do(Finish("h", self.permits.jobs["h"].token)), lambda: self.step(9.0, carried=["h"])]
+        calls = [
+            lambda: self.step(facts=FACTS if many != 1 else Facts(SERVERS, lost=["b"])),
+            lambda: None,
+            self.say,
+            lambda: self.do(Begin("h", self.permits.jobs["h"].token)),
+            lambda: self.do(Finish("h", self.permits.jobs["h"].token)),
+            lambda: self.step(9.0, carried=["h"]),
+        ]
         for call in calls[:many]:
             call()
         if state == "stuck":
@@ -81,8 +86,14 @@
 
 
 TABLE = {  # command: {state before: state after}; what is not named is refused, and changes nothing
-    "withdraw": {"asked": "withdrawn", "waiting": "withdrawn", "clearing": "returning", "clear": "returning",
-                 "returning": "returning", "stuck": "returning"},
+    "withdraw": {
+        "asked": "withdrawn",
+        "waiting": "withdrawn",
+        "clearing": "returning",
+        "clear": "returning",
+        "returning": "returning",
+        "stuck": "returning",
+    },
     "begin": {"clear": "at work", "at work": "at work"},
     "finish": {"at work": "returning", "returning": "returning"},
     "override": {"clearing": "clear", "stuck": "clear"},
@@ -95,8 +106,12 @@
 def test_the_table_of_states(state: str, command: str) -> None:
     log = Log().to(state)
     token = log.permits.jobs["h"].token
-    made: dict[str, Command] = {"withdraw": Withdraw("h", "ann"), "begin": Begin("h", token),
-                                "finish": Finish("h", token), "override": Override("h", "bob")}
+    made: dict[str, Command] = {
+        "withdraw": Withdraw("h", "ann"),
+        "begin": Begin("h", token),
+        "finish": Finish("h", token),
+        "override": Override("h", "bob"),
+    }
     answer = log.do(made[command])
     after = TABLE[command].get(state)
     assert log.permits.jobs["h"].state == (after or state)
@@ -170,6 +185,7 @@
 
             def stop(self) -> None:
                 calls.append("stopped")
+
         r.daemon.maintenance = Gone()
         client = r.ask(1)
         _, server = r.served()
@@ -193,10 +209,17 @@
     assert log.permits.jobs["ing"].state == "clear"
 
 
-@pytest.mark.parametrize(("ask", "field"), [
-    (Ask("", "a", ["s1"]), "id"), (Ask("n", "a"), "id"), (Ask("n", "a", ["s1"], "x"), "id"),
-    (Ask("n", "a", [f"s{n}" for n in range(300)]), "servers"), (Ask("n", "a", ["s0"]), "servers"),
-    (Ask("h", "a", ["s3"]), "id")])
+@pytest.mark.parametrize(
+    ("ask", "field"),
+    [
+        (Ask("", "a", ["s1"]), "id"),
+        (Ask("n", "a"), "id"),
+        (Ask("n", "a", ["s1"], "x"), "id"),
+        (Ask("n", "a", [f"s{n}" for n in range(300)]), "servers"),
+        (Ask("n", "a", ["s0"]), "servers"),
+        (Ask("h", "a", ["s3"]), "id"),
+    ],
+)
 def test_an_ask_that_makes_no_sense_is_refused(ask: Ask, field: str) -> None:
     log = Log().to("waiting")
     before = log.permits.dump()
@@ -218,40 +241,63 @@
     assert other.jobs == {} and other.token == 0
 
 
-def want(name: str, *servers: str, place: int = -1, zone: str = "a", urgency: int = 0, asked: float = 0.0,
-         passed: int = 0) -> Wanted:
+def want(
+    name: str, *servers: str, place: int = -1, zone: str = "a", urgency: int = 0, asked: float = 0.0, passed: int = 0
+) -> Wanted:
     return Wanted(name, frozenset(servers), place, zone, urgency, asked, passed)
 
 
-@pytest.mark.parametrize(("one", "out", "facts", "why"), [
-    (want("h", "s0"), [], FACTS, ""), (want("h", "s0"), [], Facts(SERVERS, lost=["b"]), "zone b is lost"),
-    (want("h", "s0"), [], Facts(SERVERS, missing=2), "2 servers are missing"),
-    (want("h", "s0"), [want("p", "s1", zone="b"), want("q", "s3", zone="c")], FACTS, "2 machines are out, 2 at most"),
-    (want("h", "s0"), [want("p", "s2")], FACTS, "1 machines of zone a are out, 1 at most"),
-    (want("h", "zz"), [], FACTS, "server zz is not known"),
-    (want("h", "s4", "s5"), [], FACTS, "s4 is of the last of machine type m2"),
-    (want("h", "s4"), [want("p", "s5", zone="b")], FACTS, "s4 is of the last of machine type m2"),
-    (want("h", "s0"), [], Facts(SERVERS, 9.0), "what is left carries 10 attempts, 11 are needed"),
-    (want("h", place=1), [], FACTS, ""), (want("h", place=9), [], FACTS, "ingress 9 is not known"),
-    (want("h", place=1), [want("p", place=2, zone="b")], FACTS, "all ingresses of a set from 1 would be away"),
-    (want("h", place=1), [want("p", place=3, zone="b")], FACTS, ""),
-    (want("h", place=1), [], Facts(places=[True, True, False, True], spread=2),
-     "all ingresses of a set from 1 would be away")])
+@pytest.mark.parametrize(
+    ("one", "out", "facts", "why"),
+    [
+        (want("h", "s0"), [], FACTS, ""),
+        (want("h", "s0"), [], Facts(SERVERS, lost=["b"]), "zone b is lost"),
+        (want("h", "s0"), [], Facts(SERVERS, missing=2), "2 servers are missing"),
+        (
+            want("h", "s0"),
+            [want("p", "s1", zone="b"), want("q", "s3", zone="c")],
+            FACTS,
+            "2 machines are out, 2 at most",
+        ),
+        (want("h", "s0"), [want("p", "s2")], FACTS, "1 machines of zone a are out, 1 at most"),
+        (want("h", "zz"), [], FACTS, "server zz is not known"),
+        (want("h", "s4", "s5"), [], FACTS, "s4 is of the last of machine type m2"),
+        (want("h", "s4"), [want("p", "s5", zone="b")], FACTS, "s4 is of the last of machine type m2"),
+        (want("h", "s0"), [], Facts(SERVERS, 9.0), "what is left carries 10 attempts, 11 are needed"),
+        (want("h", place=1), [], FACTS, ""),
+        (want("h", place=9), [], FACTS, "ingress 9 is not known"),
+        (want("h", place=1), [want("p", place=2, zone="b")], FACTS, "all ingresses of a set from 1 would be away"),
+        (want("h", place=1), [want("p", place=3, zone="b")], FACTS, ""),
+        (
+            want("h", place=1),
+            [],
+            Facts(places=[True, True, False, True], spread=2),
+            "all ingresses of a set from 1 would be away",
+        ),
+    ],
+)
 def test_each_bound_holds_a_machine_back(one: Wanted, out: list[Wanted], facts: Facts, why: str) -> None:
     assert why_not(one, out, facts, BOUNDS) == why
 
 
 def test_the_order_is_by_urgency_then_age_and_nobody_is_passed_over_for_ever() -> None:
-    rows = [want("old", "s0", asked=1.0), want("new", "s1", zone="b", asked=2.0),
-            want("now", "s2", zone="c", urgency=5, asked=3.0)]
+    rows = [
+        want("old", "s0", asked=1.0),
+        want("new", "s1", zone="b", asked=2.0),
+        want("now", "s2", zone="c", urgency=5, asked=3.0),
+    ]
     assert [(one.id, why) for one, why in plan(rows, [], FACTS, BOUNDS)] == [
-        ("now", ""), ("old", ""), ("new", "2 machines are out, 2 at most")]
+        ("now", ""),
+        ("old", ""),
+        ("new", "2 machines are out, 2 at most"),
+    ]
     taken = [want("p", "s3", zone="a")]
     rows = [want("old", "s0", asked=1.0), want("new", "s1", zone="b", asked=2.0)]
     assert [one.id for one, why in plan(rows, taken, FACTS, BOUNDS) if not why] == ["new"]
     rows[0] = want("old", "s0", asked=1.0, passed=PASSES)
     assert [why for _, why in plan(rows, taken, FACTS, BOUNDS)][1] == (
-        f"old was passed over {PASSES} times and goes first")
+        f"old was passed over {PASSES} times and goes first"
+    )
     log = Log().to("clearing")
     log.do(Ask("held", "ann", ["s2"], zone="a"))
     for n in range(PASSES + 2):
@@ -313,6 +359,7 @@
         def ended() -> None:
             if self.host.life == life:
                 self.attempts_at[name] -= 1
+
         world.at(world.now + rng.expovariate(4.0), ended)
 
 
@@ -333,13 +380,26 @@
         self.world.checks.append(self.check)
 
     def make(self, host: Host) -> Bare:
-        part = Agreement(f"{host.name}@{host.life}", host.name, self.seats,
-                         lambda: Machine({PART: Permits()}), random.Random(self.rng.random()), self.world.now,
-                         host.disk if host.name in self.seats else None)
+        part = Agreement(
+            f"{host.name}@{host.life}",
+            host.name,
+            self.seats,
+            lambda: Machine({PART: Permits()}),
+            random.Random(self.rng.random()),
+            self.world.now,
+            host.disk if host.name in self.seats else None,
+        )
         port = self.ports[host.name] = Ingress(self, host)
         clerk = self.clerks[host.name] = Clerk(
-            host.name, part, lambda: part.machine.parts[PART], port, Bounds(2, 1, 0.0, 0.0), 2.0,  # type: ignore
-            60.0, self.world.now)
+            host.name,
+            part,
+            lambda: part.machine.parts[PART],
+            port,
+            Bounds(2, 1, 0.0, 0.0),
+            2.0,  # type: ignore
+            60.0,
+            self.world.now,
+        )
         part.advanced = clerk.heard
         life = host.life
 
@@ -349,6 +409,7 @@
                 if not host.stopped:
                     clerk.tick(self.world.now)
                     self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
+
         self.world.at(self.world.now + 0.01, look)
         self.world.at(self.world.now + 0.5, port.send)
         return Bare(host.address, {KIND: part})
@@ -398,6 +459,7 @@
         def done(answer: Any) -> None:
             if answer is None:
                 self.world.at(self.world.now + 0.1, lambda: self.ask(command))
+
         self.clerks[host.name].propose(self.world.now, command, done, 3.0)
         self.world.at(self.world.now + 4.0, lambda: self.again(command))
         self.world.do(host, host.driven.said())  # type: ignore[union-attr]
@@ -423,8 +485,11 @@
 def test_a_fleet_with_faults_keeps_the_order_and_does_every_request(seed: int) -> None:
     fleet = Fleet(seed)
     world = fleet.world
-    lines = [line for line in drawn(fleet.rng, fleet.names, 36.0, 3.0, 3)
-             if line.what != "start" or line.words[1] in ("kept", "power")]
+    lines = [
+        line
+        for line in drawn(fleet.rng, fleet.names, 36.0, 3.0, 3)
+        if line.what != "start" or line.words[1] in ("kept", "power")
+    ]
     Faults(world, lines)
     for at, job in enumerate(JOBS):
         world.at(world.now + 3.0 + at, lambda job=job: fleet.ask(job))  # type: ignore[misc]
@@ -463,6 +528,7 @@
                 stopped.add(name)
                 world.stop(world.host(name))
                 world.at(world.now + 4.0, lambda name=name: go_on(name))  # type: ignore[misc]
+
     world.checks.append(stop)
     assert world.until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["clear"], 60.0)
     assert stopped == set(fleet.names) and not fleet.wrong, fleet.wrong[:3]
@@ -505,9 +571,11 @@
         at = f"{host}:{free.getsockname()[1]}"
     (tmp_path / "keys").write_text(base64.b64encode(b"m" * 32).decode() + "\n")
     (tmp_path / "keys").chmod(0o600)
-    operator = {"members": {"fleet": "f", "listen": at, "seeds": [], "keys": str(tmp_path / "keys")},
-                "consensus": {"path": str(tmp_path / "log"), "voters": {"n0": at}},
-                "maintenance": {"out": 1, "zone": 1, "reserve": 0.0, "settle_s": 1.0, "late_s": 60.0}}
+    operator = {
+        "members": {"fleet": "f", "listen": at, "seeds": [], "keys": str(tmp_path / "keys")},
+        "consensus": {"path": str(tmp_path / "log"), "voters": {"n0": at}},
+        "maintenance": {"out": 1, "zone": 1, "reserve": 0.0, "settle_s": 1.0, "late_s": 60.0},
+    }
     with rig(2, operator=operator) as r:
         service = r.daemon.maintenance
         r.until(lambda: bool(service.clerk.entered))
@@ -546,6 +614,11 @@
     assert sides["v0"] == sides["v3"] == set() and sides["v1"] == sides["v4"] == {"h1"}
     assert fleet.permits().jobs["h1"].state == "clearing"  # the other side was not heard
     world.links.heal()
-    assert world.until(lambda: all(set(c.permits.jobs) == {"h0", "h1"} and not c.permits.missing(
-        c.permits.jobs["h1"]) for c in fleet.clerks.values()), 60.0)
+    assert world.until(
+        lambda: all(
+            set(c.permits.jobs) == {"h0", "h1"} and not c.permits.missing(c.permits.jobs["h1"])
+            for c in fleet.clerks.values()
+        ),
+        60.0,
+    )
     assert not fleet.wrong
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -42,13 +42,21 @@
     assert unseal(data, ring) == ENVELOPE and b"127.0.0.1" not in data and data != seal(ENVELOPE, ring)
 
 
-@pytest.mark.parametrize(("spoil", "cause"), [
-    (lambda d: d[:OVERHEAD - 1], "truncated"), (lambda d: d[:-1], "forged"), (lambda d: b"", "truncated"),
-    (lambda d: b"\x02" + d[1:], "version"), (lambda d: d[:-1] + bytes([d[-1] ^ 1]), "forged"),
-    (lambda d: d + b"x" * 65536, "too_long"), (lambda d: d[:1] + b"zzzz" + d[5:], "unknown_key"),
-    (lambda d: seal(ENVELOPE, KeyRing("west", OLD)), "forged"),
-    (lambda d: seal(ENVELOPE, KeyRing("east", NEW)), "unknown_key"),
-    (lambda d: KeyRing("east", OLD).seal(b"\x93no message"), "malformed")])
+@pytest.mark.parametrize(
+    ("spoil", "cause"),
+    [
+        (lambda d: d[: OVERHEAD - 1], "truncated"),
+        (lambda d: d[:-1], "forged"),
+        (lambda d: b"", "truncated"),
+        (lambda d: b"\x02" + d[1:], "version"),
+        (lambda d: d[:-1] + bytes([d[-1] ^ 1]), "forged"),
+        (lambda d: d + b"x" * 65536, "too_long"),
+        (lambda d: d[:1] + b"zzzz" + d[5:], "unknown_key"),
+        (lambda d: seal(ENVELOPE, KeyRing("west", OLD)), "forged"),
+        (lambda d: seal(ENVELOPE, KeyRing("east", NEW)), "unknown_key"),
+        (lambda d: KeyRing("east", OLD).seal(b"\x93no message"), "malformed"),
+    ],
+)
 def test_a_packet_that_is_not_ours_is_named_and_dropped(spoil: object, cause: str) -> None:
     with pytest.raises(PacketError) as error:
         unseal(spoil(seal(ENVELOPE, KeyRing("east", OLD))), KeyRing("east", OLD))  # type: ignore[operator]
@@ -140,12 +148,28 @@
     return p
 
 
-@pytest.mark.parametrize(("state", "said", "incarnation", "then"), [
-    (ALIVE, ALIVE, 5, ALIVE), (ALIVE, SUSPECT, 4, ALIVE), (ALIVE, SUSPECT, 5, SUSPECT), (ALIVE, SUSPECT, 6, SUSPECT),
-    (ALIVE, DEAD, 4, ALIVE), (ALIVE, DEAD, 5, DEAD), (ALIVE, LEFT, 6, LEFT), (SUSPECT, ALIVE, 5, SUSPECT),
-    (SUSPECT, ALIVE, 6, ALIVE), (SUSPECT, SUSPECT, 4, SUSPECT), (SUSPECT, DEAD, 5, DEAD), (SUSPECT, LEFT, 6, LEFT),
-    (DEAD, ALIVE, 5, DEAD), (DEAD, SUSPECT, 9, DEAD), (DEAD, ALIVE, 6, ALIVE), (LEFT, ALIVE, 5, LEFT),
-    (LEFT, DEAD, 9, LEFT)])
+@pytest.mark.parametrize(
+    ("state", "said", "incarnation", "then"),
+    [
+        (ALIVE, ALIVE, 5, ALIVE),
+        (ALIVE, SUSPECT, 4, ALIVE),
+        (ALIVE, SUSPECT, 5, SUSPECT),
+        (ALIVE, SUSPECT, 6, SUSPECT),
+        (ALIVE, DEAD, 4, ALIVE),
+        (ALIVE, DEAD, 5, DEAD),
+        (ALIVE, LEFT, 6, LEFT),
+        (SUSPECT, ALIVE, 5, SUSPECT),
+        (SUSPECT, ALIVE, 6, ALIVE),
+        (SUSPECT, SUSPECT, 4, SUSPECT),
+        (SUSPECT, DEAD, 5, DEAD),
+        (SUSPECT, LEFT, 6, LEFT),
+        (DEAD, ALIVE, 5, DEAD),
+        (DEAD, SUSPECT, 9, DEAD),
+        (DEAD, ALIVE, 6, ALIVE),
+        (LEFT, ALIVE, 5, LEFT),
+        (LEFT, DEAD, 9, LEFT),
+    ],
+)
 def test_what_is_heard_of_a_member(state: str, said: str, incarnation: int, then: str) -> None:
     p = knows(state)
     p.receive(101.0, "a2", Tell([Update("x", "a1", incarnation, said, "z")]))
@@ -157,15 +181,15 @@
     p.receive(101.0, "a1", Tell([Update("me", "a0", 1, DEAD, "x")]))
     assert p.incarnation == 2 and p.counts["refuted"] == 1
     assert not [e for e in p.receive(101.0, "a1", Ping(1, "an older one")) if isinstance(e, Send)]
-    answer, = [e.body for e in p.receive(101.0, "a1", Ping(1, "me")) if isinstance(e, Send)]
+    (answer,) = [e.body for e in p.receive(101.0, "a1", Ping(1, "me")) if isinstance(e, Send)]
     assert isinstance(answer, Ack) and answer.updates[0].incarnation == 2
 
 
 def test_a_relay_passes_the_answer_on_or_says_that_there_was_none() -> None:
     p = knows(ALIVE)
-    ping, = [e for e in p.receive(101.0, "a9", Ask(40, "x", "a1")) if isinstance(e, Send)]
+    (ping,) = [e for e in p.receive(101.0, "a9", Ask(40, "x", "a1")) if isinstance(e, Send)]
     assert ping.to == "a1" and isinstance(ping.body, Ping)
-    back, = [e for e in p.receive(101.1, "a1", Ack(ping.body.seq)) if isinstance(e, Send)]
+    (back,) = [e for e in p.receive(101.1, "a1", Ack(ping.body.seq)) if isinstance(e, Send)]
     assert (back.to, back.body.seq) == ("a9", 40)  # type: ignore[union-attr]
     p.receive(101.2, "a9", Ask(41, "x", "a1"))
     late = [e for e in p.tick(101.8) if isinstance(e, Send) and e.to == "a9"]
@@ -242,6 +266,7 @@
 
 def test_no_datagram_is_longer_than_is_read_and_load_is_flat_in_the_size() -> None:
     from rich.progress import Progress
+
     rows = [study(size, 5.0, 1, 2, Progress(disable=True)) for size in (20, 80)]
     assert max(row["longestDatagram"] for row in rows) <= LARGEST
     assert rows[1]["bytesAMemberASecond"] < 2 * rows[0]["bytesAMemberASecond"]
--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -35,8 +35,17 @@
     def add(self, at: tuple[str, int] = ("127.0.0.1", 0), fleet: str = "east") -> MemberService:
         name = f"m{len(self.members)}"
         seeds = [self.members[0].protocol.address] if self.members and self.members[0].protocol else []
-        made = MemberService(self.loop, KeyRing(fleet, KEY), name, 1, seeds, Metrics(), Silent(),
-                             lambda change: self.heard.append((name, change)), QUICK)
+        made = MemberService(
+            self.loop,
+            KeyRing(fleet, KEY),
+            name,
+            1,
+            seeds,
+            Metrics(),
+            Silent(),
+            lambda change: self.heard.append((name, change)),
+            QUICK,
+        )
         made.listen(at)
         self.members.append(made)
         return made
@@ -76,11 +85,17 @@
         assert not [c for _, c in f.heard if c.id == "m4" and c.state == "dead"]
 
 
-@pytest.mark.parametrize(("make", "cause"), [
-    (lambda good: good, "replayed"), (lambda good: b"x" * 65000, "too_long"), (lambda good: good[:20], "truncated"),
-    (lambda good: good[:-1] + bytes([good[-1] ^ 1]), "forged"),
-    (lambda good: seal(Envelope("z", 1, 1, Ping(1, "m0")), KeyRing("west", KEY)), "forged"),
-    (lambda good: seal(Envelope("z", 1, 1, Ping(1, "m0")), KeyRing("east", b"w" * 32)), "unknown_key")])
+@pytest.mark.parametrize(
+    ("make", "cause"),
+    [
+        (lambda good: good, "replayed"),
+        (lambda good: b"x" * 65000, "too_long"),
+        (lambda good: good[:20], "truncated"),
+        (lambda good: good[:-1] + bytes([good[-1] ^ 1]), "forged"),
+        (lambda good: seal(Envelope("z", 1, 1, Ping(1, "m0")), KeyRing("west", KEY)), "forged"),
+        (lambda good: seal(Envelope("z", 1, 1, Ping(1, "m0")), KeyRing("east", b"w" * 32)), "unknown_key"),
+    ],
+)
 def test_a_packet_that_is_not_ours_is_counted_and_gets_no_answer(make: Any, cause: str) -> None:
     with fleet(2) as f, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.setblocking(False)
--- a/tests/test_module_cost.py
+++ b/tests/test_module_cost.py
@@ -23,9 +23,14 @@
     return len(up), sum(s.recent(late) for s in up)
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(
-    ["list", "whole", "send", "send", "send", "end", "end", "answer", "aside", "back", "count"]), st.integers(0, 9)),
-    min_size=20, max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["list", "whole", "send", "send", "send", "end", "end", "answer", "aside", "back", "count"]),
+        st.integers(0, 9),
+    ),
+    min_size=20,
+    max_size=120,
+)
 
 
 @given(STEPS, st.sampled_from([1.0, 1e9]))
@@ -39,8 +44,13 @@
         name = f"s{n}"
         if what in ("list", "whole"):
             states = ("up", "up", "draining", "gone") if what == "list" else ("up", "draining")
-            servers.told(what == "whole", [ServerEntry(f"s{m}", state=rng.choice(states), size=1.0 + m,
-                                                       started=float(rng.randrange(2))) for m in range(n + 1)])
+            servers.told(
+                what == "whole",
+                [
+                    ServerEntry(f"s{m}", state=rng.choice(states), size=1.0 + m, started=float(rng.randrange(2)))
+                    for m in range(n + 1)
+                ],
+            )
         elif what == "end" and out:
             name, attempt = out.pop(rng.randrange(len(out)))
             if name in servers:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -67,8 +67,11 @@
             server.close()
         status, head, body = call(one, "GET", "/control/counters")
         assert status == 200 and b"text/plain" in head
-        seen = {line.split(b" ")[0]: float(line.split(b" ")[1]) for line in body.splitlines()
-                if line and not line.startswith(b"#")}
+        seen = {
+            line.split(b" ")[0]: float(line.split(b" ")[1])
+            for line in body.splitlines()
+            if line and not line.startswith(b"#")
+        }
         assert seen[b'app_ok{kind="a"}'] == 3 and seen[b'app_tries{kind="a"}'] == 3
         assert seen[b"app_active"] == 0 and seen[b"app_pool_size"] == 1 and seen[b"app_pool_ejected"] == 0
         assert b'\napp_ok{kind="a"} 3\n' in body and b"\napp_active 0\n" in body
--- a/tests/test_plan_book.py
+++ b/tests/test_plan_book.py
@@ -57,19 +57,26 @@
 
 
 BAD = [
-    (move(3, "county", NOW), 409, "revision"), (move(0, "county", NOW), 409, "revision"),
-    (move(2, "gold", NOW), 409, "plan"), (move(2, "", NOW), 400, "plan"),
-    (move(2, "county", NOW, firm="xyz"), 400, "firm"), (move(2, "county", NOW, firm="ffffffffff"), 400, "firm"),
-    (move(2, "county", float("nan")), 400, "since"), (move(2, "county", NOW + 4e7), 400, "since"),
-    (move(2, "county", NOW, at=NOW + 60), 400, "at"), (move(2, "county", NOW, of=1), 400, "of"),
+    (move(3, "county", NOW), 409, "revision"),
+    (move(0, "county", NOW), 409, "revision"),
+    (move(2, "gold", NOW), 409, "plan"),
+    (move(2, "", NOW), 400, "plan"),
+    (move(2, "county", NOW, firm="xyz"), 400, "firm"),
+    (move(2, "county", NOW, firm="ffffffffff"), 400, "firm"),
+    (move(2, "county", float("nan")), 400, "since"),
+    (move(2, "county", NOW + 4e7), 400, "since"),
+    (move(2, "county", NOW, at=NOW + 60), 400, "at"),
+    (move(2, "county", NOW, of=1), 400, "of"),
     (move(2, "county", NOW, figures=Figures(1.0, 1.0)), 400, "figures"),
     (Change(2, "set", at=NOW, since=NOW, plan="x"), 400, "figures"),
     (Change(2, "set", at=NOW, since=NOW, plan="x", firm="1", figures=Figures(1.0, 1.0)), 400, "firm"),
     (Change(2, "set", at=NOW, since=NOW, plan="x", figures=Figures(-1.0, 1.0)), 400, "figures.rate"),
     (Change(2, "set", at=NOW, since=NOW, plan="x", figures=Figures(1.0, float("inf"))), 400, "figures.burst"),
     (Change(2, "set", at=NOW, since=NOW, plan="x", figures=Figures(1.0, 0.0)), 400, "figures"),
-    (Change(2, "withdraw", at=NOW, of=9), 409, "of"), (Change(2, "withdraw", at=NOW + 1, of=1), 409, "of"),
-    (Change(2, "withdraw", at=NOW, of=1, plan="x"), 400, "of")]
+    (Change(2, "withdraw", at=NOW, of=9), 409, "of"),
+    (Change(2, "withdraw", at=NOW + 1, of=1), 409, "of"),
+    (Change(2, "withdraw", at=NOW, of=1, plan="x"), 400, "of"),
+]
 
 
 @pytest.mark.parametrize(("change", "status", "field"), BAD)
@@ -132,7 +139,7 @@
 def saved(tmp_path: Path, count: int = 3) -> tuple[str, list[Change]]:
     path, changes = str(tmp_path / "plans"), [move(n + 1, "county", NOW + n) for n in range(count)]
     for n in range(count):
-        snapshot.save(path, changes[:n + 1])
+        snapshot.save(path, changes[: n + 1])
     return path, changes
 
 
@@ -143,8 +150,16 @@
     assert snapshot.load(str(tmp_path / "none"), book(), NOW) == []
 
 
-@pytest.mark.parametrize("damage", [lambda d: d[:-9], lambda d: d.replace(b"county", b"countz"), lambda d: b"", 
-                                    lambda d: d + b"{}\n", lambda d: b"\0" * len(d)])
+@pytest.mark.parametrize(
+    "damage",
+    [
+        lambda d: d[:-9],
+        lambda d: d.replace(b"county", b"countz"),
+        lambda d: b"",
+        lambda d: d + b"{}\n",
+        lambda d: b"\0" * len(d),
+    ],
+)
 def test_a_damaged_snapshot_is_one_line_and_the_last_good_one_is_used(tmp_path: Path, damage: Any) -> None:
     path, changes = saved(tmp_path)
     Path(path).write_bytes(damage(Path(path).read_bytes()))
@@ -158,8 +173,9 @@
 
 
 @pytest.mark.parametrize("step", ["open", "fsync", "link", "replace"])
-def test_a_disk_that_fails_at_any_step_leaves_a_good_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                             step: str) -> None:
+def test_a_disk_that_fails_at_any_step_leaves_a_good_snapshot(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
+) -> None:
     path, changes = saved(tmp_path, 2)
 
     def fails(*args: Any, **more: Any) -> Any:
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -65,7 +65,7 @@
 def test_a_reading_does_not_forgive_what_is_owed() -> None:
     d = drive()
     ask(d, "county", 40, spread=3)
-    call, = of(Count, d.log)
+    (call,) = of(Count, d.log)
     d.do(Counted(call.name, "ok", call.amount))
     d.do(Moved(1, "school"))
     owed = d.g.customers[1].level
@@ -73,7 +73,7 @@
     d.g.customers[1].unsaid, d.g.customers[1].next_call = 8.0, d.now
     d.g.note_use(d.now, d.g.customers[1])
     d.now += 1.0
-    again, = of(Count, d.do(Timer(d.g.token)))
+    (again,) = of(Count, d.do(Timer(d.g.token)))
     d.do(Counted(again.name, "ok", call.amount + again.amount))
     assert d.g.customers[1].level < owed + 3.5
 
@@ -101,12 +101,14 @@
     assert ask(d, "school", 9) == 6
 
 
-@pytest.mark.parametrize(("status", "returned"), [("connect_failed", True), ("moot", True), ("full", False),
-                                                  ("timeout", False), ("reset", False), ("error", False)])
+@pytest.mark.parametrize(
+    ("status", "returned"),
+    [("connect_failed", True), ("moot", True), ("full", False), ("timeout", False), ("reset", False), ("error", False)],
+)
 def test_a_try_that_reached_no_server_whole_has_its_units_returned(status: str, returned: bool) -> None:
     """A server that turns a try away has had it whole: PROTOCOL counts it."""
     d = drive(max_attempts=1)
-    send, = of(Send, d.ask(plan="school", units=4.0))
+    (send,) = of(Send, d.ask(plan="school", units=4.0))
     assert d.g.customers[1].level == 4.0
     acts = d.do(Outcome(send.id, send.server, 0, status, 0.1))
     assert of(Refuse, acts) or not returned
@@ -117,7 +119,7 @@
 def test_units_returned_after_they_were_told_are_told_back() -> None:
     d = drive(max_attempts=1)
     ask(d, "school", 1, spread=3, units=2.0)
-    send, = of(Send, d.ask(plan="school", spread=3, units=2.0))
+    (send,) = of(Send, d.ask(plan="school", spread=3, units=2.0))
     d.now += 0.3
     d.do(Timer(d.g.token))
     for call in of(Count, d.log):
@@ -136,9 +138,9 @@
 
 def test_the_true_cost_is_charged_once_and_under_the_plan_it_was_let_in_on() -> None:
     d = drive(settles=True)
-    send, = of(Send, d.ask(plan="school", units=2.0))
+    (send,) = of(Send, d.ask(plan="school", units=2.0))
     d.do(Moved(1, "county"))
-    charge, = of(Charge, d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
+    (charge,) = of(Charge, d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
     assert (charge.plan, charge.units, charge.customer, charge.since) == ("school", 5.0, 1, d.now)
     assert d.g.customers[1].level == 32 - 5
 
@@ -146,7 +148,7 @@
 def test_a_reservation_holds_until_it_is_settled() -> None:
     d = drive()
     assert of(Reserved, d.do(Reserve("r1", 1, "school", 6.0)))
-    refusal, = of(Refuse, d.do(Reserve("r2", 1, "school", 4.0)))
+    (refusal,) = of(Refuse, d.do(Reserve("r2", 1, "school", 4.0)))
     assert refusal.id == "r2"
     assert ask(d, "school", 5) == 2
     assert of(Charge, d.do(Settle("r1", 1, "school", 3, 6.0, 1.0, d.now)))[0].units == 1.0
@@ -171,8 +173,9 @@
     assert ask(d, "school", 9, spread=3) == 3 and not of(Count, d.log)
 
 
-STEP = st.tuples(st.sampled_from(["school", "county"]), st.integers(1, 12), st.sampled_from([0.0, 0.1, 0.7, 3.0]),
-                 st.booleans())
+STEP = st.tuples(
+    st.sampled_from(["school", "county"]), st.integers(1, 12), st.sampled_from([0.0, 0.1, 0.7, 3.0]), st.booleans()
+)
 
 
 @given(st.lists(STEP, max_size=40))
@@ -191,12 +194,14 @@
         spec = d.g.customers[1].plan
         rates.append((wait, spec.rate))
         d.now += wait
+
     def earned(since: float, until: float) -> float:
         at, total = 1000.0, 0.0
         for wait, rate in rates:
             total += rate * max(0.0, min(until, at + wait) - max(since, at))
             at += wait
         return total
+
     for n, first in enumerate(sends):
         for m in range(n, len(sends)):
             assert m - n + 1 <= 32 + earned(first, sends[m]) + 1e-6
--- a/tests/test_plan_trial.py
+++ b/tests/test_plan_trial.py
@@ -17,8 +17,12 @@
 
 
 def test_the_demo_agrees_with_itself() -> None:
-    run = subprocess.run([sys.executable, "-m", "brackenpulley", "demo", "--seconds", "3", "--json"],
-                         capture_output=True, text=True, check=False)
+    run = subprocess.run(
+        [sys.executable, "-m", "brackenpulley", "demo", "--seconds", "3", "--json"],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     told = json.loads(run.stdout)
     assert run.returncode == 0 and told["agree"] and told["served"] > 10
     assert told["ranUnits"] == told["countedUnits"] == told["exportedUnits"]
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -98,7 +98,8 @@
         self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, Silent())
         self.ingress.plans = self.plans
         self.held = self.ingress.holds = ReservationService(
-            self.loop, self.ingress, ReservationsPart(100, 60.0, 3.0, True), self.loop.metrics)
+            self.loop, self.ingress, ReservationsPart(100, 60.0, 3.0, True), self.loop.metrics
+        )
         self.ledger.start()
         self.plans.start()
         self.ingress.members(ServerList("full", [ServerEntry(f"s{n}") for n in range(4)]))
@@ -113,9 +114,17 @@
         self.loop.close()
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(
-    ["ask", "ask", "end", "end", "move", "figures", "reserve", "commit", "release", "pay", "pass", "crash"]),
-    st.integers(1, 3), st.integers(1, 8)), min_size=40, max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            ["ask", "ask", "end", "end", "move", "figures", "reserve", "commit", "release", "pay", "pass", "crash"]
+        ),
+        st.integers(1, 3),
+        st.integers(1, 8),
+    ),
+    min_size=40,
+    max_size=120,
+)
 
 
 @given(STEPS)
@@ -132,19 +141,47 @@
             if kind == "pay" and (held := core.held.table.known(name)) is not None:
                 firm = held.firm
             if kind in ("ask", "pay"):
-                message = Message(f"m{serial}", "check", "school", firm, 4.0, float(number), 3, 0, False, None,
-                                  name if kind == "pay" else "", told="school")
+                message = Message(
+                    f"m{serial}",
+                    "check",
+                    "school",
+                    firm,
+                    4.0,
+                    float(number),
+                    3,
+                    0,
+                    False,
+                    None,
+                    name if kind == "pay" else "",
+                    told="school",
+                )
                 core.south.asked[message.id] = message
                 core.ingress.take(message, lambda answer: None, core.south)
             elif kind == "end" and core.south.out:
                 status = ("ok", "ok", "error", "connect_failed")[number % 4]
                 core.south.end(rng.choice(core.south.out), status, float(1 + number % 5))
             elif kind == "move":
-                core.plans.change(Change(core.plans.book.revision + 1, "move", at=core.now, firm=firm_text(firm),
-                                         since=core.now + number / 10 - 0.3, plan=("school", "county")[number % 2]))
+                core.plans.change(
+                    Change(
+                        core.plans.book.revision + 1,
+                        "move",
+                        at=core.now,
+                        firm=firm_text(firm),
+                        since=core.now + number / 10 - 0.3,
+                        plan=("school", "county")[number % 2],
+                    )
+                )
             elif kind == "figures":
-                core.plans.change(Change(core.plans.book.revision + 1, "set", at=core.now, since=core.now + firm / 10,
-                                         plan="school", figures=Figures(rate=float(number), burst=8.0)))
+                core.plans.change(
+                    Change(
+                        core.plans.book.revision + 1,
+                        "set",
+                        at=core.now,
+                        since=core.now + firm / 10,
+                        plan="school",
+                        figures=Figures(rate=float(number), burst=8.0),
+                    )
+                )
             elif kind in ("reserve", "commit", "release"):
                 must += booked(core, kind, name, firm, float(number))
             elif kind == "pass":
@@ -208,8 +245,10 @@
     outside = Loop(time.time, Metrics(), Silent())
     servers = [SimServer(outside, "s-0", random.Random(1))]
     discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
-    told = (f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.text}/use"\n'
-            'batch = 10\ntimeout_s = 30.0\n')
+    told = (
+        f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.text}/use"\n'
+        "batch = 10\ntimeout_s = 30.0\n"
+    )
 
     def start() -> Process:
         return Process(tmp_path, "n0", free_ports(1)[0], discovery.listener.text, counter.listener.text, told)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -53,8 +53,12 @@
 
 def test_an_answer_passes_unchanged_and_both_connections_are_kept() -> None:
     with rig() as r:
-        client = r.ask(1, method="POST", body=b"in", more="Idempotency-Key: k1\r\nX-Hop: 1\r\n"
-                       "Connection: keep-alive, X-Hop, X-Request-ID\r\n")
+        client = r.ask(
+            1,
+            method="POST",
+            body=b"in",
+            more="Idempotency-Key: k1\r\nX-Hop: 1\r\nConnection: keep-alive, X-Hop, X-Request-ID\r\n",
+        )
         _, server = r.served()
         _, head, body = server.answer()
         assert head.startswith(b"POST /a/0000000000000001?q=1 HTTP/1.1\r\n") and body == b"in"
@@ -179,8 +183,14 @@
         assert status == 429 and 0 < after <= 2.0 and wires
 
 
-@pytest.mark.parametrize("head", ["GET /zz/7 HTTP/1.1\r\nX-Tariff: p", "GET /a/7 HTTP/1.1\r\nX-Tariff: zz",
-                                  "GET /a/7 HTTP/1.1\r\nX-Priority-Class: zz\r\nX-Tariff: p"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        "GET /zz/7 HTTP/1.1\r\nX-Tariff: p",
+        "GET /a/7 HTTP/1.1\r\nX-Tariff: zz",
+        "GET /a/7 HTTP/1.1\r\nX-Priority-Class: zz\r\nX-Tariff: p",
+    ],
+)
 def test_an_unknown_class_or_plan_is_answered(head: str) -> None:
     with rig() as r:
         client = r.client().send(f"{head}\r\nX-Request-ID: 1\r\nX-Timeout: 9000m\r\n\r\n".encode())
@@ -188,16 +198,25 @@
 
 
 # Guards against bad units in a usual customer's name: the module took them for that customer's own and kept the set.
-@pytest.mark.parametrize("weight", ["units=0", "units=9", "units=nan", "units=2,spread=2", "spread=0", "first=1",
-                                    "units=1e3", "units=1,units=2"])
+@pytest.mark.parametrize(
+    "weight",
+    ["units=0", "units=9", "units=nan", "units=2,spread=2", "spread=0", "first=1", "units=1e3", "units=1,units=2"],
+)
 def test_weights_that_the_settings_leave_no_room_for_touch_no_customer(weight: str) -> None:
     with rig() as r:
         assert r.ask(7, more=f"X-Weight: {weight}\r\n").answer()[0] == 400
         assert not r.daemon.ingress.gateway.customers and not r.count("relays")
 
 
-@pytest.mark.parametrize("data", [b"", b"GET /a/7 HTTP/1.1\r\nX-", b"POST /a/7 HTTP/1.1\r\nContent-Length: 9\r\n\r\nab",
-                                  b"POST /a/7 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 65536])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"GET /a/7 HTTP/1.1\r\nX-",
+        b"POST /a/7 HTTP/1.1\r\nContent-Length: 9\r\n\r\nab",
+        b"POST /a/7 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 65536,
+    ],
+)
 def test_a_bad_client_has_an_error_or_a_close_within_3_s_of_connecting(data: bytes) -> None:
     with rig() as r:
         wire = r.client()
@@ -261,23 +280,40 @@
         assert client.answer()[0] == 200
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"nonsense\r\n\r\n", 400), (HEAD + b"\r\n", 400), (HEAD + b"X-Request-ID: 1\r\n\r\n", 400),
-    (HEAD + b"X-Request-ID: 1\r\nX-Timeout: 4x\r\n\r\n", 400), (b"GET /a/zz HTTP/1.1\r\nX-Request-ID: 1\r\n\r\n", 400),
-    (HEAD + b"X-Request-ID: 1\r\nX-Timeout: 4m\r\nX-Weight: units=-1\r\n\r\n", 400),
-    (HEAD + b"X-Request-ID: 1\r\nX-Request-ID: 2\r\nX-Timeout: 4m\r\n\r\n", 400),
-    (HEAD + b"Content-Length: %d\r\n\r\n" % ((32 << 20) + 1), 413),
-    (HEAD + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400),
-    (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
-    (HEAD + b"Transfer-Encoding: gzip\r\n\r\n", 400),
-    (HEAD + b"Transfer-Encoding: identity\r\nContent-Length: 1\r\n\r\na", 400),
-    (HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400), (HEAD + b"Content-Length: -1\r\n\r\n", 400),
-    (HEAD + b"Content-Length: 99999999999999999999\r\n\r\n", 400),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + b"x" * 0x8000 + b"\r\n8001\r\n" + b"x" * 0x8001, 400),
-    (HEAD + b"X: " + b"y" * 20000 + b"\r\n\r\n", 431), (b"GET /" + b"a" * 9000 + b" HTTP/1.1\r\n\r\n", 431),
-    (HEAD + b"X-Never-Ends: " + b"y" * 30000, 431), (b"GET /ready HTTP/1.1\r\n\r\n", 200),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (HEAD + b"\r\n", 400),
+        (HEAD + b"X-Request-ID: 1\r\n\r\n", 400),
+        (HEAD + b"X-Request-ID: 1\r\nX-Timeout: 4x\r\n\r\n", 400),
+        (b"GET /a/zz HTTP/1.1\r\nX-Request-ID: 1\r\n\r\n", 400),
+        (HEAD + b"X-Request-ID: 1\r\nX-Timeout: 4m\r\nX-Weight: units=-1\r\n\r\n", 400),
+        (HEAD + b"X-Request-ID: 1\r\nX-Request-ID: 2\r\nX-Timeout: 4m\r\n\r\n", 400),
+        (HEAD + b"Content-Length: %d\r\n\r\n" % ((32 << 20) + 1), 413),
+        (HEAD + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (HEAD + b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400),
+        (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
+        (HEAD + b"Transfer-Encoding: gzip\r\n\r\n", 400),
+        (HEAD + b"Transfer-Encoding: identity\r\nContent-Length: 1\r\n\r\na", 400),
+        (HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+        (HEAD + b"Content-Length: -1\r\n\r\n", 400),
+        (HEAD + b"Content-Length: 99999999999999999999\r\n\r\n", 400),
+        (
+            HEAD
+            + b"Transfer-Encoding: chunked\r\n\r\n"
+            + b"8000\r\n"
+            + b"x" * 0x8000
+            + b"\r\n8001\r\n"
+            + b"x" * 0x8001,
+            400,
+        ),
+        (HEAD + b"X: " + b"y" * 20000 + b"\r\n\r\n", 431),
+        (b"GET /" + b"a" * 9000 + b" HTTP/1.1\r\n\r\n", 431),
+        (HEAD + b"X-Never-Ends: " + b"y" * 30000, 431),
+        (b"GET /ready HTTP/1.1\r\n\r\n", 200),
+    ],
+)
 def test_malformed_input_gets_its_status_and_harms_nobody(data: bytes, status: int) -> None:
     with rig() as r:
         assert r.client().send(data).answer()[0] == status
@@ -286,8 +322,10 @@
 
 def test_a_body_that_waits_to_be_asked_for_is_asked_for() -> None:
     with rig() as r:
-        client = r.client().send(b"POST /a/1 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n"
-                                 b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+        client = r.client().send(
+            b"POST /a/1 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n"
+            b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+        )
         assert client.until(b"\r\n\r\n").startswith(b"HTTP/1.1 100 ")
         client.send(b"in")
         _, server = r.served()
@@ -385,6 +423,7 @@
                 failed.append(1)
                 raise OSError(errno.EMFILE, "no more")
             return real(sock)
+
         monkeypatch.setattr(sockets, "accept", accept)
         assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
         assert r.count("out_of_descriptors") == 3
@@ -452,6 +491,7 @@
                 ends.append((e.status, e.total))
             else:
                 late.append((e.call, e.status, e.total))
+
         client.tell = tell
         client.add(5, 1.5, 4.0, 71)
         wire = r.counter.accept()
@@ -517,8 +557,10 @@
             wire.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             again = place.accept()
             assert again.until(b"\r\n").startswith(b"GET /v1/endpoints?watch=1&from=7 ")
-            again.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(
-                {"generation": 9, "reset": True, "instances": []}))
+            again.send(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                + chunk({"generation": 9, "reset": True, "instances": []})
+            )
             r.until(lambda: r.daemon.discovery.heard)
             assert r.daemon.inventory.version == 9 and len(r.daemon.inventory) == 0
 
@@ -543,17 +585,30 @@
     assert found[0] != found[1]
 
 
-
 # Guards against taking a spoilt answer for "nothing was added" and telling the amount a second time; and against losing
 # the good answers in front of it.
-@pytest.mark.parametrize(("data", "found", "good"), [
-    ([b":7\r\n$3\r\n1.5\r\n"], [7.0, 1.5], True), ([b"$1", b"\r", b"\n9\r", b"\n"], [9.0], True),
-    ([b"-BUSY\r\n-ERR no\r\n"], ["BUSY", "ERR no"], True), ([b"$3\r\n1e3\r\n"], [1000.0], True),
-    ([b"$1\r\n5\r\n*1\r\n"], [5.0], False), ([b"+PONG\r\n"], [], False), ([b"-BUSYx\r\n"], [], False),
-    ([b"$-1\r\n"], [], False), ([b"$1\r\n12\r\n"], [], False), ([b"$1\r\nx\r\n"], [], False),
-    ([b"$3\r\nnan\r\n"], [], False), ([b"$3\r\n1_0\r\n"], [], False), ([b"$5\r\n1e999\r\n"], [], False),
-    ([b"$99999\r\n"], [], False), ([b"+" + b"x" * 5000], [], False), ([b":\r\n"], [], False),
-    ([b"\xff\xfe\x00\r\n"], [], False)])
+@pytest.mark.parametrize(
+    ("data", "found", "good"),
+    [
+        ([b":7\r\n$3\r\n1.5\r\n"], [7.0, 1.5], True),
+        ([b"$1", b"\r", b"\n9\r", b"\n"], [9.0], True),
+        ([b"-BUSY\r\n-ERR no\r\n"], ["BUSY", "ERR no"], True),
+        ([b"$3\r\n1e3\r\n"], [1000.0], True),
+        ([b"$1\r\n5\r\n*1\r\n"], [5.0], False),
+        ([b"+PONG\r\n"], [], False),
+        ([b"-BUSYx\r\n"], [], False),
+        ([b"$-1\r\n"], [], False),
+        ([b"$1\r\n12\r\n"], [], False),
+        ([b"$1\r\nx\r\n"], [], False),
+        ([b"$3\r\nnan\r\n"], [], False),
+        ([b"$3\r\n1_0\r\n"], [], False),
+        ([b"$5\r\n1e999\r\n"], [], False),
+        ([b"$99999\r\n"], [], False),
+        ([b"+" + b"x" * 5000], [], False),
+        ([b":\r\n"], [], False),
+        ([b"\xff\xfe\x00\r\n"], [], False),
+    ],
+)
 def test_counter_answers(data: list[bytes], found: list[Any], good: bool) -> None:
     replies = Replies()
     assert [replies.feed(part) for part in data][-1] is good
@@ -625,11 +680,18 @@
     assert encode_call(3, amount, 0.0) == call
 
 
-@pytest.mark.parametrize(("head", "status", "used", "cost", "load"), [
-    (b"200 OK\r\nX-Allowance-Used: 85\r\nX-True-Cost: 3\r\nX-Server-Load: TEXT svc_ms=14.5", "ok", 86, 3.0, [14.5]),
-    (b"200 OK\r\nX-Allowance-Used: x\r\nX-True-Cost: nan\r\nX-Server-Load: TEXT other=1", "ok", 0, 0.0, []),
-    (b"500 No", "error", 0, 0.0, []), (b"503 No", "error", 0, 0.0, []), (b"404 No", "error", 0, 0.0, []),
-    (b"503 No\r\nX-Not-Processed: 1", "full", 0, 0.0, []), (b"504 No\r\nX-Not-Processed: 1", "full", 0, 0.0, [])])
+@pytest.mark.parametrize(
+    ("head", "status", "used", "cost", "load"),
+    [
+        (b"200 OK\r\nX-Allowance-Used: 85\r\nX-True-Cost: 3\r\nX-Server-Load: TEXT svc_ms=14.5", "ok", 86, 3.0, [14.5]),
+        (b"200 OK\r\nX-Allowance-Used: x\r\nX-True-Cost: nan\r\nX-Server-Load: TEXT other=1", "ok", 0, 0.0, []),
+        (b"500 No", "error", 0, 0.0, []),
+        (b"503 No", "error", 0, 0.0, []),
+        (b"404 No", "error", 0, 0.0, []),
+        (b"503 No\r\nX-Not-Processed: 1", "full", 0, 0.0, []),
+        (b"504 No\r\nX-Not-Processed: 1", "full", 0, 0.0, []),
+    ],
+)
 def test_outcomes(head: bytes, status: str, used: int, cost: float, load: list[float]) -> None:
     reply = Reply()
     reply.feed(b"HTTP/1.1 " + head + b"\r\nContent-Length: 0\r\n\r\n")
@@ -637,9 +699,15 @@
     assert (end.status, end.used, end.cost, end.load) == (status, used, cost, load) and reply.whole and reply.keep
 
 
-@pytest.mark.parametrize(("data", "whole"), [
-    (b"HTTP/1.1 200 OK\r\n\r\nrest", True), (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nrest", False),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nrest\r\n", False), (b"HTTP/1.1 200", False)])
+@pytest.mark.parametrize(
+    ("data", "whole"),
+    [
+        (b"HTTP/1.1 200 OK\r\n\r\nrest", True),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nrest", False),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nrest\r\n", False),
+        (b"HTTP/1.1 200", False),
+    ],
+)
 def test_an_answer_that_ends_with_its_connection(data: bytes, whole: bool) -> None:
     reply = Reply()
     reply.feed(data)
@@ -653,30 +721,51 @@
 
 
 # Guards against joining a second copy to the first, and against a connection on which something stands behind.
-@pytest.mark.parametrize(("data", "keep"), [
-    (PLAIN, True), (CHUNKS, True), (PLAIN + PLAIN, False), (PLAIN + b"\0\xffnoise", False), (PLAIN + b"\r\n", False),
-    (CHUNKS + CHUNKS, False), (CHUNKS + b"noise", False),
-    (b"HTTP/1.1 103 Hint\r\nLink: x\r\n\r\nHTTP/1.1 100 Go on\r\n\r\n" + PLAIN, True),
-    (H200 + b"Connection: close\r\nContent-Length: 2\r\n\r\nab", False)])
+@pytest.mark.parametrize(
+    ("data", "keep"),
+    [
+        (PLAIN, True),
+        (CHUNKS, True),
+        (PLAIN + PLAIN, False),
+        (PLAIN + b"\0\xffnoise", False),
+        (PLAIN + b"\r\n", False),
+        (CHUNKS + CHUNKS, False),
+        (CHUNKS + b"noise", False),
+        (b"HTTP/1.1 103 Hint\r\nLink: x\r\n\r\nHTTP/1.1 100 Go on\r\n\r\n" + PLAIN, True),
+        (H200 + b"Connection: close\r\nContent-Length: 2\r\n\r\nab", False),
+    ],
+)
 def test_one_answer_is_taken_whatever_stands_beside_it(data: bytes, keep: bool) -> None:
     reply = Reply()
     reply.feed(data)
     assert (reply.whole, reply.body, reply.keep) == (True, b"ab", keep)
 
 
-@pytest.mark.parametrize("data", [
-    b"nonsense\r\n\r\n", H200 + b"X: " + b"y" * 20000, b"x" * 20000, H200 + b"Content-Length: 3000000000\r\n\r\n",
-    H200 + b"Content-Length: -2\r\n\r\nab", H200 + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nab",
-    H200 + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", H200 + b"C\0: 2\r\n\r\n",
-    H200 + b"Transfer-Encoding: gzip\r\n\r\n", H200 + b"\r\n" + b"x" * 70000, b"HTTP/1.1 101 No\r\n\r\n",
-    b"HTTP/1.1 100 Go on\r\n\r\n" * 20, H200 + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-    H200 + b"Transfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + b"x" * 0x8000 + b"\r\n8001\r\n" + b"x" * 0x8001])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"nonsense\r\n\r\n",
+        H200 + b"X: " + b"y" * 20000,
+        b"x" * 20000,
+        H200 + b"Content-Length: 3000000000\r\n\r\n",
+        H200 + b"Content-Length: -2\r\n\r\nab",
+        H200 + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nab",
+        H200 + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        H200 + b"C\0: 2\r\n\r\n",
+        H200 + b"Transfer-Encoding: gzip\r\n\r\n",
+        H200 + b"\r\n" + b"x" * 70000,
+        b"HTTP/1.1 101 No\r\n\r\n",
+        b"HTTP/1.1 100 Go on\r\n\r\n" * 20,
+        H200 + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+        H200 + b"Transfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + b"x" * 0x8000 + b"\r\n8001\r\n" + b"x" * 0x8001,
+    ],
+)
 @pytest.mark.parametrize("step", [13, 100000])
 def test_an_answer_that_is_none(data: bytes, step: int) -> None:
     reply = Reply()
     with pytest.raises(Malformed):
         for at in range(0, len(data), step):
-            reply.feed(data[at:at + step])
+            reply.feed(data[at : at + step])
 
 
 @pytest.mark.parametrize("spoilt", [b"nonsense\r\n\r\n", H200 + b"Content-Length: 9\r\n\r\nab", b"HTTP/1.1 200"])
@@ -750,7 +839,7 @@
     reader = Reader()
     data = b"POST /a/1 HTTP/1.1\r\nX-A: 1\r\nContent-Length: 3\r\n\r\nabcGET /b/2?x HTTP/1.1\r\n\r\n"
     for at in range(0, len(data), step):
-        reader.feed(memoryview(data[at:at + step]))
+        reader.feed(memoryview(data[at : at + step]))
     found = [(p.method, p.target, p.body) for p, _ in reader.whole]
     assert found == [(b"POST", b"/a/1", b"abc"), (b"GET", b"/b/2?x", b"")]
 
@@ -778,20 +867,39 @@
 def run(config: Any, tmp_path: Any, *args: str, **env: str) -> subprocess.CompletedProcess[str]:
     path = tmp_path / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
-    return subprocess.run([sys.executable, "-m", "brackenpulley", *args], capture_output=True, text=True, timeout=60,
-                          env={**os.environ, "BALANCER_CONFIG": str(path), **env})
-
-
-GOOD = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:1",
-        "seed": "8c1f30d27a5be964", "settings": SETTINGS}
-
-
-@pytest.mark.parametrize(("change", "field"), [
-    ({"listen": "here"}, "listen: "), ({"discovery": ""}, "discovery: "), ({"counter": None}, "counter: "),
-    ({"seed": "xyz"}, "seed: "), ({"settings": 3}, "settings: "), ({"limits": {"sockets": 3}}, "limits.sockets: "),
-    ({"settings": {**SETTINGS, "Classes": []}}, "settings.classes: "),
-    ({"settings": {k: v for k, v in SETTINGS.items() if k != "Limits"}}, "settings.Limits: "),
-    (None, "BALANCER_CONFIG: ")])
+    return subprocess.run(
+        [sys.executable, "-m", "brackenpulley", *args],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, "BALANCER_CONFIG": str(path), **env},
+    )
+
+
+GOOD = {
+    "name": "n0",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "counter": "127.0.0.1:1",
+    "seed": "8c1f30d27a5be964",
+    "settings": SETTINGS,
+}
+
+
+@pytest.mark.parametrize(
+    ("change", "field"),
+    [
+        ({"listen": "here"}, "listen: "),
+        ({"discovery": ""}, "discovery: "),
+        ({"counter": None}, "counter: "),
+        ({"seed": "xyz"}, "seed: "),
+        ({"settings": 3}, "settings: "),
+        ({"limits": {"sockets": 3}}, "limits.sockets: "),
+        ({"settings": {**SETTINGS, "Classes": []}}, "settings.classes: "),
+        ({"settings": {k: v for k, v in SETTINGS.items() if k != "Limits"}}, "settings.Limits: "),
+        (None, "BALANCER_CONFIG: "),
+    ],
+)
 def test_a_bad_configuration_is_named_in_one_line(change: Any, field: str, tmp_path: Any) -> None:
     done = run("{" if change is None else {**GOOD, **change}, tmp_path, "serve")
     assert done.returncode == 2 and done.stderr.startswith("brackenpulley: " + field) and done.stderr.count("\n") == 1
@@ -805,8 +913,12 @@
 def test_sigterm_ends_the_program_with_its_counters_told(tmp_path: Any) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
-    child = subprocess.Popen([sys.executable, "-m", "brackenpulley", "serve"], stdout=subprocess.PIPE, text=True,
-                             env={**os.environ, "BALANCER_CONFIG": str(path)})
+    child = subprocess.Popen(
+        [sys.executable, "-m", "brackenpulley", "serve"],
+        stdout=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+    )
     assert child.stdout is not None
     line = next(x for x in child.stdout if "event=listening" in x)
     port = int(line.strip().rsplit(":", 1)[1])
@@ -820,16 +932,18 @@
     assert child.wait(30) == 0 and "event=counters" in rest
 
 
-
-
 def test_sighup_moves_discovery_and_the_counter_and_keeps_the_rest(tmp_path: Any) -> None:
     # Guards against ending on SIGHUP, against the variables of the start hiding the new file's addresses, and against
     # a file that can't be read.
     path, places = tmp_path / "config.json", [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
     at = [f"127.0.0.1:{place.getsockname()[1]}" for place in places]
     path.write_text(json.dumps(GOOD))
-    child = subprocess.Popen([sys.executable, "-m", "brackenpulley", "serve"], stdout=subprocess.PIPE, text=True,
-                             env={**os.environ, "BALANCER_CONFIG": str(path), "BALANCER_DISCOVERY": at[0]})
+    child = subprocess.Popen(
+        [sys.executable, "-m", "brackenpulley", "serve"],
+        stdout=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(path), "BALANCER_DISCOVERY": at[0]},
+    )
     assert child.stdout is not None
     next(x for x in child.stdout if "event=listening" in x)
     for place in places:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -37,11 +37,20 @@
     assert passes(d, 30) == 10
 
 
-@pytest.mark.parametrize(("cost", "worth", "tries", "units"), [
-    (1.2, 0.0, 1, 1.0), (1.0, 0.0, 1, 1.0), (0.5, 0.0, 1, 1.0), (0.25, 0.0, 2, 1.0), (0.0, 0.1, 4, 1.0),
-    (2.0, 0.0, 1, 4.0)])
+@pytest.mark.parametrize(
+    ("cost", "worth", "tries", "units"),
+    [
+        (1.2, 0.0, 1, 1.0),
+        (1.0, 0.0, 1, 1.0),
+        (0.5, 0.0, 1, 1.0),
+        (0.25, 0.0, 2, 1.0),
+        (0.0, 0.1, 4, 1.0),
+        (2.0, 0.0, 1, 4.0),
+    ],
+)
 def test_what_each_of_many_gateways_grants_before_it_knows_follows_what_a_wrong_try_costs(
-        cost: float, worth: float, tries: int, units: float) -> None:
+    cost: float, worth: float, tries: int, units: float
+) -> None:
     """Each of two hundred granted the largest request; a firm that asks three times its rate comes to nearly all of
     them for the first time. What is right to grant is the first try, whatever its size."""
     plan = PlanSpec("gold", rate=10.0, burst=20.0, over_cost=cost, over_worth=worth)
@@ -74,14 +83,17 @@
     """A first try here, and its call's answer: the others have used so much in the 10 s of this number so far."""
     assert passes(d, 1, spread=200, units=2.0) == 1
     settle(d)
-    call, = of(Count, d.log)
+    (call,) = of(Count, d.log)
     d.do(Counted(call.name, "ok", used + call.amount, 0.001))
 
 
-@pytest.mark.parametrize(("used", "cost", "sent"), [
-    (0.0, 1.0, 1), (8.0, 1.0, 1), (26.0, 1.0, 0), (40.0, 1.0, 0), (26.0, 0.1, 1), (40.0, 0.0, 1), (120.0, 0.0, 0)])
+@pytest.mark.parametrize(
+    ("used", "cost", "sent"),
+    [(0.0, 1.0, 1), (8.0, 1.0, 1), (26.0, 1.0, 0), (40.0, 1.0, 0), (26.0, 0.1, 1), (40.0, 0.0, 1), (120.0, 0.0, 0)],
+)
 def test_a_firm_that_uses_much_elsewhere_is_held_back_by_what_a_wrong_try_costs(
-        used: float, cost: float, sent: int) -> None:
+    used: float, cost: float, sent: int
+) -> None:
     """The store of one that uses two thirds of its rate is empty now and then, and each gateway of its set that
     has read room in it lets one more in: of those tries 42 to 65 % were beyond quotas on a calm day."""
     d = dear(cost)
@@ -121,7 +133,7 @@
     passes(d, 2, spread=3)
     for _ in range(8):
         d.ask(spread=3)
-    call, = of(Count, d.log)
+    (call,) = of(Count, d.log)
     d.do(Counted(call.name, "ok", call.amount))
     level = d.g.customers[1].level
     assert level > 12
@@ -144,7 +156,7 @@
     d = Drive(servers=20)
     for _ in range(8):
         d.ask(spread=3)
-    call, = of(Count, d.log)
+    (call,) = of(Count, d.log)
     d.do(Counted(call.name, "ok", call.amount + 30))
     c = d.g.customers[1]
     c.next_call = d.now
@@ -152,7 +164,7 @@
     c.tries = 5
     d.g.note_use(d.now, c)
     d.now += 1.0
-    again, = of(Count, d.do(Timer(d.g.token)))
+    (again,) = of(Count, d.do(Timer(d.g.token)))
     before, read_at = c.level, c.read_at
     d.now += 0.01
     d.do(Counted(again.name, "ok", again.amount))
@@ -164,7 +176,7 @@
         d = Drive(servers=20)
         for _ in range(8):
             d.ask(spread=3)
-        call, = of(Count, d.log)
+        (call,) = of(Count, d.log)
         before = d.g.customers[1].unsaid
         d.do(Counted(call.name, status))
         assert (d.g.customers[1].unsaid == before + call.amount) is left
@@ -224,8 +236,8 @@
         for _ in range(4):
             d.ask(customer=n, spread=3, units=1.0 + (n == 5))
     d.now += 0.3
-    first, = of(Count, d.log)
-    second, = of(Count, d.do(Counted(first.name, "ok", first.amount)) + d.do(Timer(d.g.token)))
+    (first,) = of(Count, d.log)
+    (second,) = of(Count, d.do(Counted(first.name, "ok", first.amount)) + d.do(Timer(d.g.token)))
     assert second.name % (1 << 33) == 5
     assert not of(Count, d.do(Counted(first.name, "ok", 1.0)))  # an answer to no call that is out
 
@@ -237,7 +249,7 @@
         d.g.calls.waited(d.now, 0.001)  # it is near: an answer came quickly before
         for _ in range(9):
             d.ask(spread=3)
-        call, = of(Count, d.log)
+        (call,) = of(Count, d.log)
         d.do(Counted(call.name, status, call.amount, latency))
         paces.append(d.g.calls.gap)
     assert paces == sorted(paces) and len(set(paces)) == 3
@@ -280,7 +292,7 @@
 
 def test_true_units_settle_the_guess() -> None:
     d = Drive(servers=3, settles=True)
-    first, = of(Send, d.ask(units=2.0))
+    (first,) = of(Send, d.ask(units=2.0))
     before = d.g.customers[1].level
     d.do(Outcome(first.id, first.server, 0, "ok", 0.1, closed=True, cost=5.0))
     assert d.g.customers[1].level == before - 3.0
@@ -288,7 +300,7 @@
 
 def test_meter_on_answers_is_a_reading() -> None:
     d = Drive(servers=3, counter=False, meter_period=1.0)
-    first, = of(Send, d.ask(spread=3))
+    (first,) = of(Send, d.ask(spread=3))
     d.now += 0.5
     d.do(Outcome(first.id, first.server, 0, "ok", 0.5, closed=True, used=181))
     c = d.g.customers[1]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -28,9 +28,16 @@
     return Record(owner, kind, "n", serial, value, gone)
 
 
-@pytest.mark.parametrize(("first", "second", "stands"), [
-    (row(1, b"old"), row(2, b"new"), b"new"), (row(2, b"new"), row(1, b"old"), b"new"), (row(2), row(2, b"y"), b"x"),
-    (row(2), row(3, gone=True), None), (row(3, gone=True), row(2), None)])
+@pytest.mark.parametrize(
+    ("first", "second", "stands"),
+    [
+        (row(1, b"old"), row(2, b"new"), b"new"),
+        (row(2, b"new"), row(1, b"old"), b"new"),
+        (row(2), row(2, b"y"), b"x"),
+        (row(2), row(3, gone=True), None),
+        (row(3, gone=True), row(2), None),
+    ],
+)
 def test_the_greatest_serial_of_a_life_stands(first: Record, second: Record, stands: bytes | None) -> None:
     t = table()
     tell(t, first, second)
@@ -118,8 +125,11 @@
         world.do(host, host.driven.said())  # type: ignore[union-attr]
 
     def told(value: bytes) -> bool:
-        return all(len(list(s.records.of("load"))) == 30 and s.records.get("m3@1", "load", "x") == value
-                   for s in stations(world))
+        return all(
+            len(list(s.records.of("load"))) == 30 and s.records.get("m3@1", "load", "x") == value
+            for s in stations(world)
+        )
+
     assert world.until(lambda: told(b"3"), 30.0)
     stations(world)[3].records.publish("load", "x", b"news")
     assert world.until(lambda: told(b"news"), 10.0)
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -13,15 +13,31 @@
     t = Reservations(3, 60.0)
     assert t.check("r", 1, 4.0, 10.0, 0.0) is None
     t.hold(Reservation("r", 1, "school", 0, 4.0, 0.0, 10.0))
-    {"held": lambda: None, "committed": lambda: t.commit("r", 3.0, 1.0), "released": lambda: t.release("r", 1.0),
-     "expired": lambda: t.due(10.0), "used": lambda: t.used("r", 1.0)}[state]()
+    {
+        "held": lambda: None,
+        "committed": lambda: t.commit("r", 3.0, 1.0),
+        "released": lambda: t.release("r", 1.0),
+        "expired": lambda: t.due(10.0),
+        "used": lambda: t.used("r", 1.0),
+    }[state]()
     return t
 
 
-@pytest.mark.parametrize(("state", "call", "answer"), [
-    ("held", "commit", "settled"), ("held", "release", "settled"), ("committed", "commit", "again"),
-    ("released", "release", "again"), ("committed", "release", 409), ("released", "commit", 409),
-    ("expired", "commit", 410), ("expired", "release", 410), ("used", "commit", 409), ("used", "release", 409)])
+@pytest.mark.parametrize(
+    ("state", "call", "answer"),
+    [
+        ("held", "commit", "settled"),
+        ("held", "release", "settled"),
+        ("committed", "commit", "again"),
+        ("released", "release", "again"),
+        ("committed", "release", 409),
+        ("released", "commit", 409),
+        ("expired", "commit", 410),
+        ("expired", "release", 410),
+        ("used", "commit", 409),
+        ("used", "release", 409),
+    ],
+)
 def test_every_call_in_every_state_has_a_stated_answer(state: str, call: str, answer: object) -> None:
     t = table(state)
 
@@ -61,10 +77,20 @@
     assert error.value.status == 404
 
 
-@pytest.mark.parametrize(("ident", "units", "life", "field"), [
-    ("", 1.0, 1.0, "id"), ("a b", 1.0, 1.0, "id"), ("a/b", 1.0, 1.0, "id"), ("x" * 65, 1.0, 1.0, "id"),
-    ("a", 0.0, 1.0, "units"), ("a", float("nan"), 1.0, "units"), ("a", 1.0, 0.0, "lifetime"),
-    ("a", 1.0, 61.0, "lifetime"), ("a", 1.0, float("inf"), "lifetime")])
+@pytest.mark.parametrize(
+    ("ident", "units", "life", "field"),
+    [
+        ("", 1.0, 1.0, "id"),
+        ("a b", 1.0, 1.0, "id"),
+        ("a/b", 1.0, 1.0, "id"),
+        ("x" * 65, 1.0, 1.0, "id"),
+        ("a", 0.0, 1.0, "units"),
+        ("a", float("nan"), 1.0, "units"),
+        ("a", 1.0, 0.0, "lifetime"),
+        ("a", 1.0, 61.0, "lifetime"),
+        ("a", 1.0, float("inf"), "lifetime"),
+    ],
+)
 def test_a_wrong_argument_is_named(ident: str, units: float, life: float, field: str) -> None:
     with pytest.raises(ReservationError) as error:
         table().check(ident, 1, units, life, 0.0)
@@ -83,8 +109,12 @@
     assert error.value.status == 503
 
 
-@given(st.lists(st.tuples(st.sampled_from(["hold", "commit", "release", "use", "due"]), st.integers(0, 3),
-                          st.integers(0, 8)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["hold", "commit", "release", "use", "due"]), st.integers(0, 3), st.integers(0, 8)),
+        max_size=60,
+    )
+)
 @settings(derandomize=True, deadline=None, max_examples=80)
 def test_each_reservation_ends_once(steps: list[tuple[str, int, int]]) -> None:
     t, now, ended = Reservations(10, 60.0), 0.0, []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,31 +33,31 @@
 @pytest.mark.parametrize("status", ["full", "connect_failed"])
 def test_what_never_ran_goes_again_whatever_its_class(cls: str, status: str) -> None:
     d = Drive()
-    first, = of(Send, d.ask(cls))
-    again, = of(Send, end(d, first, status))
+    (first,) = of(Send, d.ask(cls))
+    (again,) = of(Send, end(d, first, status))
     assert again.server != first.server
 
 
 @pytest.mark.parametrize("status", ["error", "timeout", "reset", "cancelled"])
 def test_unsafe_that_may_have_run_fails_and_is_neither_sent_nor_refused(status: str) -> None:
     d = Drive()
-    first, = of(Send, d.ask("blast"))
+    (first,) = of(Send, d.ask("blast"))
     acts = end(d, first, status)
     assert of(Fail, acts) and not of(Send, acts) and not of(Refuse, acts)
 
 
 def test_unsafe_proved_not_to_have_run_at_first_but_not_later_fails() -> None:
     d = Drive()
-    first, = of(Send, d.ask("blast"))
-    again, = of(Send, end(d, first, "full"))
+    (first,) = of(Send, d.ask("blast"))
+    (again,) = of(Send, end(d, first, "full"))
     assert of(Fail, end(d, again, "reset", 1))
 
 
 def test_keyed_repeat_stays_in_its_cell_and_window() -> None:
     d = Drive(servers=6)
-    first, = of(Send, d.ask("push", left=12.0))
+    (first,) = of(Send, d.ask("push", left=12.0))
     d.now += 7.9
-    again, = of(Send, end(d, first, "error"))
+    (again,) = of(Send, end(d, first, "error"))
     assert int(again.server[1]) % 2 == int(first.server[1]) % 2
     d.now += 0.2  # past the window of the first attempt
     acts = end(d, again, "error", 1)
@@ -66,7 +66,7 @@
 
 def test_no_send_after_the_client_left_and_one_answer_only() -> None:
     d = Drive()
-    first, = of(Send, d.ask())
+    (first,) = of(Send, d.ask())
     assert of(Cancel, d.do(Gone(first.id)))
     acts = end(d, first, "cancelled", closed=True)
     assert not of(Send, acts) and not of(Refuse, acts) and not of(Fail, acts)
@@ -77,14 +77,14 @@
     d = Drive()
     acts = d.ask()
     for attempt in range(3):
-        send, = of(Send, acts)
+        (send,) = of(Send, acts)
         acts = end(d, send, "full", attempt)
     assert len(of(Refuse, acts)) == 1 and not d.g.reqs
 
 
 def test_deadline_answer_is_a_failure_for_what_may_have_run() -> None:
     d = Drive()
-    first, = of(Send, d.ask("blast", left=3.0))
+    (first,) = of(Send, d.ask("blast", left=3.0))
     d.now += 3.0
     assert of(Fail, end(d, first, "timeout"))
 
@@ -169,11 +169,18 @@
     assert 4 <= low < 8 <= low + high <= 10
 
 
-@pytest.mark.parametrize(("short", "long", "known", "least", "most"), [
-    (0.4, 0.4, True, 0.55, 0.7), (0.1, 0.4, True, 0.8, 0.95),
-    (0.4, 0.1, True, 0.55, 0.7), (0.1, 0.4, False, 0.55, 0.7)])
+@pytest.mark.parametrize(
+    ("short", "long", "known", "least", "most"),
+    [
+        (0.4, 0.4, True, 0.55, 0.7),
+        (0.1, 0.4, True, 0.8, 0.95),
+        (0.4, 0.1, True, 0.55, 0.7),
+        (0.1, 0.4, False, 0.55, 0.7),
+    ],
+)
 def test_a_class_that_is_over_sooner_than_usual_is_held_back_less_for_room(
-        short: float, long: float, known: bool, least: float, most: float) -> None:
+    short: float, long: float, known: bool, least: float, most: float
+) -> None:
     """Reads of 0.19 s stood at 0.39 of what was asked while servers had room for all: two out were the whole of it."""
     d = Drive(servers=60)  # 3 gateways: 6 x 60 / 3 = 120 out here at most
     for name, loop in d.g.loops.items():
@@ -187,7 +194,7 @@
 
 def test_silent_server_is_set_aside_and_what_may_go_again_is_taken_back() -> None:
     d = Drive(servers=4)
-    first, = of(Send, d.ask("check", left=12.0))
+    (first,) = of(Send, d.ask("check", left=12.0))
     for n in range(60):
         d.now += 0.1
         for send in of(Send, d.ask("check", customer=n)):
@@ -237,7 +244,7 @@
 
 def test_a_stream_that_flows_is_neither_repeated_nor_cancelled() -> None:
     d = Drive()
-    first, = of(Send, d.ask())
+    (first,) = of(Send, d.ask())
     d.do(Started(first.id, first.server, 0, 0.2))
     for _ in range(60):
         d.now += 0.2
@@ -250,7 +257,7 @@
 def test_one_slow_request_alone_is_no_silence() -> None:
     """Of hundreds of gateways each has one attempt out at a server: four usual latencies set healthy ones aside."""
     d = Drive(servers=4, gateways=300)
-    first, = of(Send, d.ask("check"))
+    (first,) = of(Send, d.ask("check"))
     usual = max(x.mean for x in d.g.loops.values())
     for _ in range(int(6 * usual / 0.1)):  # longer than four, shorter than eight
         d.now += 0.1
@@ -368,9 +375,9 @@
 
 def test_a_report_without_the_queue_is_unknown_not_idle() -> None:
     d = Drive(servers=2, report_fields=["queue"])
-    first, = of(Send, d.ask())
+    (first,) = of(Send, d.ask())
     end(d, first, "ok", closed=True, load=[9.0])
-    again, = of(Send, d.ask(customer=2))
+    (again,) = of(Send, d.ask(customer=2))
     end(d, again, "ok", closed=True, load=[])
     assert d.g.servers[first.server].queue == 9.0
 
@@ -411,7 +418,7 @@
     d.ask()
     for _ in range(20):
         d.now += 0.5
-        sent, = of(Send, d.ask())
+        (sent,) = of(Send, d.ask())
         assert sent.server == "s0"
         d.do(Outcome(sent.id, "s0", 0, "ok", 0.1, closed=True))
     d.do(Timer(d.g.token))  # the beat that finds it overdue
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -43,8 +43,13 @@
         name = f"h{number}"
         (self.folder / name).mkdir(exist_ok=True)
         place = Place(name, number, str(self.folder / name), "127.0.0.1:0", "", (), str(self.folder / "keys"), ())
-        raw = {"name": name, "listen": "127.0.0.1:0", "discovery": self.discovery.listener.text,
-               "counter": self.counter.listener.text, "settings": settings(self.count, number)}
+        raw = {
+            "name": name,
+            "listen": "127.0.0.1:0",
+            "discovery": self.discovery.listener.text,
+            "counter": self.counter.listener.text,
+            "settings": settings(self.count, number),
+        }
         tables = operator(place, ("members", "plans", "leases"))
         seeds = [one.daemon.members.service.protocol.address for one in self.there[:1]]
         tables["members"].update(seeds=seeds)
@@ -122,10 +127,17 @@
 
 
 def test_messages_by_kind_are_rates_of_one_process() -> None:
-    counts = Tally(members_sent=9, members_sent_ping=8, members_sent_ping_bytes=800, members_heard_carry_agree=4,
-                   members_dropped_forged=3)
-    assert messages(counts, 2.0, 4) == {"ping": {"outMessages": 1.0, "outBytes": 100.0},
-                                        "carry_agree": {"inMessages": 0.5}}
+    counts = Tally(
+        members_sent=9,
+        members_sent_ping=8,
+        members_sent_ping_bytes=800,
+        members_heard_carry_agree=4,
+        members_dropped_forged=3,
+    )
+    assert messages(counts, 2.0, 4) == {
+        "ping": {"outMessages": 1.0, "outBytes": 100.0},
+        "carry_agree": {"inMessages": 0.5},
+    }
 
 
 def _part(cpu: float, memory: float, size: float) -> dict[str, Any]:
@@ -136,25 +148,54 @@
     bare = {"residentMb": {"most": 30.0}}
     assert limits(_part(2.0, 62.0, 14_000.0), _part(90.0, 62.0, 14_000.0), bare) == []
     assert [text.split()[2] for text in limits(_part(2.1, 62.1, 14_001.0), _part(0.0, 0.0, 15_000.0), bare)] == [
-        "2.10", "32.1", "14001", "15000"]
+        "2.10",
+        "32.1",
+        "14001",
+        "15000",
+    ]
 
 
 def test_hollow_is_unlike_real_beyond_a_tenth_and_few_messages_tell_nothing() -> None:
     def group(pings: float, syncs: float) -> dict[str, Any]:
-        return {"processes": 10, "discovery": {}, "counter": {}, "members": {
-            "ping": {"outMessages": pings, "outBytes": pings * 80}, "sync": {"outMessages": syncs}}}
+        return {
+            "processes": 10,
+            "discovery": {},
+            "counter": {},
+            "members": {"ping": {"outMessages": pings, "outBytes": pings * 80}, "sync": {"outMessages": syncs}},
+        }
+
     part = {"seconds": 100.0, "real": group(1.0, 0.1), "hollow": group(1.12, 0.3)}
     assert {(row["kind"], row["what"]): row["near"] for row in compared(part)} == {
-        ("members ping", "outMessages"): False, ("members ping", "outBytes"): False,
-        ("members sync", "outMessages"): None}
+        ("members ping", "outMessages"): False,
+        ("members ping", "outBytes"): False,
+        ("members sync", "outMessages"): None,
+    }
     part["hollow"] = group(1.08, 0.3)
     assert all(row["near"] in (True, None) for row in compared(part))
 
 
 def test_the_short_form() -> None:
     """60 hollow, 3 real, 3 voters. What its processor time is follows the machine, so that limit is not judged here."""
-    told = words().parse_args(["--hollow", "60", "--real", "3", "--seconds", "6", "--servers", "200", "--rest", "1",
-                               "--changes", "1", "--patience", "60", "--seed", "3"])
+    told = words().parse_args(
+        [
+            "--hollow",
+            "60",
+            "--real",
+            "3",
+            "--seconds",
+            "6",
+            "--servers",
+            "200",
+            "--rest",
+            "1",
+            "--changes",
+            "1",
+            "--patience",
+            "60",
+            "--seed",
+            "3",
+        ]
+    )
     report = play(told)
     assert report["wrong"] == []
     assert [text for text in report["limits"] if "core" not in text] == []
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -26,6 +26,7 @@
 
 def test_restart_in_a_flood_spends_neither_ceiling_nor_cold_server() -> None:
     from brackenpulley.policy.interface import PlanSpec
+
     plan = PlanSpec("gold", rate=10.0, burst=20.0, ceiling_rate=15.0, ceiling_burst=30.0)
     d = Drive(servers=0, plans=[plan])
     d.do(ServerList("stale", [ServerEntry("s0", started=d.now - 0.5), ServerEntry("s1")]))
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -17,10 +17,17 @@
 from .rig import Peer, Rig, rig
 from .test_platform import chunk
 
-LIST: dict[str, Any] = {"generation": 3, "reset": True, "instances": [
-    {"instanceId": 's-"{1}\\', "hostPort": "10.0.0.1:1", "zone": "é}", "cell": 0, "weight": 1.0}]}
-LAYOUTS = [json.dumps(LIST).encode(), json.dumps(LIST, indent=2).encode(), json.dumps(LIST, indent="\t").encode(),
-           json.dumps(LIST, ensure_ascii=False, indent=1).encode()]
+LIST: dict[str, Any] = {
+    "generation": 3,
+    "reset": True,
+    "instances": [{"instanceId": 's-"{1}\\', "hostPort": "10.0.0.1:1", "zone": "é}", "cell": 0, "weight": 1.0}],
+}
+LAYOUTS = [
+    json.dumps(LIST).encode(),
+    json.dumps(LIST, indent=2).encode(),
+    json.dumps(LIST, indent="\t").encode(),
+    json.dumps(LIST, ensure_ascii=False, indent=1).encode(),
+]
 
 
 def objects(parts: list[bytes], most: int = 1 << 20) -> list[Any]:
@@ -40,19 +47,40 @@
 def test_several_objects_a_read_and_empty_lines_between_them() -> None:
     data = b"\n\r\n" + b"\n \n".join(LAYOUTS) + b"\n\n" + b"".join(LAYOUTS)
     assert objects([data]) == [LIST] * 8
-    assert objects([data[at:at + 7] for at in range(0, len(data), 7)]) == [LIST] * 8
-
-
-@pytest.mark.parametrize("parts", [
-    [b'{"a":1} x'], [b"[1]"], [b"x {}"], [b'"{}"'], [b"null\n", b"{}"], [b"}"], [b"{}", b"}"], [b'{"a":[{}]'],
-    [b'{"a":"}'], [b'{"a":"', b"}}}}"], [b'{"a":"' + b"x" * 60, b"x" * 60 + b'"}'], [b'{"never closed":'] * 9])
+    assert objects([data[at : at + 7] for at in range(0, len(data), 7)]) == [LIST] * 8
+
+
+@pytest.mark.parametrize(
+    "parts",
+    [
+        [b'{"a":1} x'],
+        [b"[1]"],
+        [b"x {}"],
+        [b'"{}"'],
+        [b"null\n", b"{}"],
+        [b"}"],
+        [b"{}", b"}"],
+        [b'{"a":[{}]'],
+        [b'{"a":"}'],
+        [b'{"a":"', b"}}}}"],
+        [b'{"a":"' + b"x" * 60, b"x" * 60 + b'"}'],
+        [b'{"never closed":'] * 9,
+    ],
+)
 def test_what_is_no_object_or_too_long_or_cut_off_is_refused(parts: list[bytes]) -> None:
     with pytest.raises(ValueError, match="object"):
         objects(parts, most=100)
 
 
-@given(st.recursive(st.text() | st.integers() | st.none(), lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-    st.text(max_size=4), inner, max_size=3), max_leaves=8), st.booleans(), st.lists(st.integers(0, 300), max_size=5))
+@given(
+    st.recursive(
+        st.text() | st.integers() | st.none(),
+        lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
+        max_leaves=8,
+    ),
+    st.booleans(),
+    st.lists(st.integers(0, 300), max_size=5),
+)
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_any_object_in_any_parts(inner: Any, plain: bool, cuts: list[int]) -> None:
     data = json.dumps({"x": inner}, ensure_ascii=plain, indent=None if plain else 1).encode(errors="surrogatepass")
@@ -71,9 +99,10 @@
             part = super().__getitem__(place)
             looked += len(part) if isinstance(place, slice) else 1
             return part
+
     data = json.dumps({"instances": [LIST] * 500}, indent=1).encode()
     found = Objects(1 << 22)
-    whole = [x for at in range(0, len(data), 64) for x in found.feed(Counted(data[at:at + 64]))]
+    whole = [x for at in range(0, len(data), 64) for x in found.feed(Counted(data[at : at + 64]))]
     assert whole == [data] and looked < 1.5 * len(data)
 
 
@@ -205,8 +234,11 @@
 
 
 FAILS: dict[str, Callable[[int], float]] = {  # seconds until the n-th call has failed; 0 = not until it is given up
-    "silent": lambda call: 0.0, "refused": lambda call: 0.001, "answered 503": lambda call: 0.05,
-    "one and the other": lambda call: 0.001 if call % 2 else 0.0}
+    "silent": lambda call: 0.0,
+    "refused": lambda call: 0.001,
+    "answered 503": lambda call: 0.05,
+    "one and the other": lambda call: 0.001 if call % 2 else 0.0,
+}
 
 
 @pytest.mark.parametrize("how", FAILS)
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -55,9 +55,14 @@
 def test_work_after_the_word_is_judged_by_when_the_return_was_agreed_not_by_when_we_saw_it() -> None:
     fleet = Fleet(3, 1, 1)
     try:
+
         def seen(state: str, since: float, token: int = 4) -> None:
-            fleet._seen(fleet.processes[0], 9, [
-                {"id": "h0", "state": state, "token": token, "since": fleet.offset + since, "zone": "z"}])
+            fleet._seen(
+                fleet.processes[0],
+                9,
+                [{"id": "h0", "state": state, "token": token, "since": fleet.offset + since, "zone": "z"}],
+            )
+
         fleet.arrived = [("s-0", "h0", 4, 100.0, when) for when in (100.2, 103.14, 103.2)]
         seen("at work", 102.0)
         assert fleet.late()["s-0"] == pytest.approx(3.2)  # not seen to return: away for good
@@ -73,9 +78,19 @@
         fleet.close()
 
 
-@pytest.mark.parametrize(("still", "ran"), [
-    ([], 4.0), ([(0.0, 9.0)], 4.0), ([(10.1, 14.1)], 0.1), ([(12.0, inf)], 2.0), ([(10.5, 11.0), (13.0, 13.5)], 3.0),
-    ([(11.0, 13.0), (10.0, 12.0)], 1.0), ([(10.0, 13.0), (11.0, 12.0)], 1.0), ([(14.0, 15.0)], 4.0)])
+@pytest.mark.parametrize(
+    ("still", "ran"),
+    [
+        ([], 4.0),
+        ([(0.0, 9.0)], 4.0),
+        ([(10.1, 14.1)], 0.1),
+        ([(12.0, inf)], 2.0),
+        ([(10.5, 11.0), (13.0, 13.5)], 3.0),
+        ([(11.0, 13.0), (10.0, 12.0)], 1.0),
+        ([(10.0, 13.0), (11.0, 12.0)], 1.0),
+        ([(14.0, 15.0)], 4.0),
+    ],
+)
 def test_a_message_has_the_time_in_which_nothing_stood_still(still: list[tuple[float, float]], ran: float) -> None:
     assert running(10.0, 14.0, still) == pytest.approx(ran)
 
@@ -117,22 +132,34 @@
 VOTERS = {"a": "127.0.0.1:9301", "b": "127.0.0.1:9302", "c": "127.0.0.1:9303"}
 
 
-@pytest.mark.parametrize(("raw", "said"), [
-    ({"consensus": {"voters": VOTERS}}, "consensus: needs [members]"),
-    ({"members": MEMBERS, "consensus": {}}, "consensus.voters: None is no table"),
-    ({"members": MEMBERS, "consensus": {"voters": {"a": "127.0.0.1:1", "b": "127.0.0.1:2"}}},
-     "consensus.voters: 2; 1, 3 or 5"),
-    ({"members": MEMBERS, "consensus": {"voters": {**VOTERS, "c": "here"}}}, "consensus.voters.c: "),
-    ({"members": MEMBERS, "consensus": {"voters": {**VOTERS, "c": VOTERS["a"]}}}, "consensus.voters: an address twice"),
-    ({"members": MEMBERS, "consensus": {"voters": VOTERS, "size_mb": 0}}, "consensus.size_mb: 0"),
-    ({"members": MEMBERS, "consensus": {"voters": VOTERS, "paths": ""}}, "consensus.paths: no such setting"),
-    ({"maintenance": {}}, "maintenance: needs [consensus]"),
-    ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "maintenance": {"out": 0}}, "maintenance.out: 0"),
-    ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "maintenance": {"reserve": -1}}, "maintenance.reserve: -1"),
-    ({"drains": {"limit": 5}}, "drains: needs [consensus]"),
-    ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "drains": {}}, "drains.limit: missing"),
-    ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "drains": {"limit": 1}}, "drains.limit: 1"),
-    ({"members": {**MEMBERS, "advertise": "x"}}, "members.advertise: ")])
+@pytest.mark.parametrize(
+    ("raw", "said"),
+    [
+        ({"consensus": {"voters": VOTERS}}, "consensus: needs [members]"),
+        ({"members": MEMBERS, "consensus": {}}, "consensus.voters: None is no table"),
+        (
+            {"members": MEMBERS, "consensus": {"voters": {"a": "127.0.0.1:1", "b": "127.0.0.1:2"}}},
+            "consensus.voters: 2; 1, 3 or 5",
+        ),
+        ({"members": MEMBERS, "consensus": {"voters": {**VOTERS, "c": "here"}}}, "consensus.voters.c: "),
+        (
+            {"members": MEMBERS, "consensus": {"voters": {**VOTERS, "c": VOTERS["a"]}}},
+            "consensus.voters: an address twice",
+        ),
+        ({"members": MEMBERS, "consensus": {"voters": VOTERS, "size_mb": 0}}, "consensus.size_mb: 0"),
+        ({"members": MEMBERS, "consensus": {"voters": VOTERS, "paths": ""}}, "consensus.paths: no such setting"),
+        ({"maintenance": {}}, "maintenance: needs [consensus]"),
+        ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "maintenance": {"out": 0}}, "maintenance.out: 0"),
+        (
+            {"members": MEMBERS, "consensus": {"voters": VOTERS}, "maintenance": {"reserve": -1}},
+            "maintenance.reserve: -1",
+        ),
+        ({"drains": {"limit": 5}}, "drains: needs [consensus]"),
+        ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "drains": {}}, "drains.limit: missing"),
+        ({"members": MEMBERS, "consensus": {"voters": VOTERS}, "drains": {"limit": 1}}, "drains.limit: 1"),
+        ({"members": {**MEMBERS, "advertise": "x"}}, "members.advertise: "),
+    ],
+)
 def test_a_wrong_setting_is_one_line_that_names_the_field(raw: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError) as error:
         decode(raw)
--- a/tests/transcripts.py
+++ b/tests/transcripts.py
@@ -66,4 +66,5 @@
                 body = decode(body.data).word
             way = "=>" if send.stream else "->"
             self.say(f"{world.now - START:7.3f} {host.name} {way} {names.get(send.to, send.to)}  {self.word(body)}")
+
         world.sent = sent
--- a/tests/util.py
+++ b/tests/util.py
@@ -26,8 +26,20 @@
 
 def settings(**more: Any) -> Settings:
     base: dict[str, Any] = dict(
-        classes=CLASSES, plans=[PLAN], gateways=3, zone="a", max_attempts=3, cancel=True, counter=True,
-        cold_from=0.2, cold_time=10.0, fall_multiple=3.0, fall_time=2.0, drain_grace=1.0, most_units=4)
+        classes=CLASSES,
+        plans=[PLAN],
+        gateways=3,
+        zone="a",
+        max_attempts=3,
+        cancel=True,
+        counter=True,
+        cold_from=0.2,
+        cold_time=10.0,
+        fall_multiple=3.0,
+        fall_time=2.0,
+        drain_grace=1.0,
+        most_units=4,
+    )
     return Settings(**{**base, **more})
 
 
