--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""The test suite of brackenpulley."""
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -181,7 +181,7 @@
         self.delay = delay
         self.cancelled = threading.Event()
 
-    def Check(self, request: Any, context: Any) -> Any:
+    def Check(self, request: Any, context: Any) -> Any:  # noqa: N802 - the name in the service description
         self.seen.append(request)
         context.add_callback(lambda: self.cancelled.set() if not context.code() else None)
         if self.delay:  # until the test says that it is over
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,3 +1,5 @@
+"""The example program runs and reports each decision."""
+
 from examples.embed import main
 
 
