--- a/benchmarks/capacity/kinds/kept.py
+++ b/benchmarks/capacity/kinds/kept.py
@@ -6,8 +6,8 @@
 import random
 
 from brackenpulley.policy import interface as i
-from brackenpulley.policy.brain import Gateway
-from brackenpulley.settings import settings as decode
+from brackenpulley.policy.brain import DecisionModule
+from brackenpulley.settings import decode_settings as decode
 from brackenpulley.standins.settings import settings
 
 from ..line import SIZE, TODAY
@@ -26,7 +26,7 @@
         raw = settings(gateways, 0, counter=False)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
-        self.gateway = Gateway(decode(raw), seed, self.now)
+        self.gateway = DecisionModule(decode(raw), seed, self.now)
         self.unused: dict[str, list[float]] = {}  # server: since when each has stood
         self.out: list[tuple[float, str, str, bool]] = []
         self.attempts = self.new = 0
@@ -55,7 +55,7 @@
                 self.tell(i.Outcome(ident, server, 0, "ok", LATENCY, True))
             else:
                 self.now, _, token = self.timers.pop(0)
-                self.tell(i.Timer(token))
+                self.tell(i.TimerFired(token))
         self.now = when
 
     def held(self) -> int:
@@ -76,7 +76,7 @@
             seen = made.attempts, made.new
         serial += 1
         made.tell(
-            i.Request(
+            i.MessageReceived(
                 f"m{serial}",
                 ("load-sim", "save-progress", "submit-result")[serial % 3],
                 "county",
--- a/benchmarks/capacity/kinds/lists.py
+++ b/benchmarks/capacity/kinds/lists.py
@@ -11,8 +11,8 @@
 from brackenpulley.net.inventory import LONGEST, Inventory
 from brackenpulley.net.objects import Objects
 from brackenpulley.policy import interface as i
-from brackenpulley.policy.brain import Gateway
-from brackenpulley.settings import settings as decode
+from brackenpulley.policy.brain import DecisionModule
+from brackenpulley.settings import decode_settings as decode
 from brackenpulley.standins.settings import settings
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.now, self.serial = 1000.0, 0
         self.timers: list[tuple[float, int, int]] = []
-        self.gateway = Gateway(decode(settings(40, 0)), 1, self.now)
+        self.gateway = DecisionModule(decode(settings(40, 0)), 1, self.now)
         self.inventory = Inventory(self.tell)
         self.objects = Objects(LONGEST)
 
@@ -76,7 +76,7 @@
         until = self.now + seconds
         while self.timers and self.timers[0][0] <= until:
             self.now, _, token = heapq.heappop(self.timers)
-            self.tell(i.Timer(token))
+            self.tell(i.TimerFired(token))
 
 
 def of(servers: int, seed: int) -> tuple[dict[str, float], Listed]:
--- a/benchmarks/capacity/kinds/tenants.py
+++ b/benchmarks/capacity/kinds/tenants.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from brackenpulley.policy import interface as i
-from brackenpulley.policy.brain import Gateway
-from brackenpulley.settings import settings as decode
+from brackenpulley.policy.brain import DecisionModule
+from brackenpulley.settings import decode_settings as decode
 from brackenpulley.standins.settings import settings
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
@@ -18,7 +18,7 @@
 
     def __init__(self, places: int = 40) -> None:
         super().__init__()
-        self.gateway = Gateway(decode(settings(places, 0)), 1, self.now)
+        self.gateway = DecisionModule(decode(settings(places, 0)), 1, self.now)
         self.calls = 0
         self.tell(i.ServerList("full", [i.ServerEntry(f"s{n}", "hall-a", n % 7) for n in range(20)]))
 
@@ -26,9 +26,9 @@
         for action in self.gateway.handle(self.now, event):
             if isinstance(action, i.Send):
                 self.tell(i.Outcome(action.id, action.server, 0, "ok", 0.02, True))
-            elif isinstance(action, i.Count):
+            elif isinstance(action, i.AddToCounter):
                 self.calls += 1
-                self.tell(i.Counted(action.name, "ok", action.amount, 0.005))
+                self.tell(i.CounterResult(action.name, "ok", action.amount, 0.005))
             elif isinstance(action, i.SetTimer):
                 self.serial += 1
                 self.timers.append((self.now + action.delay, self.serial, action.token))
@@ -38,8 +38,8 @@
         for n in range(firms):
             self.now += 30.0 / firms
             while self.timers and self.timers[0][0] <= self.now:
-                self.tell(i.Timer(self.timers.pop(0)[2]))
-            self.tell(i.Request(f"m{n}", "load-sim", "county", n + 1, 4.0, 1.0, 2, n % 40))
+                self.tell(i.TimerFired(self.timers.pop(0)[2]))
+            self.tell(i.MessageReceived(f"m{n}", "load-sim", "county", n + 1, 4.0, 1.0, 2, n % 40))
 
 
 def of(firms: int) -> list[dict[str, float]]:
@@ -56,7 +56,7 @@
             {
                 "memory": kept / 1e6,
                 "rest": rest * 100,
-                "hold": cpu(lambda: made.gateway.customers.age(made.now - 60.0)) * 1000,
+                "hold": cpu(lambda: made.gateway.firms.expire(made.now - 60.0)) * 1000,
             }
         )
     return found
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from brackenpulley.policy import interface as i
-from brackenpulley.policy.brain import Gateway
-from brackenpulley.settings import settings as decode
+from brackenpulley.policy.brain import DecisionModule
+from brackenpulley.settings import decode_settings as decode
 from brackenpulley.standins.settings import settings
 
 RATE, LATENCY = 500.0, 0.02  # messages a second, s
@@ -36,7 +36,7 @@
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         self.rng, self.now, self.serial = random.Random(seed), 1000.0, 0
-        self.gateway = Gateway(decode(raw), seed, self.now)
+        self.gateway = DecisionModule(decode(raw), seed, self.now)
         self.queue: list[tuple[float, int, i.Event]] = []
         self.sent = self.refused = 0
         self.put(i.ServerList("full", [i.ServerEntry(f"s{n}", "hall-a", n % 7) for n in range(servers)]))
@@ -48,7 +48,7 @@
                 took = self.rng.expovariate(1 / LATENCY)
                 self.at(took, i.Outcome(a.id, a.server, 0, "ok", took, True))
             elif isinstance(a, i.SetTimer):
-                self.at(a.delay, i.Timer(a.token))
+                self.at(a.delay, i.TimerFired(a.token))
             elif isinstance(a, i.Refuse):
                 self.refused += 1
 
@@ -66,7 +66,9 @@
             self.now = due
             self.serial += 1
             cls = ("load-sim", "save-progress", "submit-result")[self.serial % 3]
-            self.put(i.Request(f"m{self.serial}", cls, "county", self.serial % 50, 4.0, 1.0, 2, self.serial % 3))
+            self.put(
+                i.MessageReceived(f"m{self.serial}", cls, "county", self.serial % 50, 4.0, 1.0, 2, self.serial % 3)
+            )
 
 
 def lines(servers: int, messages: int, seed: int = 1) -> float:
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from brackenpulley.policy import interface as i
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 
 CLASSES = [
     ("load-sim", 2.9, 4.0, 2.0, "safe"),
@@ -112,7 +112,7 @@
         self.classes = classes
         self.servers = {f"s{n}": Server(f"s{n}", "abc"[n % 3]) for n in range(servers)}
         self.gateways = [
-            Gateway(
+            DecisionModule(
                 i.Settings(
                     classes,
                     plans,
@@ -241,7 +241,7 @@
         self.count["tries"] += 1
         self.tell(
             ask.gateway,
-            i.Request(
+            i.MessageReceived(
                 rid,
                 self.classes[ask.cls].name,
                 ask.firm.plan.name,
@@ -265,8 +265,8 @@
                 self.held[n].pop(a.id, None)
                 self.count["failed"] += 1
             elif isinstance(a, i.SetTimer):
-                self.at(self.now + a.delay, lambda t=a.token: self.tell(n, i.Timer(t)))
-            elif isinstance(a, i.Count):
+                self.at(self.now + a.delay, lambda t=a.token: self.tell(n, i.TimerFired(t)))
+            elif isinstance(a, i.AddToCounter):
                 self.call(n, a)
             elif isinstance(a, i.Cancel):
                 self.end(n, a.id, a.attempt, "cancelled")
@@ -274,15 +274,15 @@
     def refuse(self, n: int, a: i.Refuse) -> None:
         ask = self.held[n].pop(a.id)
         self.count["refused"] += 1
-        self.count["refused " + a.why] += 1
+        self.count["refused " + a.reason] += 1
         firm = ask.firm
-        if a.why == "quota":
+        if a.reason == "quota":
             self.count["quota of " + firm.kind] += 1
         if firm.fill(self.now) >= firm.plan.burst / 2:
             self.count["refused with room"] += 1
-            self.count["with room: " + a.why] += 1
+            self.count["with room: " + a.reason] += 1
         if ask.tries >= 0 and self.rng.random() < 0.6:
-            wait = a.after if a.after and self.rng.random() < 0.8 else self.rng.uniform(0.1, 0.8)
+            wait = a.retry_after if a.retry_after and self.rng.random() < 0.8 else self.rng.uniform(0.1, 0.8)
             if self.now + wait < ask.until - 0.5:
                 self.at(self.now + wait, lambda: self.again(ask))
 
@@ -353,7 +353,7 @@
             event.closed, event.cost = True, ask.true
             firm = ask.firm
             period = int((self.now - 0.8) // 2) - 1
-            event.used = round(1 + 100 * self.meter.get((firm.key, period), 0.0) / (2 * firm.plan.rate))
+            event.quota_used = round(1 + 100 * self.meter.get((firm.key, period), 0.0) / (2 * firm.plan.rate))
             if ask.inside:
                 firm.fill(self.now)
                 firm.store += ask.units - ask.true
@@ -369,7 +369,7 @@
 
     # The counter
 
-    def call(self, n: int, a: i.Count) -> None:
+    def call(self, n: int, a: i.AddToCounter) -> None:
         self.count["calls"] += 1
         part = (a.name * 2654435761 >> 7) % len(self.parts)
         done = max(self.parts[part], self.now + 0.005) + self.each
@@ -380,12 +380,12 @@
             self.totals[a.name] += a.amount
             total = self.totals[a.name]
             if answer - sent <= PATIENCE:
-                self.at(answer, lambda: self.tell(n, i.Counted(a.name, "ok", total, answer - sent)))
+                self.at(answer, lambda: self.tell(n, i.CounterResult(a.name, "ok", total, answer - sent)))
 
         self.at(done, add)
         if answer - sent > PATIENCE:
             self.count["calls late"] += 1
-            self.at(sent + PATIENCE, lambda: self.tell(n, i.Counted(a.name, "timeout", 0.0, PATIENCE)))
+            self.at(sent + PATIENCE, lambda: self.tell(n, i.CounterResult(a.name, "timeout", 0.0, PATIENCE)))
 
     # Troubles
 
--- a/brackenpulley/adapter.py
+++ b/brackenpulley/adapter.py
@@ -8,8 +8,8 @@
 from typing import Any, TextIO
 
 from .policy import interface as i
-from .policy.brain import Gateway
-from .settings import JSON, settings
+from .policy.brain import DecisionModule
+from .settings import JSON, decode_settings
 
 STATUS = {
     "served": "ok",
@@ -47,7 +47,7 @@
 
 EVENTS: dict[str, Callable[[JSON], i.Event]] = {
     "Membership": _members,
-    "WorkItem": lambda e: i.Request(
+    "WorkItem": lambda e: i.MessageReceived(
         e["Ref"],
         e["Category"],
         e.get("Package", ""),
@@ -70,23 +70,23 @@
         e.get("Billed", 0),
         e.get("Telemetry") or [],
     ),
-    "Opened": lambda e: i.Started(e["Ref"], e.get("Worker", ""), e.get("Go", 0), e.get("Latency", 0.0)),
-    "CancelledByClient": lambda e: i.Gone(e["Ref"]),
-    "Echo": lambda e: i.Probed(e["Worker"], _status(e), e.get("Latency", 0.0), e.get("Telemetry") or []),
-    "Tallied": lambda e: i.Counted(e["Cname"], _status(e), e.get("Sum", 0.0), e.get("Latency", 0.0)),
+    "Opened": lambda e: i.StreamStarted(e["Ref"], e.get("Worker", ""), e.get("Go", 0), e.get("Latency", 0.0)),
+    "CancelledByClient": lambda e: i.ClientGone(e["Ref"]),
+    "Echo": lambda e: i.ProbeResult(e["Worker"], _status(e), e.get("Latency", 0.0), e.get("Telemetry") or []),
+    "Tallied": lambda e: i.CounterResult(e["Cname"], _status(e), e.get("Sum", 0.0), e.get("Latency", 0.0)),
     "NoteFrom": lambda e: i.PeerNote(e.get("OriginPeer", 0), e.get("Data", "")),
-    "Alarm": lambda e: i.Timer(e.get("Tag", 0)),
+    "Alarm": lambda e: i.TimerFired(e.get("Tag", 0)),
 }
 ACTIONS: dict[type, Callable[[Any], tuple[str, JSON]]] = {
     i.Send: lambda a: ("HandOff", {"Ref": a.id, "Worker": a.server, "Patience": a.timeout}),
-    i.Refuse: lambda a: ("OverloadReply", {"Ref": a.id, "HoldOff": a.after}),
+    i.Refuse: lambda a: ("OverloadReply", {"Ref": a.id, "HoldOff": a.retry_after}),
     i.Fail: lambda a: ("FinishError", {"Ref": a.id}),
     i.Cancel: lambda a: ("StopAttempt", {"Ref": a.id, "Go": a.attempt}),
     i.Probe: lambda a: ("Test", {"Worker": a.server}),
-    i.Count: lambda a: ("Add", {"Cname": a.name, "N": a.amount, "Lifetime": a.ttl}),
-    i.Tell: lambda a: ("Notify", {"Dest": a.peer, "Data": a.data}),
+    i.AddToCounter: lambda a: ("Add", {"Cname": a.name, "N": a.amount, "Lifetime": a.ttl}),
+    i.SendPeerNote: lambda a: ("Notify", {"Dest": a.peer, "Data": a.data}),
     i.SetTimer: lambda a: ("SetAlarm", {"Tag": a.token, "Span": a.delay}),
-    i.Watch: lambda a: ("Tail", {"Enable": a.on}),
+    i.Watch: lambda a: ("Tail", {"Enable": a.enabled}),
     i.Fetch: lambda a: ("Reload", {}),
     i.Log: lambda a: ("SayLog", {"ReasonText": a.text}),
 }
@@ -96,7 +96,7 @@
     """Routes the events of a batch to the gateways of this process."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
+        self.decision_modules: dict[int, DecisionModule] = {}
 
     def batch(self, message: JSON) -> JSON:
         now, steps = message["AtTime"], []
@@ -104,11 +104,11 @@
             ((kind, e),) = item.items()
             who = e["Who"]
             if kind == "Provision":
-                self.gateways[who] = Gateway(settings(e["Settings"]), e["Prng"], now)
+                self.decision_modules[who] = DecisionModule(decode_settings(e["Settings"]), e["Prng"], now)
             elif kind == "Halt":
-                self.gateways.pop(who, None)
-            elif kind in EVENTS and who in self.gateways:
-                for action in self.gateways[who].handle(now, EVENTS[kind](e)):
+                self.decision_modules.pop(who, None)
+            elif kind in EVENTS and who in self.decision_modules:
+                for action in self.decision_modules[who].handle(now, EVENTS[kind](e)):
                     name, row = ACTIONS[type(action)](action)
                     steps.append({name: {"Who": who, **row}})
         return {"steps": steps}
--- a/brackenpulley/config.py
+++ b/brackenpulley/config.py
@@ -12,7 +12,7 @@
 from .operator import ControlPart, Operator, local
 from .operator import load as load_operator
 from .policy import interface as i
-from .settings import JSON, Transport, settings, transport
+from .settings import JSON, Transport, decode_settings, decode_transport
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
 
     given, limits = _object(raw.get("settings"), "settings"), _object(raw.get("limits", {}), "limits")
     try:
-        rules, conns = settings(given), transport(given)
+        rules, conns = decode_settings(given), decode_transport(given)
     except i.SettingsError as error:
         raise ConfigError(f"settings.{error}") from None
     except (TypeError, ValueError, AttributeError, KeyError) as error:
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -612,7 +612,7 @@
         return {
             "name": daemon.config.name,
             "upSeconds": round(time.monotonic() - began, 3),
-            "ready": daemon.drain.ready(daemon.ready()),
+            "ready": daemon.drain.is_ready(daemon.ready()),
             "ending": daemon.ending,
             "held": len(daemon.ingress.held),
             "clients": len(daemon.north.clients),
--- a/brackenpulley/core/ingress.py
+++ b/brackenpulley/core/ingress.py
@@ -9,7 +9,7 @@
 
 from ..metrics import OUTCOMES, Metrics
 from ..policy import interface as i
-from ..policy.brain import Gateway
+from ..policy.brain import DecisionModule
 from .exchange import Answer, Asking, Authoriser, Exchange, RelayEnd, South, Verdict
 from .message import Message, check
 
@@ -60,7 +60,7 @@
     def ask(self, message: Message, done: Callable[[], None]) -> Asking | None:
         """None where the module can decide now; else `done` is called once, unless it is dropped."""
 
-    def counted(self, event: i.Counted) -> None: ...
+    def counted(self, event: i.CounterResult) -> None: ...
 
     def settled(self, customer: int) -> None:
         """True costs are in: the customer's store may be below nothing."""
@@ -83,7 +83,13 @@
     """Owns every exchange from `take` until it is over and no relay of it is out."""
 
     def __init__(
-        self, gateway: Gateway, clock: Callable[[], float], timers: Timers, counter: Counter, metrics: Metrics, log: Log
+        self,
+        gateway: DecisionModule,
+        clock: Callable[[], float],
+        timers: Timers,
+        counter: Counter,
+        metrics: Metrics,
+        log: Log,
     ) -> None:
         self.gateway, self.clock, self.timers, self.counter = gateway, clock, timers, counter
         self.metrics, self.log = metrics, log
@@ -105,7 +111,7 @@
             i.Refuse: self._refuse,
             i.Fail: self._fail,
             i.Cancel: self._cancel,
-            i.Count: self._count,
+            i.AddToCounter: self._count,
             i.SetTimer: self._timer,
             i.Watch: lambda a: self.watch(),
             i.Fetch: lambda a: self.watch(),
@@ -122,7 +128,7 @@
         `opened`: whether it is tried; else it is refused at once (see policy/drain)."""
         if self.plans is not None:
             message.plan, message.revision = self.plans.plan_of(message.customer, message.told)
-        check(message, self.gateway.s, self.gateway.plans)
+        check(message, self.gateway.settings, self.gateway.plans)
         if message.id in self.held:
             return None
         self.metrics.add("messages")
@@ -145,10 +151,10 @@
         self.held[message.id] = exchange
         if not opened:
             self.metrics.add("refused_unopened")
-            self._finish(exchange, Answer("back-off", 429, UNOPENED if self.gateway.s.retry_after else 0.0))
+            self._finish(exchange, Answer("back-off", 429, UNOPENED if self.gateway.settings.retry_after else 0.0))
         elif ledger is not None and ledger.refuses:
             self.metrics.add("refused_unstored")
-            self._finish(exchange, Answer("back-off", 503, UNSTORED if self.gateway.s.retry_after else 0.0))
+            self._finish(exchange, Answer("back-off", 503, UNSTORED if self.gateway.settings.retry_after else 0.0))
         elif self.authoriser is None:
             self._admit(exchange)
         else:
@@ -167,12 +173,12 @@
         exchange.asking = None
         m = exchange.message
         left = m.left if exchange.until == inf else max(0.0, exchange.until - self.clock())
-        event = i.Request(m.id, m.cls, m.plan, m.customer, left, m.units, m.spread, m.first, m.retry)
-        event.coming = exchange.until == inf
+        event = i.MessageReceived(m.id, m.cls, m.plan, m.customer, left, m.units, m.spread, m.first, m.retry)
+        event.body_pending = exchange.until == inf
         if self.plans is not None:  # it may have waited for a verdict over the instant of a change
             event.plan, event.revision = m.plan, m.revision = self.plans.plan_of(m.customer, m.told)
         if self.holds is not None and m.reservation:
-            event.held = self.holds.pays(m)
+            event.reserved_units = self.holds.pays(m)
         self._put(event)
 
     def _heard(self, exchange: Exchange, verdict: Verdict) -> None:
@@ -194,7 +200,7 @@
         exchange.until = self.clock() + exchange.message.left
         if exchange.out:
             exchange.timer = self.timers.call_at(exchange.until, lambda: self._expired(exchange))
-        self._put(i.Whole(exchange.message.id))
+        self._put(i.BodyComplete(exchange.message.id))
 
     def leave(self, exchange: Exchange) -> None:
         """The client is gone."""
@@ -211,7 +217,7 @@
             exchange.asking = None
             self._release(exchange)
             return
-        self._put(i.Gone(exchange.message.id))
+        self._put(i.ClientGone(exchange.message.id))
         if exchange.out and exchange.recall():  # where attempts may not be cancelled: this one has not begun
             self._ended(exchange, exchange.attempt, RelayEnd("moot"))
         self._release(exchange)
@@ -220,13 +226,16 @@
         self.listed = self.listed or bool(change.entries)
         self._put(change)
 
-    def counted(self, event: i.Counted | i.Total) -> None:
+    def counted(self, event: i.CounterResult | i.LateCounterResult) -> None:
         if self.leases is None:
             self._put(event)
-        elif isinstance(event, i.Counted):  # a lease that was given up on stays so, whatever is heard of it later
+        elif isinstance(event, i.CounterResult):  # a lease that was given up on stays so, whatever is heard of it later
             self.leases.counted(event)
 
-    def tell(self, event: i.PlanFigures | i.Moved | i.Settle | i.Allow | i.Gateways | i.Shares) -> None:
+    def tell(
+        self,
+        event: i.PlansChanged | i.FirmMoved | i.Settle | i.LeaseGranted | i.IngressCountChanged | i.RelayLimitsChanged,
+    ) -> None:
         """What the plan book, a reservation's end, a lease or the fleet has for the module."""
         self._put(event)
 
@@ -262,7 +271,7 @@
         except Exception:  # one bad event must not end the ingress; what it concerned is still answered
             self.metrics.add("faults")
             self.log.exception("fault", during=type(event).__name__)
-        if isinstance(event, i.Request | i.Outcome) and not self._events:
+        if isinstance(event, i.MessageReceived | i.Outcome) and not self._events:
             exchange = self.held.get(event.id)
             if exchange and exchange.owed:  # nothing was decided: the answer is owed now
                 self.metrics.add("undecided")
@@ -272,7 +281,7 @@
         exchange = self.held[a.id]
         now = self.clock()
         until = min(exchange.until, now + a.timeout) if a.timeout > 0 else exchange.until
-        left, exchange.message.before = exchange.message.left, a.before or inf
+        left, exchange.message.before = exchange.message.left, a.not_after or inf
         if until < inf:
             left = until - now
             exchange.timer = self.timers.call_at(until, lambda: self._expired(exchange))
@@ -294,7 +303,7 @@
         exchange.flowing = True
         exchange.answer(Answer("served", 200, 0.0, end.payload, exchange.server, flows=True))
         self._put(
-            i.Started(
+            i.StreamStarted(
                 exchange.message.id,
                 exchange.server,
                 attempt,
@@ -327,7 +336,7 @@
             end.used,
             end.cost,
             end.load,
-            last=last,
+            no_retry=last,
         )
         if exchange.flowing:
             self._flowed(exchange, end.status)
@@ -339,7 +348,7 @@
             # The attempt runs where this ingress cannot see it. "cancelled" is the one outcome that the module takes
             # without judging the server or learning a latency; the units stay taken as guessed.
             event.status, event.closed = "cancelled", True
-            event.pending = self.holds is not None and self.holds.granted(m)
+            event.settles_later = self.holds is not None and self.holds.granted(m)
             if not exchange.over:
                 self.metrics.add("granted")
                 exchange.answer(Answer("granted", 200, server=exchange.server))
@@ -364,9 +373,9 @@
 
     def _refuse(self, a: i.Refuse) -> None:
         if exchange := self.held.get(a.id):
-            if a.why:
-                self.metrics.add("refused_" + a.why)
-            self._finish(exchange, Answer("back-off", 503 if exchange.attempt >= 0 else 429, a.after))
+            if a.reason:
+                self.metrics.add("refused_" + a.reason)
+            self._finish(exchange, Answer("back-off", 503 if exchange.attempt >= 0 else 429, a.retry_after))
         else:
             self._reserving = a
 
@@ -384,9 +393,9 @@
         if exchange.over and not exchange.out:
             self.held.pop(exchange.message.id, None)
 
-    def _count(self, a: i.Count) -> None:
+    def _count(self, a: i.AddToCounter) -> None:
         self.metrics.add("counts")
         self.counter.add(a.name, a.amount, a.ttl, a.call)
 
     def _timer(self, a: i.SetTimer) -> None:
-        self.timers.call_at(self.clock() + a.delay, lambda: self._put(i.Timer(a.token)))
+        self.timers.call_at(self.clock() + a.delay, lambda: self._put(i.TimerFired(a.token)))
--- a/brackenpulley/fleet/gateways.py
+++ b/brackenpulley/fleet/gateways.py
@@ -60,7 +60,7 @@
         now = (count, self.crowd.count(self.loop.clock(), count))
         if now != self.now:
             self.now = now
-            self.ingress.tell(i.Gateways(*now))
+            self.ingress.tell(i.IngressCountChanged(*now))
 
     def start(self) -> None:
         """Reports and youth end by themselves."""
@@ -69,13 +69,13 @@
 
     def reported(self, server: str, load: list[float]) -> None:
         """A server's own words, for as long as it is cold."""
-        settings = self.ingress.gateway.s
+        settings = self.ingress.gateway.settings
         known = self.ingress.gateway.servers.get(server)
         now = self.loop.clock()
-        if known is not None and known.warmth(now, settings) < 1:
+        if known is not None and known.compute_warmth(now, settings) < 1:
             for name, value in zip(settings.report_fields, load, strict=False):
                 if name == "inflight":
-                    self.crowd.reported(now, value, len(known.out))
+                    self.crowd.reported(now, value, len(known.relays))
                     self._apply()
 
     def status(self) -> dict[str, Any]:
--- a/brackenpulley/growth/tally.py
+++ b/brackenpulley/growth/tally.py
@@ -8,14 +8,14 @@
 
 from ..metrics import Metrics
 from ..net.loop import Loop
-from ..policy.brain import Gateway
+from ..policy.brain import DecisionModule
 
 SECOND = 1.0
 PEAKS = ("longest_turn_us",)  # greatest values, not sums
 
 
 class Tally:
-    def __init__(self, loop: Loop, metrics: Metrics, gateway: Gateway, log: Any) -> None:
+    def __init__(self, loop: Loop, metrics: Metrics, gateway: DecisionModule, log: Any) -> None:
         self.loop, self.metrics, self.gateway, self.log = loop, metrics, gateway, log
         self.last: dict[str, int] = {}
         metrics.servers = defaultdict(int)
@@ -50,10 +50,10 @@
         g = self.gateway
         return {
             "up": len(g.servers.up),
-            "aside": g.servers.aside_up(),
-            "out": sum(len(s.out) for s in g.servers.busy.values()),
-            "pace": round(g.pace, 2),
-            "gap": round(g.calls.gap, 3),
-            "firms": len(g.customers),
-            "rates": {name: round(x.rate, 2) for name, x in g.loops.items()},
+            "aside": g.servers.count_ejected_up(),
+            "out": sum(len(s.relays) for s in g.servers.with_relays.values()),
+            "pace": round(g.answer_rate, 2),
+            "gap": round(g.counter_calls.interval, 3),
+            "firms": len(g.firms),
+            "rates": {name: round(x.rate, 2) for name, x in g.rate_controllers.items()},
         }
--- a/brackenpulley/ledger/service.py
+++ b/brackenpulley/ledger/service.py
@@ -67,8 +67,8 @@
     # Counting: once a turn, before the answers of that turn leave.
 
     def charge(self, a: i.Charge) -> None:
-        self.tally.charge(a.customer, a.plan, a.revision, a.units, a.since)
-        self.uses.append((a.id, a.customer, a.plan, a.revision, a.units, a.since))
+        self.tally.charge(a.firm, a.plan, a.revision, a.units, a.since)
+        self.uses.append((a.id, a.firm, a.plan, a.revision, a.units, a.since))
         self._soon()
 
     def answer(self, reply: Callable[[Answer], None], answer: Answer) -> None:
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -48,10 +48,10 @@
 
     def attempts(self, servers: list[str]) -> int:
         known = self.daemon.ingress.gateway.servers
-        return sum(len(known[name].out) for name in servers if name in known)
+        return sum(len(known[name].relays) for name in servers if name in known)
 
     def drain(self, on: bool) -> None:
-        self.daemon.drain.away = on
+        self.daemon.drain.out_for_maintenance = on
         if on:
             self.daemon.north.close_unused()
         self.daemon.log.info("maintenance", drains=on)
@@ -60,7 +60,7 @@
         return len(self.daemon.ingress.held)
 
     def look(self) -> None:
-        busy = sum(len(server.out) for server in self.daemon.ingress.gateway.servers.busy.values())
+        busy = sum(len(server.relays) for server in self.daemon.ingress.gateway.servers.with_relays.values())
         self.smoothed += 0.2 * (busy - self.smoothed)
 
     def holds(self) -> Holds:
@@ -68,7 +68,7 @@
         return Holds(
             daemon.config.name,
             daemon.config.settings.me,
-            daemon.drain.ready(daemon.ready()),
+            daemon.drain.is_ready(daemon.ready()),
             round(self.smoothed, 1),
             daemon.metrics.counts["messages"],
         )
@@ -92,7 +92,7 @@
         return frozenset(found)
 
     def facts(self) -> Facts:
-        daemon, apart = self.daemon, self.daemon.ingress.gateway.servers.apart
+        daemon, apart = self.daemon, self.daemon.ingress.gateway.servers.ejected
         entries = daemon.inventory.listed()
         away = daemon.inventory.taken_out
         servers = {e.server: Server(e.zone, e.kind, e.size, e.state == "up" and e.server not in apart) for e in entries}
@@ -124,7 +124,9 @@
         if ingress:
             return any(row.name == ingress and row.ready for row in self.others())
         known = self.daemon.ingress.gateway.servers
-        return all(self.daemon.inventory.usable(name) and name in known and not known[name].aside for name in servers)
+        return all(
+            self.daemon.inventory.usable(name) and name in known and not known[name].is_ejected for name in servers
+        )
 
 
 class MaintenanceService:
--- a/brackenpulley/net/counter.py
+++ b/brackenpulley/net/counter.py
@@ -225,7 +225,7 @@
         at: Address,
         timeout: float,
         metrics: Metrics,
-        tell: Callable[[i.Counted | i.Total], None],
+        tell: Callable[[i.CounterResult | i.LateCounterResult], None],
     ) -> None:
         self.loop, self.pool, self.at, self.timeout, self.metrics = loop, pool, at, timeout, metrics
         self.tell = tell
@@ -283,7 +283,7 @@
             self.end(call, status, total)
         else:  # it was given up on, and its answer came all the same
             self.metrics.add("count_late")
-            self.tell(i.Total(call.number, status, total, self.loop.clock() - call.at))
+            self.tell(i.LateCounterResult(call.number, status, total, self.loop.clock() - call.at))
 
     def end(self, call: Call, status: str, total: float = 0.0) -> None:
         if not call.open:  # given up on, and lost with its connection: nothing more is known of it
@@ -292,7 +292,7 @@
         if call.timer is not None:
             call.timer.cancel()
         self.metrics.add("count_" + status)
-        self.tell(i.Counted(call.name, status, total, self.loop.clock() - call.at))
+        self.tell(i.CounterResult(call.name, status, total, self.loop.clock() - call.at))
 
     def stop(self) -> None:
         for line in [*self._retired, *([self._line] if self._line else [])]:
--- a/brackenpulley/net/north.py
+++ b/brackenpulley/net/north.py
@@ -15,7 +15,7 @@
 from ..core.ingress import Ingress
 from ..core.message import MessageError
 from ..metrics import Metrics
-from ..policy.drain import Drain
+from ..policy.drain import DrainState
 from . import sockets
 from .http import LONGEST, pass_on
 from .loop import READ, WRITE, Loop, Timer
@@ -114,7 +114,7 @@
         log: Any,
         most: int,
         ready: Callable[[], bool],
-        drain: Drain,
+        drain: DrainState,
         shares: Shares,
         longest: int = LONGEST,
     ) -> None:
@@ -136,7 +136,7 @@
 
     @property
     def draining(self) -> bool:
-        return self.drain.draining
+        return self.drain.is_draining
 
     def listen(self, at: Address) -> Address:
         self.listener = sock = sockets.listen(at, 1024, shared=True)
@@ -377,7 +377,7 @@
         del self.clients[client]  # used last: now at the end
         self.clients[client] = None
         if payload.method == b"GET" and payload.target == b"/ready":
-            self._reply(client, 200 if self.drain.ready(self.ready()) else 503)
+            self._reply(client, 200 if self.drain.is_ready(self.ready()) else 503)
             return
         serial = client.serial
         try:
@@ -387,7 +387,7 @@
             if stream is not None:
                 asked.coming, asked.again = stream.coming, stream.again
             exchange = self.ingress.take(
-                asked, lambda answer: self._answer(client, serial, answer), self.south, self.drain.tries(self.ready)
+                asked, lambda answer: self._answer(client, serial, answer), self.south, self.drain.accepts(self.ready)
             )
         except MessageError as error:
             self.metrics.add("malformed")
@@ -535,7 +535,7 @@
         self.shedding.pop(client, None)
         client.busy = client.raw = client.reading = True
         client.keep, client.shed = False, 0
-        client.shed_by = self.loop.clock() + (LINGER_AT_END if self.drain.ending else LINGER)
+        client.shed_by = self.loop.clock() + (LINGER_AT_END if self.drain.is_ending else LINGER)
         sockets.finish(client.sock)
         self._interest(client)
         self._trim()
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -51,7 +51,7 @@
         return found[1].burst if found else 0.0
 
     def level(self, firm: int) -> float:
-        record = self.ingress.gateway.customers.get(firm)
+        record = self.ingress.gateway.firms.get(firm)
         return record.level if record is not None else 0.0
 
     def ask(self, message: Message, done: Callable[[], None]) -> Waiting | None:
@@ -79,9 +79,9 @@
         if (units := min(units, most)) > 0:
             self._shared[message.customer] = now
             self.metrics.add("lease_shares")
-            self.ingress.tell(i.Allow(message.customer, message.plan, units, message.spread, message.first))
+            self.ingress.tell(i.LeaseGranted(message.customer, message.plan, units, message.spread, message.first))
 
-    def counted(self, event: i.Counted) -> None:
+    def counted(self, event: i.CounterResult) -> None:
         now = self.loop.clock()
         if event.status == "ok":
             self.heard, self.asked = now, 0.0
@@ -111,7 +111,7 @@
                 self.asked = self.asked or self.loop.clock()
                 self.counter.add(effect.name, effect.amount, effect.ttl)
             elif isinstance(effect, Grant):
-                self.ingress.tell(i.Allow(effect.firm, effect.plan, effect.units, effect.spread, effect.first))
+                self.ingress.tell(i.LeaseGranted(effect.firm, effect.plan, effect.units, effect.spread, effect.first))
             elif isinstance(effect, Free):
                 for waiting in list(self.waiting.pop(effect.firm, {})):
                     waiting.done()
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -90,13 +90,13 @@
         changed: list[int] = []
         if found:
             names = {plan.name for plan in found}
-            changed += [key for key, c in self.ingress.gateway.customers.items() if c.plan.name in names]
-            self.ingress.tell(i.PlanFigures(found))
+            changed += [key for key, c in self.ingress.gateway.firms.items() if c.plan.name in names]
+            self.ingress.tell(i.PlansChanged(found))
         for firm in {firm_of(change.firm): None for change in changes if change.kind == "move"}:
             name, _ = self.book.plan_of(firm, now)
             if name:
                 changed.append(firm)
-                self.ingress.tell(i.Moved(firm, name))
+                self.ingress.tell(i.FirmMoved(firm, name))
         if self.ingress.leases is not None:
             self.ingress.leases.moved(changed)
 
@@ -129,7 +129,7 @@
         old = self.table.check(ident, firm, units, lifetime, now)
         if old is not None:
             return old, 0.0
-        settings, revision = self.ingress.gateway.s, 0
+        settings, revision = self.ingress.gateway.settings, 0
         if units > settings.most_units:
             raise ReservationError(400, "units", f"{units:g} is more than the {settings.most_units:g} of one request")
         if not 1 <= spread <= settings.places or not 0 <= first < settings.places:
--- a/brackenpulley/policy/interface.py
+++ b/brackenpulley/policy/interface.py
@@ -59,7 +59,7 @@
     ceiling_slack: float = 0.0
 
     @property
-    def ceiling_room(self) -> float:
+    def ceiling_capacity(self) -> float:
         """Units below which a ceiling's store is never taken; half of the slack is left for what crosses."""
         return self.ceiling_burst + self.ceiling_slack / 2
 
@@ -103,7 +103,7 @@
     report_fields: list[str] = field(default_factory=list)
     report_via: str = "none"  # "answers" | "probe" | "none"
     charges: bool = False  # tell by Charge what each try used in the end
-    cold_gateways: int = 0  # that may share a cold server's least, where more than `gateways`
+    cold_ingresses: int = 0  # that may share a cold server's least, where more than `gateways`
     leased: bool = False  # a customer's store is filled by Allow alone
 
     def __post_init__(self) -> None:
@@ -153,30 +153,30 @@
 
 @dataclass(slots=True)
 class ServerList:
-    how: str  # "changes" | "full" | "stale" | "failed"
+    kind: str  # "changes" | "full" | "stale" | "failed"
     entries: list[ServerEntry]
     version: int = 0
 
 
 @dataclass(slots=True)
-class Request:
+class MessageReceived:
     id: str
     cls: str
     plan: str
-    customer: int
-    left: float  # the client waits this long
+    firm: int
+    time_left: float  # the client waits this long
     units: float = 1.0
     spread: int = 1  # gateways that serve this customer
     first: int = 0  # the first of them; the rest count round
     retry: bool = False
     write: bool = False
-    held: float = 0.0  # units that a reservation holds for it already
+    reserved_units: float = 0.0  # units that a reservation holds for it already
     revision: int = 0  # of the plan book, for Charge
-    coming: bool = False  # its body is long and still comes: its time begins with Whole
+    body_pending: bool = False  # its body is long and still comes: its time begins with Whole
 
 
 @dataclass(slots=True)
-class Whole:
+class BodyComplete:
     """The last byte of a body that was still coming is there."""
 
     id: str
@@ -190,15 +190,15 @@
     status: str  # ok error full timeout connect_failed reset cancelled moot
     latency: float = 0.0
     closed: bool = False
-    used: int = 0
+    quota_used: int = 0
     cost: float = 0.0
     load: list[float] = field(default_factory=list)
-    pending: bool = False  # its units stay held until Settle: the end of this attempt is not seen here
-    last: bool = False  # its body is not kept: no further attempt is possible
+    settles_later: bool = False  # its units stay held until Settle: the end of this attempt is not seen here
+    no_retry: bool = False  # its body is not kept: no further attempt is possible
 
 
 @dataclass(slots=True)
-class Started:
+class StreamStarted:
     """A stream flows: the request is bound to this attempt."""
 
     id: str
@@ -209,12 +209,12 @@
 
 
 @dataclass(slots=True)
-class Gone:
+class ClientGone:
     id: str
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeResult:
     server: str
     status: str
     latency: float = 0.0
@@ -222,7 +222,7 @@
 
 
 @dataclass(slots=True)
-class Counted:
+class CounterResult:
     """A call's end, told once for each: the next call may go. Its total comes with `ok`; after `timeout`, where it
     may have been added, an answer can still come as Total; `full` and `connect_failed`: nothing was added."""
 
@@ -233,7 +233,7 @@
 
 
 @dataclass(slots=True)
-class Total:
+class LateCounterResult:
     """The late answer to a call that ended with `timeout`: at most one for each, in the order of the calls.
 
     It ends nothing. The total speaks of an instant between the call's sending and now."""
@@ -251,22 +251,22 @@
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerFired:
     token: int
 
 
 @dataclass(slots=True)
-class PlanFigures:
+class PlansChanged:
     """From now on these plans have these figures."""
 
     plans: list[PlanSpec]
 
 
 @dataclass(slots=True)
-class Moved:
+class FirmMoved:
     """From now on the customer is on this plan."""
 
-    customer: int
+    firm: int
     plan: str
 
 
@@ -275,7 +275,7 @@
     """Hold units for a request to come: answered by Reserved or Refuse."""
 
     id: str
-    customer: int
+    firm: int
     plan: str
     units: float
     spread: int = 1
@@ -288,7 +288,7 @@
     """Units held since `since` turned out to be these; 0 = it never ran, all is returned."""
 
     id: str
-    customer: int
+    firm: int
     plan: str
     revision: int
     held: float
@@ -297,10 +297,10 @@
 
 
 @dataclass(slots=True)
-class Allow:
+class LeaseGranted:
     """Units leased for a customer (or, below 0, given up) where `leased` is set."""
 
-    customer: int
+    firm: int
     plan: str
     units: float
     spread: int = 1
@@ -309,39 +309,39 @@
 
 
 @dataclass(slots=True)
-class Gateways:
+class IngressCountChanged:
     """From now on this gateway's part of what is shared without telling each other is one of so many."""
 
     count: int
-    cold: int = 0  # of a cold server's least, where that is more
+    cold_count: int = 0  # of a cold server's least, where that is more
 
 
 @dataclass(slots=True)
-class Shares:
+class RelayLimitsChanged:
     """From now on at most so many attempts of this gateway are out at each server; one not named has no bound."""
 
-    most: dict[str, int]
+    limits: dict[str, int]
 
 
 Event = (
     ServerList
-    | Request
-    | Whole
+    | MessageReceived
+    | BodyComplete
     | Outcome
-    | Started
-    | Gone
-    | Probed
-    | Counted
-    | Total
+    | StreamStarted
+    | ClientGone
+    | ProbeResult
+    | CounterResult
+    | LateCounterResult
     | PeerNote
-    | Timer
-    | PlanFigures
-    | Moved
+    | TimerFired
+    | PlansChanged
+    | FirmMoved
     | Reserve
     | Settle
-    | Allow
-    | Gateways
-    | Shares
+    | LeaseGranted
+    | IngressCountChanged
+    | RelayLimitsChanged
 )
 
 
@@ -353,14 +353,14 @@
     id: str
     server: str
     timeout: float = 0.0  # 0 = until the client gives up
-    before: float = 0.0  # it may not reach a server after that: repeats are dropped only so long; 0 = whenever
+    not_after: float = 0.0  # it may not reach a server after that: repeats are dropped only so long; 0 = whenever
 
 
 @dataclass(slots=True)
 class Refuse:
     id: str
-    after: float = 0.0  # advice; 0 = none
-    why: str = ""  # quota, rate, haste, room, servers, unknown; "" = not told
+    retry_after: float = 0.0  # advice; 0 = none
+    reason: str = ""  # quota, rate, haste, room, servers, unknown; "" = not told
 
 
 @dataclass(slots=True)
@@ -380,7 +380,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class AddToCounter:
     name: int
     amount: float
     ttl: float
@@ -388,7 +388,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerNote:
     peer: int  # -1 = all
     data: str
 
@@ -401,7 +401,7 @@
 
 @dataclass(slots=True)
 class Watch:
-    on: bool = True
+    enabled: bool = True
 
 
 @dataclass(slots=True)
@@ -424,11 +424,25 @@
     """What a try, or a reservation, used in the end; once for each, and never for what reached no server whole."""
 
     id: str
-    customer: int
+    firm: int
     plan: str
     revision: int
     units: float
     since: float  # when the units were first taken
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Count | Tell | SetTimer | Watch | Fetch | Log | Reserved | Charge
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | Probe
+    | AddToCounter
+    | SendPeerNote
+    | SetTimer
+    | Watch
+    | Fetch
+    | Log
+    | Reserved
+    | Charge
+)
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -29,8 +29,8 @@
 from .net.pool import Pool
 from .net.south import Southside
 from .operator import Operator
-from .policy.brain import Gateway
-from .policy.drain import Drain
+from .policy.brain import DecisionModule
+from .policy.drain import DrainState
 
 LINGER = 0.5  # s after SIGTERM in which new connections are still taken
 HALVES = 0.2  # s after that in which half a message may become whole: what comes later may not be answered in time
@@ -69,7 +69,7 @@
         told = config.operator
         if told.ledger is not None or told.leases is not None:
             config.settings = replace(config.settings, charges=told.ledger is not None, leased=told.leases is not None)
-        gateway = Gateway(config.settings, config.seed, self.born)
+        gateway = DecisionModule(config.settings, config.seed, self.born)
         self.counter: CounterClient | None = None
         if config.counter is not None and config.settings.counter:
             self.counter = CounterClient(
@@ -97,12 +97,12 @@
             self.inventory,
             self.metrics,
             sockets * 2 // 5,
-            config.transport.idle,
-            config.transport.connect,
-            config.transport.fields,
+            config.transport.idle_seconds,
+            config.transport.connect_seconds,
+            config.transport.load_fields,
             self.shares,
         )
-        self.drain = Drain()
+        self.drain = DrainState()
         self._halves_until = 0.0  # half a message may become whole; set once the doors are closed
         self.north = North(
             self.loop,
@@ -139,7 +139,7 @@
     @property
     def ending(self) -> bool:
         """SIGTERM came: the drain holds it."""
-        return self.drain.ending
+        return self.drain.is_ending
 
     def _extras(self) -> None:
         """What the operator's file switches on; without it nothing of it is loaded."""
@@ -220,20 +220,20 @@
         """The operators' calls: each reads what is held and answers in the same turn."""
 
         def ready() -> tuple[int, bytes, bytes]:
-            yes = self.drain.ready(self.ready())
+            yes = self.drain.is_ready(self.ready())
             return (200, b"ready\n", TEXT) if yes else (503, b"not ready\n", TEXT)
 
         def counters() -> tuple[int, bytes, bytes]:
             return 200, exposition(self.metrics, self.gauges()), PROMETHEUS
 
         def out() -> tuple[int, bytes, bytes]:
-            self.drain.out = True
+            self.drain.out_of_service = True
             self.north.close_unused()
             self.log.info("out of service")
             return 200, b"out of service\n", TEXT
 
         def back() -> tuple[int, bytes, bytes]:
-            self.drain.out = False
+            self.drain.out_of_service = False
             self.log.info("in service")
             return 200, b"in service\n", TEXT
 
@@ -245,7 +245,7 @@
         }
 
     def gauges(self) -> dict[str, int]:
-        apart = self.ingress.gateway.servers.apart
+        apart = self.ingress.gateway.servers.ejected
         asked = sum(not exchange.over for exchange in self.ingress.held.values())
         return {
             "active": asked + self.north.flowing,
@@ -281,7 +281,7 @@
     def end(self) -> None:
         """Take what still arrives for a while, finish all that is held, then stop."""
         if not self.ending:
-            self.drain.ending = True
+            self.drain.is_ending = True
             self.log.info("ending")
             if self.health is not None:
                 self.health.ending()
--- a/brackenpulley/settings.py
+++ b/brackenpulley/settings.py
@@ -21,7 +21,7 @@
 JSON = dict[str, Any]
 
 
-def need(obj: JSON, key: str, at: str = "") -> Any:
+def require(obj: JSON, key: str, at: str = "") -> Any:
     if key not in obj:
         raise i.SettingsError(f"{at}{key}: missing")
     return obj[key]
@@ -40,15 +40,15 @@
     return [(f"{name}.", _shape(row, dict, name)) for name, row in named]
 
 
-def settings(s: JSON) -> i.Settings:
-    need(s, "Classes")
+def decode_settings(s: JSON) -> i.Settings:
+    require(s, "Classes")
     classes = [
         i.ClassSpec(
-            name=need(c, "Name", at),
-            aim=need(c, "Objective", at),
-            deadline=need(c, "GiveUp", at),
-            worth=need(c, "Value", at),
-            effect=EFFECT.get(str(need(c, "Idempotency", at)), str(c["Idempotency"])),
+            name=require(c, "Name", at),
+            aim=require(c, "Objective", at),
+            deadline=require(c, "GiveUp", at),
+            worth=require(c, "Value", at),
+            effect=EFFECT.get(str(require(c, "Idempotency", at)), str(c["Idempotency"])),
             group=c.get("Group", "all"),
             window=c.get("Window", 0.0),
             late_worth=c.get("LateWorth", 0.0),
@@ -59,7 +59,7 @@
     ]
     plans = [
         i.PlanSpec(
-            name=need(p, "Name", at),
+            name=require(p, "Name", at),
             rate=p.get("QuotaRate", 0.0),
             burst=p.get("Burst", 0.0),
             open=p.get("MaxOut", 0),
@@ -72,16 +72,16 @@
         )
         for at, p in _rows({"TiersOfService": [], **s}, "TiersOfService")
     ]
-    lim, inv, ext, rep = (_shape(need(s, k), dict, k) for k in ("Limits", "Invariants", "Extra", "Report"))
+    lim, inv, ext, rep = (_shape(require(s, k), dict, k) for k in ("Limits", "Invariants", "Extra", "Report"))
     _shape(rep.get("Fields") or [], list, "Report.Fields")
     return i.Settings(
         classes=classes,
         plans=plans,
-        me=need(s, "MyNumber"),
-        gateways=need(s, "NInstances"),
+        me=require(s, "MyNumber"),
+        gateways=require(s, "NInstances"),
         zone=s.get("Zone", ""),
-        tick=need(s, "Resolution"),
-        max_attempts=need(lim, "AttemptsCap"),
+        tick=require(s, "Resolution"),
+        max_attempts=require(lim, "AttemptsCap"),
         cancel=lim.get("MayCancel", False),
         probes=lim.get("Probing", False),
         peers=lim.get("Peers", False),
@@ -89,12 +89,12 @@
         discovery="ask" if s.get("MembershipMode") == "subscribe" else "push",
         retry_after=lim.get("RetryAfter", False),
         max_retry_after=lim.get("MaxRetryAfter", 0.0),
-        drain_grace=need(inv, "StopSendingWithin"),
+        drain_grace=require(inv, "StopSendingWithin"),
         ask_within=inv.get("AskWithin", 10.0),
-        cold_from=need(inv, "ColdFrom"),
-        cold_time=need(inv, "Cold"),
-        fall_multiple=need(inv, "OverloadFactor"),
-        fall_time=need(inv, "TipAfter"),
+        cold_from=require(inv, "ColdFrom"),
+        cold_time=require(inv, "Cold"),
+        fall_multiple=require(inv, "OverloadFactor"),
+        fall_time=require(inv, "TipAfter"),
         counter_timeout=ext.get("CountWait", 0.0),
         meter_period=ext.get("Metering", 0.0),
         conn_idle=float(lim.get("ConnIdle") or 0.0),
@@ -110,13 +110,13 @@
 class Transport:
     """What the settings say of connections; the module has no use for it."""
 
-    idle: float = 30.0
-    connect: float = 0.25
-    longest: float = 10.0  # the longest time that a client waits
-    fields: tuple[str, ...] = ()  # of a load report, under the names that the settings give them
+    idle_seconds: float = 30.0
+    connect_seconds: float = 0.25
+    longest_deadline: float = 10.0  # the longest time that a client waits
+    load_fields: tuple[str, ...] = ()  # of a load report, under the names that the settings give them
 
 
-def transport(s: JSON) -> Transport:
+def decode_transport(s: JSON) -> Transport:
     """Of settings that have been decoded."""
     limits = s.get("Limits", {})
     for name in ("ConnIdle", "ConnectTimeout"):
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,12 +1,12 @@
 """The module inside a program of one's own: one request, one server, no wire."""
 
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import (
     ClassSpec,
+    MessageReceived,
     Outcome,
     PlanSpec,
     Refuse,
-    Request,
     Send,
     ServerEntry,
     ServerList,
@@ -20,10 +20,10 @@
         classes=[ClassSpec("read", aim=0.5, deadline=2.0, worth=1.0, effect="safe")],
         plans=[PlanSpec("basic", rate=2.0, burst=4.0)],
     )
-    gateway, now, story = Gateway(settings, seed=1, now=0.0), 0.0, []
+    gateway, now, story = DecisionModule(settings, seed=1, now=0.0), 0.0, []
     todo = gateway.handle(now, ServerList("full", [ServerEntry("server-1")]))
     for n in range(6):
-        todo += gateway.handle(now, Request(f"r{n}", "read", "basic", customer=7, left=2.0))
+        todo += gateway.handle(now, MessageReceived(f"r{n}", "read", "basic", firm=7, time_left=2.0))
     for action in todo:
         match action:
             case Send():
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -68,13 +68,17 @@
 
 def test_ok_names_the_endpoint_and_the_attempt_is_closed_neutrally() -> None:
     with rig(operator=SERVER) as r, asker(r) as stub:
-        before = r.daemon.ingress.gateway.loops["a"].mean
+        before = r.daemon.ingress.gateway.rate_controllers["a"].mean_latency
         reply = result(r, stub.Check.future(check(), timeout=5))
         assert reply.status.code == 0
         header = reply.ok_response.headers[0].header
         assert (header.key, header.value) == ("x-envoy-original-dst-host", r.peers["s-0"].at)
         gateway = r.daemon.ingress.gateway
-        assert not gateway.reqs and not gateway.servers["s-0"].out and gateway.loops["a"].mean == before
+        assert (
+            not gateway.messages
+            and not gateway.servers["s-0"].relays
+            and gateway.rate_controllers["a"].mean_latency == before
+        )
         assert not r.daemon.ingress.held and r.peers["s-0"].connected() is None
 
 
@@ -223,7 +227,7 @@
     with authorised(reply=denial(403)) as (r, stand_in):
         status, head, body = r.ask(1).answer()
         assert (status, body) == (403, b"not you") and b"x-why: because" in head
-        assert not r.daemon.ingress.gateway.customers and r.count("relays") == 0
+        assert not r.daemon.ingress.gateway.firms and r.count("relays") == 0
         http = stand_in.seen[0].attributes.request.http
         assert (http.id, http.method, http.path) == (f"{1:016x}", "GET", f"/a/{1:016x}?q=1")
         assert http.headers["x-priority-class"] == "a"
@@ -249,7 +253,7 @@
 @pytest.mark.parametrize(("delay", "wait"), [(0.0, 2.0), (0.5, 2.0), (1.9, 2.0), (2.5, 2.0), (10.0, 2.0), (10.0, 4.0)])
 def test_however_long_the_authoriser_takes_one_answer_comes_in_time(delay: float, wait: float, on_failure: str) -> None:
     with authorised(delay, on_failure=on_failure) as (r, stand_in):
-        r.daemon.ingress.gateway.loops["a"].mean = 0.01  # the fleet is known to be quick
+        r.daemon.ingress.gateway.rate_controllers["a"].mean_latency = 0.01  # the fleet is known to be quick
         r.freeze()
         client = r.ask(1, timeout=f"{int(wait * 1000)}m")
         r.until(lambda: bool(stand_in.seen))
@@ -297,7 +301,7 @@
         r.until(lambda: bool(stand_in.seen))
         client.close()
         r.until(stand_in.cancelled.is_set)
-        assert not r.daemon.ingress.held and r.count("gone") == 1 and not r.daemon.ingress.gateway.customers
+        assert not r.daemon.ingress.held and r.count("gone") == 1 and not r.daemon.ingress.gateway.firms
 
 
 def test_a_goaway_lets_what_is_out_be_finished_and_the_next_call_goes_elsewhere() -> None:
@@ -436,8 +440,8 @@
     )
     with rig(0, known={}, operator={"xds": {"path": str(path), "cluster": "sims"}}) as r:
         servers = r.daemon.ingress.gateway.servers
-        assert {k: s.e.state for k, s in servers.items()} == {"127.0.0.1:1": "up", "127.0.0.1:2": "draining"}
-        e = servers["127.0.0.1:1"].e
+        assert {k: s.entry.state for k, s in servers.items()} == {"127.0.0.1:1": "up", "127.0.0.1:2": "draining"}
+        e = servers["127.0.0.1:1"].entry
         assert (e.zone, e.size, e.started, e.cell) == ("hall-a", 4.0, 5.0, 2)
         write(path, "{")  # what cannot be used leaves the last good list in force
         r.skip(0.3)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -276,7 +276,7 @@
         server.send(b"HTTP/1.1 200 OK\r\nX-True-Cost: 1\r\n" + forms(body, form, 1_000_000)[:200_000])
         r.until(lambda: r.count("flowed") == 1)
         r.skip(0.9)  # its first bytes are what is timed
-        assert r.daemon.gauges()["active"] == 1 and not r.daemon.ingress.gateway.servers["s-0"].out
+        assert r.daemon.gauges()["active"] == 1 and not r.daemon.ingress.gateway.servers["s-0"].relays
         server.send(forms(body, form, 1_000_000)[200_000:])
         if form == "close":
             server.close()
@@ -285,7 +285,7 @@
         else:
             assert b"chunked" in client.until(b"\r\n\r\n") and chunked(client) == body
         assert r.daemon.metrics.classes["ok", "a"] == 1 and not r.daemon.ingress.held and not r.daemon.shares.flows
-        assert r.daemon.gauges()["active"] == 0 and r.daemon.ingress.gateway.servers["s-0"].err == 0
+        assert r.daemon.gauges()["active"] == 0 and r.daemon.ingress.gateway.servers["s-0"].error_rate == 0
         if form != "close":
             r.ask(2, wire=client)
             assert b"x-request-id" in server.answer()[1]  # both connections are kept
@@ -399,7 +399,7 @@
         r.until(lambda: r.count("flowed") == 1)
         client.reset()
         assert server.ended() and not r.daemon.ingress.held and not r.daemon.shares.flows
-        assert r.daemon.ingress.gateway.servers["s-0"].err == 0 and r.count("relay_cancelled") == 1
+        assert r.daemon.ingress.gateway.servers["s-0"].error_rate == 0 and r.count("relay_cancelled") == 1
 
 
 @pytest.mark.parametrize(("told", "status", "tries"), [((32 << 20) + 1, 503, 1), (3 << 30, 503, 3)])
@@ -412,7 +412,7 @@
             server.answer()
             server.send(H200 + b"Content-Length: %d\r\n\r\n" % told + noise(EARLY))
         assert client.answer()[0] == status and r.count("relays") == tries
-        assert any(s.err for s in r.daemon.ingress.gateway.servers.values()) == (tries > 1)
+        assert any(s.error_rate for s in r.daemon.ingress.gateway.servers.values()) == (tries > 1)
 
 
 # Clients' bodies, over sockets.
@@ -434,14 +434,16 @@
         for n in range(1, 19):  # over three times what the client waits for its answer
             r.skip(0.7)
             client.send(body[n * 100_000 : (n + 1) * 100_000])
-        assert not gateway.servers["s-0"].out and r.daemon.metrics.classes["tries", "a"] == 0
+        assert not gateway.servers["s-0"].relays and r.daemon.metrics.classes["tries", "a"] == 0
         client.send(body[1_900_000:])
         r.until(lambda: r.daemon.metrics.classes["tries", "a"] == 1 or not server._more())
         r.until(lambda: len(server.seen) >= len(body) or not server._more())
-        assert server.seen == body and gateway.servers["s-0"].out
+        assert server.seen == body and gateway.servers["s-0"].relays
         r.skip(3.0)
         server.send(OK)
-        assert client.answer()[0] == 200 and gateway.loops["a"].mean < 4.0 and not r.daemon.shares.kept
+        assert (
+            client.answer()[0] == 200 and gateway.rate_controllers["a"].mean_latency < 4.0 and not r.daemon.shares.kept
+        )
         assert not r.daemon.shares.flows and not r.daemon.ingress.held
 
 
@@ -567,7 +569,7 @@
         _, server = r.served()
         r.skip(3.0)
         assert client.answer()[0] == 408 and server.ended() and not r.daemon.ingress.held
-        assert not r.daemon.shares.flows and r.daemon.ingress.gateway.servers["s-0"].err == 0
+        assert not r.daemon.shares.flows and r.daemon.ingress.gateway.servers["s-0"].error_rate == 0
 
 
 @pytest.mark.parametrize("tail", [b"", b"not a chunk\r\n"])
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,17 +12,17 @@
 import pytest
 
 from brackenpulley.policy import brain
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import (
     Cancel,
+    MessageReceived,
     Outcome,
-    Request,
     Send,
     ServerEntry,
     ServerList,
     SetTimer,
     Settings,
-    Timer,
+    TimerFired,
 )
 
 from .util import settings
@@ -64,7 +64,7 @@
         self.arrivals: dict[str, list[float]] = {e.server: [] for e in self.new}
         self.queue = {e.server: 0.0 for e in [*self.old, *self.new]}  # when it has worked off what it has
         self.lives = [0] * processes
-        self.gateways: list[Gateway] = []
+        self.gateways: list[DecisionModule] = []
         for me in range(processes):
             self.gateways.append(self.born(me))
             self.call(START, lambda me=me: self.arrive(me))  # type: ignore[misc]
@@ -83,10 +83,10 @@
         self.serial += 1
         heapq.heappush(self.heap, (when, self.serial, call))
 
-    def born(self, me: int) -> Gateway:
+    def born(self, me: int) -> DecisionModule:
         s = Settings(**{f: getattr(self.s, f) for f in self.s.__slots__})
         s.me = me % s.gateways
-        gateway = Gateway(s, self.rng.getrandbits(32), self.at)
+        gateway = DecisionModule(s, self.rng.getrandbits(32), self.at)
         self.lives[me] += 1
         self.put(me, ServerList("full", self.old), gateway)
         return gateway
@@ -101,23 +101,25 @@
 
     def arrive(self, me: int) -> None:
         self.serial += 1
-        self.put(me, Request(f"{self.serial:016x}", self.rng.choice(["check", "push"]), "", self.serial, 5.0))
+        self.put(me, MessageReceived(f"{self.serial:016x}", self.rng.choice(["check", "push"]), "", self.serial, 5.0))
         self.call(self.at + self.rng.expovariate(self.total * self.shares[me]), lambda: self.arrive(me))
 
-    def put(self, me: int, event: Any, gateway: Gateway | None = None) -> None:
+    def put(self, me: int, event: Any, gateway: DecisionModule | None = None) -> None:
         gateway, life = gateway or self.gateways[me], self.lives[me]
         for act in gateway.handle(self.at, event):
             if isinstance(act, SetTimer):
                 self.call(
                     self.at + act.delay,
                     lambda token=act.token: (  # type: ignore[misc]
-                        self.put(me, Timer(token)) if self.lives[me] == life else None
+                        self.put(me, TimerFired(token)) if self.lives[me] == life else None
                     ),
                 )
             elif isinstance(act, Send):
-                self.sent(me, life, act, gateway.reqs[act.id].tries - 1)
+                self.sent(me, life, act, gateway.messages[act.id].attempts - 1)
             elif isinstance(act, Cancel):
-                self.ended(me, life, act.id, gateway.reqs[act.id].server.e.server, act.attempt, "cancelled", 0.1)
+                self.ended(
+                    me, life, act.id, gateway.messages[act.id].server.entry.server, act.attempt, "cancelled", 0.1
+                )
 
     def sent(self, me: int, life: int, act: Send, attempt: int) -> None:
         if act.server in self.arrivals:
@@ -203,7 +205,7 @@
     if part:
         monkeypatch.setattr(brain, "COLD_PART", part * brain.COLD_PART)
     else:
-        monkeypatch.setattr(Gateway, "cold_room", lambda *_: True)
+        monkeypatch.setattr(DecisionModule, "has_cold_budget", lambda *_: True)
     made = Fleet(0, 30, load=0.95, each=30.0)
     made.run()
     assert made.worst()[0] > 0
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -123,11 +123,11 @@
     told = operator(tmp_path)
     with rig(operator=told) as r:
         knows(r)
-        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "p"
+        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.firms[1].plan.name == "p"
         first: dict[str, Any] = {"plans": {"big": FIGURES, "p": {"rate": 7.0, "burst": 9.0}}, "firms": {FIRM: "big"}}
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "now"}
         gateway = r.daemon.ingress.gateway
-        assert gateway.customers[1].plan.name == "big" and gateway.plans["p"].rate == 7.0
+        assert gateway.firms[1].plan.name == "big" and gateway.plans["p"].rate == 7.0
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "before"}
         assert change(r, tmp_path, 0, 409, plans={"big": FIGURES})["error"]["field"] == "base"
         assert change(r, tmp_path, 1, 400, plans={"big": None})["error"] == {
@@ -161,7 +161,7 @@
         assert r.daemon.configuration.force.number == 3 and r.daemon.configuration.force.source == "copy"
         assert r.daemon.ingress.gateway.plans["big"].rate == 50.0
         knows(r)
-        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "big"
+        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.firms[1].plan.name == "big"
         assert call(r, tmp_path, "GET", "/v1/configuration")[1]["from"] == "log"
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,8 +16,8 @@
 from brackenpulley.core.ingress import Ingress
 from brackenpulley.core.message import Message, MessageError, decode, duration, weight
 from brackenpulley.metrics import Metrics
-from brackenpulley.policy.brain import Gateway
-from brackenpulley.policy.interface import Outcome, Request, SetTimer
+from brackenpulley.policy.brain import DecisionModule
+from brackenpulley.policy.interface import MessageReceived, Outcome, SetTimer
 
 from .test_machine import RUN
 from .util import fleet, settings
@@ -54,7 +54,7 @@
 
 def make(**more: Any) -> tuple[Ports, Ingress]:
     ports = Ports()
-    ingress = Ingress(Gateway(settings(**more), 1, ports.now), lambda: ports.now, ports, ports, Metrics(), ports)
+    ingress = Ingress(DecisionModule(settings(**more), 1, ports.now), lambda: ports.now, ports, ports, Metrics(), ports)
     ingress.members(fleet())
     return ports, ingress
 
@@ -104,7 +104,7 @@
     assert ingress.metrics.counts["relay_" + status] == 1 and not ports.answers and not ingress.held
 
 
-@pytest.mark.parametrize("kind", [Request, Outcome])
+@pytest.mark.parametrize("kind", [MessageReceived, Outcome])
 def test_a_module_that_fails_still_leaves_an_answer(kind: type) -> None:
     ports, ingress = make()
     handle = ingress.gateway.handle
@@ -203,7 +203,7 @@
         self.answered: dict[str, list[Answer]] = {}
         self.left: set[str] = set()
         self.verdicts: dict[str, Any] = {}
-        self.ingress = Ingress(Gateway(settings(), 1, self.now), lambda: self.now, self, self, Metrics(), self)
+        self.ingress = Ingress(DecisionModule(settings(), 1, self.now), lambda: self.now, self, self, Metrics(), self)
         self.ingress.members(fleet(6))
 
     # The ports.
@@ -284,7 +284,7 @@
             waits = rid in self.out or rid in self.verdicts
             assert len(answers) <= 1 and (answers or waits or rid in self.left), rid
             assert waits == (rid in self.ingress.held), rid
-        assert set(self.ingress.gateway.reqs) <= set(self.out)
+        assert set(self.ingress.gateway.messages) <= set(self.out)
         assert sum(bool(entry) for _, entry in self.due) <= len(self.out) + 1  # each relay's, and the module's own
 
 
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -7,7 +7,16 @@
 
 import pytest
 
-from brackenpulley.policy.interface import Count, Counted, Outcome, PlanFigures, PlanSpec, Send, Timer, Total
+from brackenpulley.policy.interface import (
+    AddToCounter,
+    CounterResult,
+    LateCounterResult,
+    Outcome,
+    PlansChanged,
+    PlanSpec,
+    Send,
+    TimerFired,
+)
 
 from .rig import Rig, rig
 from .test_link import SETTINGS
@@ -19,45 +28,45 @@
 
 def drive(start: float = START) -> Drive:
     d = Drive(servers=20, start=start, counter_timeout=WAIT)
-    d.g.born = start
+    d.decision_module.started_at = start
     return d
 
 
-def busy(d: Drive, count: int = 8) -> Count:
+def busy(d: Drive, count: int = 8) -> AddToCounter:
     """A customer takes so much that it is told; the call."""
     for _ in range(count):
         d.ask(spread=3)
-    (call,) = of(Count, d.log)
+    (call,) = of(AddToCounter, d.log)
     d.log.clear()
     return call
 
 
-def again(d: Drive, after: float = 1.0) -> Count:
+def again(d: Drive, after: float = 1.0) -> AddToCounter:
     """The next call, after this time and a few more tries."""
     d.now += after
     d.log.clear()
     for tries in range(20):
-        if tries >= 4 and of(Count, d.log):
+        if tries >= 4 and of(AddToCounter, d.log):
             break
         for send in of(Send, d.ask(spread=3)):
             d.do(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
     for _ in range(40):
-        if not of(Count, d.log):
+        if not of(AddToCounter, d.log):
             d.now += 0.05
-            d.do(Timer(d.g.token))
-    (call,) = of(Count, d.log)
+            d.do(TimerFired(d.decision_module.timer_token))
+    (call,) = of(AddToCounter, d.log)
     d.log.clear()
     return call
 
 
-def lost(d: Drive, call: Count) -> None:
+def lost(d: Drive, call: AddToCounter) -> None:
     d.now += WAIT
-    d.do(Counted(call.name, "timeout", 0.0, WAIT))
+    d.do(CounterResult(call.name, "timeout", 0.0, WAIT))
 
 
-def late(d: Drive, call: Count, total: float, after: float = 0.025) -> None:
+def late(d: Drive, call: AddToCounter, total: float, after: float = 0.025) -> None:
     d.now += after
-    d.do(Total(call.call, "ok", total, WAIT + after))
+    d.do(LateCounterResult(call.call, "ok", total, WAIT + after))
 
 
 def test_a_late_total_is_a_reading_as_of_the_time_its_call_was_sent() -> None:
@@ -65,10 +74,10 @@
     d = drive()
     call, sent = busy(d), d.now
     lost(d, call)
-    c = d.g.customers[1]
+    c = d.decision_module.firms[1]
     before = c.level
     late(d, call, call.amount + 2.0)
-    assert (c.read_at, c.total, c.calls) == (sent, call.amount + 2.0, [])
+    assert (c.reading_at, c.counter_total, c.pending_calls) == (sent, call.amount + 2.0, [])
     assert c.level > before + 5  # all of the store is known of now, not this gateway's share alone
 
 
@@ -76,13 +85,13 @@
     """Else a part of it counts as granted after the call, and the reading grants it a second time."""
     d = drive()
     busy(d)
-    c = d.g.customers[1]
-    c.unsaid, at = 5.0, c.at
-    d.g.customers.to_tell(c, True)
+    c = d.decision_module.firms[1]
+    c.unreported, at = 5.0, c.filled_at
+    d.decision_module.firms.set_due(c, True)
     d.now += 0.7
-    (call,) = of(Count, d.do(Timer(d.g.token)))
-    assert c.at == d.now > at and c.calls[-1].serial == call.call
-    assert c.calls[-1].granted == c.granted > 0
+    (call,) = of(AddToCounter, d.do(TimerFired(d.decision_module.timer_token)))
+    assert c.filled_at == d.now > at and c.pending_calls[-1].serial == call.call
+    assert c.pending_calls[-1].granted == c.granted > 0
 
 
 @pytest.mark.parametrize("after", [0.025, 0.4])
@@ -92,19 +101,19 @@
     for way in (0.0, after):
         d = drive()
         first = busy(d)
-        d.do(Counted(first.name, "ok", first.amount, 0.0))
+        d.do(CounterResult(first.name, "ok", first.amount, 0.0))
         call = again(d)
         if not way:
-            d.do(Counted(call.name, "ok", first.amount + call.amount + 6.0, 0.0))
+            d.do(CounterResult(call.name, "ok", first.amount + call.amount + 6.0, 0.0))
         d.now += WAIT
         if way:
-            d.do(Counted(call.name, "timeout", 0.0, WAIT))
+            d.do(CounterResult(call.name, "timeout", 0.0, WAIT))
         d.ask(spread=3, units=2.0)  # own use since is not the others'
         d.now += after
-        d.g.fill(d.now, c := d.g.customers[1])
+        d.decision_module.fill_bucket(d.now, c := d.decision_module.firms[1])
         if way:
-            d.do(Total(call.call, "ok", first.amount + call.amount + 6.0, WAIT + after))
-        levels.append((c.level, c.read_at, c.total))
+            d.do(LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, WAIT + after))
+        levels.append((c.level, c.reading_at, c.counter_total))
     (prompt, *same), (after_all, *also) = levels
     assert same == also
     assert after_all == pytest.approx(prompt, abs=10.0 * (WAIT + after))  # but for what the pace of filling was since
@@ -117,7 +126,7 @@
     total = call.amount
     lost(d, call)
     late(d, call, total)
-    c = d.g.customers[1]
+    c = d.decision_module.firms[1]
     for _ in range(12):
         level = c.level
         call = again(d, 0.5)
@@ -125,7 +134,7 @@
         sent, used = d.now, c.used
         lost(d, call)
         late(d, call, total, 0.085)
-        assert c.read_at == sent
+        assert c.reading_at == sent
         # Filled for a part of the time since, by the whole rate at most; the others took the rest.
         assert c.level <= level - (c.used - used) + 10.0 * (d.now - at) + 1e-6
         at = sent
@@ -137,16 +146,18 @@
     first = busy(d)
     lost(d, first)
     second = again(d, 0.2)
-    c = d.g.customers[1]
+    c = d.decision_module.firms[1]
     assert second.amount >= 3
     late(d, first, first.amount, 0.005)  # while the second is out
-    assert c.others == 0 and c.total == first.amount and [x.serial for x in c.calls] == [second.call]
+    assert (
+        c.others_rate == 0 and c.counter_total == first.amount and [x.serial for x in c.pending_calls] == [second.call]
+    )
     lost(d, second)
     late(d, second, first.amount + second.amount)
-    assert c.others == 0 and c.total == first.amount + second.amount and not c.calls
+    assert c.others_rate == 0 and c.counter_total == first.amount + second.amount and not c.pending_calls
     third = again(d)
-    d.do(Counted(third.name, "ok", c.total + third.amount + 4.0, 0.01))
-    assert c.others > 0
+    d.do(CounterResult(third.name, "ok", c.counter_total + third.amount + 4.0, 0.01))
+    assert c.others_rate > 0
 
 
 def test_a_call_whose_total_never_came_may_have_been_added_or_not() -> None:
@@ -154,16 +165,16 @@
     for added in (True, False):
         d = drive()
         first = busy(d)
-        d.do(Counted(first.name, "ok", first.amount, 0.001))
+        d.do(CounterResult(first.name, "ok", first.amount, 0.001))
         second = again(d)
         lost(d, second)
         third = again(d)
         lost(d, third)
-        c = d.g.customers[1]
+        c = d.decision_module.firms[1]
         late(d, third, first.amount + second.amount * added + third.amount)
-        assert c.others == 0 and not c.calls and not d.g.calls.late
+        assert c.others_rate == 0 and not c.pending_calls and not d.decision_module.counter_calls.timed_out
         late(d, second, first.amount + second.amount)  # cannot be: it would be out of turn
-        assert c.total == first.amount + second.amount * added + third.amount
+        assert c.counter_total == first.amount + second.amount * added + third.amount
 
 
 def test_a_doubled_late_answer_counts_once() -> None:
@@ -171,13 +182,27 @@
     call = busy(d)
     lost(d, call)
     late(d, call, call.amount + 9.0)
-    c = d.g.customers[1]
-    before = (c.level, c.granted, c.read_at, c.total, c.others, d.g.calls.gap)
-    d.do(Total(call.call, "ok", call.amount + 9.0, WAIT + 0.025))
-    d.do(Total(call.call, "ok", call.amount + 30.0, WAIT + 0.025))
-    d.do(Total(call.call, "full", 0.0, WAIT + 0.025))
-    d.do(Total(99, "ok", 1.0, 0.1))
-    assert (c.level, c.granted, c.read_at, c.total, c.others, d.g.calls.gap) == before
+    c = d.decision_module.firms[1]
+    before = (
+        c.level,
+        c.granted,
+        c.reading_at,
+        c.counter_total,
+        c.others_rate,
+        d.decision_module.counter_calls.interval,
+    )
+    d.do(LateCounterResult(call.call, "ok", call.amount + 9.0, WAIT + 0.025))
+    d.do(LateCounterResult(call.call, "ok", call.amount + 30.0, WAIT + 0.025))
+    d.do(LateCounterResult(call.call, "full", 0.0, WAIT + 0.025))
+    d.do(LateCounterResult(99, "ok", 1.0, 0.1))
+    assert (
+        c.level,
+        c.granted,
+        c.reading_at,
+        c.counter_total,
+        c.others_rate,
+        d.decision_module.counter_calls.interval,
+    ) == before
 
 
 def test_a_late_total_never_answers_the_call_that_is_out() -> None:
@@ -187,12 +212,15 @@
     lost(d, first)
     second = again(d, 0.2)
     late(d, first, first.amount, 0.0)
-    assert d.g.calls.out is not None and d.g.calls.out.serial == second.call
+    assert (
+        d.decision_module.counter_calls.current is not None
+        and d.decision_module.counter_calls.current.serial == second.call
+    )
     d.now += 0.001
     for customer in (2, 3):
         for _ in range(8):
-            d.ask(customer=customer, spread=3)
-    assert not of(Count, d.log)
+            d.ask(firm=customer, spread=3)
+    assert not of(AddToCounter, d.log)
 
 
 def test_a_late_total_of_a_name_that_is_no_longer_in_use_is_no_reading() -> None:
@@ -203,52 +231,52 @@
     d.log.clear()
     second = again(d, 0.0)
     assert second.name != first.name
-    c = d.g.customers[1]
-    before = (c.level, c.total, c.read_at, len(c.calls))
+    c = d.decision_module.firms[1]
+    before = (c.level, c.counter_total, c.reading_at, len(c.pending_calls))
     late(d, first, 500.0, 0.0)
-    assert (c.level, c.total, c.read_at, len(c.calls)) == before
+    assert (c.level, c.counter_total, c.reading_at, len(c.pending_calls)) == before
     lost(d, second)
     late(d, second, second.amount)
-    assert c.total == second.amount and c.others == 0
+    assert c.counter_total == second.amount and c.others_rate == 0
 
 
 def test_a_late_total_for_a_customer_that_was_forgotten_and_came_back_is_no_reading() -> None:
     d = drive()
     call = busy(d)
     lost(d, call)
-    del d.g.customers[1]
+    del d.decision_module.firms[1]
     late(d, call, 30.0)
     d.ask(spread=3)
     late(d, call, 30.0)
-    assert d.g.customers[1].total == 0 and d.g.customers[1].read_at < 0
+    assert d.decision_module.firms[1].counter_total == 0 and d.decision_module.firms[1].reading_at < 0
 
 
 def test_a_late_total_below_what_is_known_says_that_the_counter_came_back_empty() -> None:
     d = drive()
     first = busy(d)
-    d.do(Counted(first.name, "ok", first.amount + 30, 0.001))
-    c = d.g.customers[1]
-    read_at = c.read_at
+    d.do(CounterResult(first.name, "ok", first.amount + 30, 0.001))
+    c = d.decision_module.firms[1]
+    read_at = c.reading_at
     second = again(d)
     lost(d, second)
     late(d, second, second.amount)
-    assert c.read_at == read_at and c.total == second.amount  # no reading, and the next one starts from it
+    assert c.reading_at == read_at and c.counter_total == second.amount  # no reading, and the next one starts from it
     third = again(d)
     lost(d, third)
     late(d, third, second.amount + third.amount)
-    assert c.read_at > read_at and c.total == second.amount + third.amount
+    assert c.reading_at > read_at and c.counter_total == second.amount + third.amount
 
 
 def test_what_is_turned_away_late_is_told_again() -> None:
     d = drive()
     call = busy(d)
     lost(d, call)
-    c = d.g.customers[1]
-    before, gap = c.unsaid, d.g.calls.gap
+    c = d.decision_module.firms[1]
+    before, gap = c.unreported, d.decision_module.counter_calls.interval
     d.now += 0.02
-    d.do(Total(call.call, "full", 0.0, 0.05))
-    assert c.unsaid == before + call.amount and not c.calls
-    assert d.g.calls.gap == gap  # it was slowed down for the time-out already
+    d.do(LateCounterResult(call.call, "full", 0.0, 0.05))
+    assert c.unreported == before + call.amount and not c.pending_calls
+    assert d.decision_module.counter_calls.interval == gap  # it was slowed down for the time-out already
 
 
 def test_a_plan_that_changes_while_a_total_is_on_its_way_costs_nothing() -> None:
@@ -257,16 +285,16 @@
     for moved_first in (False, True):
         d = drive()
         first = busy(d)
-        d.do(Counted(first.name, "ok", first.amount, 0.0))
+        d.do(CounterResult(first.name, "ok", first.amount, 0.0))
         call = again(d)
         lost(d, call)
-        change = PlanFigures([PlanSpec("gold", rate=40.0, burst=20.0)])
+        change = PlansChanged([PlanSpec("gold", rate=40.0, burst=20.0)])
         if moved_first:
             d.do(change)
-        d.do(Total(call.call, "ok", first.amount + call.amount + 4.0, WAIT))
+        d.do(LateCounterResult(call.call, "ok", first.amount + call.amount + 4.0, WAIT))
         if not moved_first:
             d.do(change)
-        levels.append(d.g.customers[1].level)
+        levels.append(d.decision_module.firms[1].level)
     assert levels[0] == pytest.approx(levels[1])
 
 
@@ -276,10 +304,10 @@
     def __init__(self, way: float, each: float = 0.001) -> None:
         self.way, self.each, self.free, self.silent = way, each, 0.0, False
         self.totals: dict[int, float] = {}
-        self.due = deque[tuple[float, float, Count, float]]()  # answer's time, sending's, call, total
+        self.due = deque[tuple[float, float, AddToCounter, float]]()  # answer's time, sending's, call, total
         self.calls = self.told = 0
 
-    def take(self, now: float, call: Count) -> None:
+    def take(self, now: float, call: AddToCounter) -> None:
         self.calls += 1
         if not self.silent:
             self.free = max(self.free, now + self.way / 2) + self.each
@@ -290,7 +318,7 @@
 def days(d: Drive, counter: Far, seconds: float) -> None:
     """Firms that all have something to tell, in steps of 5 ms of virtual time."""
     ended: set[int] = set()
-    out: list[tuple[float, Count]] = []
+    out: list[tuple[float, AddToCounter]] = []
     beat = d.now
     for step in range(round(seconds / 0.005)):
         d.now += 0.005
@@ -299,21 +327,21 @@
             _, sent, call, total = counter.due.popleft()
             if d.now - sent <= WAIT:
                 ended.add(call.call)
-                d.do(Counted(call.name, "ok", total, d.now - sent))
+                d.do(CounterResult(call.name, "ok", total, d.now - sent))
             else:
                 counter.told += 1
-                d.do(Total(call.call, "ok", total, d.now - sent))
+                d.do(LateCounterResult(call.call, "ok", total, d.now - sent))
         for sent, call in list(out):
             if call.call not in ended and d.now - sent >= WAIT:
                 ended.add(call.call)
-                d.do(Counted(call.name, "timeout", 0.0, WAIT))
+                d.do(CounterResult(call.name, "timeout", 0.0, WAIT))
         out = [(sent, call) for sent, call in out if call.call not in ended]
-        for send in of(Send, d.ask(customer=step % 40, spread=3, units=2.0)):
+        for send in of(Send, d.ask(firm=step % 40, spread=3, units=2.0)):
             d.do(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
         if d.now >= beat + 0.1:
             beat = d.now
-            d.do(Timer(d.g.token))
-        for count in of(Count, d.log):
+            d.do(TimerFired(d.decision_module.timer_token))
+        for count in of(AddToCounter, d.log):
             counter.take(d.now, count)
             out.append((d.now, count))
 
@@ -325,7 +353,7 @@
         d, counter = drive(), Far(way)
         days(d, counter, 8.0)
         made[way] = counter.calls
-        known = [c for c in d.g.customers.values() if d.now - c.read_at <= 3.0]
+        known = [c for c in d.decision_module.firms.values() if d.now - c.reading_at <= 3.0]
         assert len(known) > 30
     assert made[0.06] > made[0.004] * 0.5 and made[0.06] > 60
 
@@ -334,25 +362,25 @@
     for way in (0.004, 0.06):
         d, counter = drive(), Far(way)
         days(d, counter, 4.0)
-        quick = d.g.calls.gap
+        quick = d.decision_module.counter_calls.interval
         counter.free = d.now + 60.0  # others' calls: the queue there is long, and grows as fast as it is served
         for _ in range(12):
             counter.free = max(counter.free, d.now) - counter.free + d.now + 0.05 + way / 2
             days(d, counter, 0.1)
-        assert d.g.calls.gap > 2 * quick
+        assert d.decision_module.counter_calls.interval > 2 * quick
 
 
 def test_a_counter_that_falls_silent_is_asked_less_often_near_or_far_and_found_again() -> None:
     for way in (0.004, 0.06):
         d, counter = drive(), Far(way)
         days(d, counter, 4.0)
-        quick, made = d.g.calls.gap, counter.calls
+        quick, made = d.decision_module.counter_calls.interval, counter.calls
         counter.silent = True
         days(d, counter, 6.0)
-        assert d.g.calls.gap == 0.6 > 4 * quick and counter.calls - made < 20
+        assert d.decision_module.counter_calls.interval == 0.6 > 4 * quick and counter.calls - made < 20
         counter.silent = False
         days(d, counter, 6.0)
-        assert d.g.calls.gap < 0.2
+        assert d.decision_module.counter_calls.interval < 0.2
 
 
 def test_a_counter_that_moves_farther_away_is_asked_as_often_as_before_within_seconds() -> None:
@@ -360,14 +388,16 @@
     days(d, counter, 4.0)
     counter.way = 0.08
     days(d, counter, 16.0)
-    assert d.g.calls.gap < 0.12
+    assert d.decision_module.counter_calls.interval < 0.12
 
 
 def test_calls_whose_answers_never_come_are_not_kept_without_bound() -> None:
     d, counter = drive(), Far(0.004)
     counter.silent = True
     days(d, counter, 400.0)
-    assert len(d.g.calls.late) <= 256 and all(len(c.calls) < 100 for c in d.g.customers.values())
+    assert len(d.decision_module.counter_calls.timed_out) <= 256 and all(
+        len(c.pending_calls) < 100 for c in d.decision_module.firms.values()
+    )
 
 
 def heard(r: Rig) -> list[tuple[str, int, str, float]]:
@@ -375,9 +405,9 @@
     assert client is not None
     told: list[tuple[str, int, str, float]] = []
 
-    def tell(e: Counted | Total) -> None:
+    def tell(e: CounterResult | LateCounterResult) -> None:
         told.append(
-            ("end", e.name, e.status, e.total) if isinstance(e, Counted) else ("total", e.call, e.status, e.total)
+            ("end", e.name, e.status, e.total) if isinstance(e, CounterResult) else ("total", e.call, e.status, e.total)
         )
 
     client.tell = tell
@@ -428,15 +458,15 @@
 
 def test_leases_hear_of_ends_alone() -> None:
     """A late total would be taken for the answer to the call that is out under the same name."""
-    heard_of: list[Counted | Total] = []
+    heard_of: list[CounterResult | LateCounterResult] = []
 
     class Leases:
         counted = heard_of.append
 
     with rig(counter=True) as r:
         r.daemon.ingress.leases = Leases()  # type: ignore[assignment]
-        r.daemon.ingress.counted(end := Counted(5, "timeout"))
-        r.daemon.ingress.counted(Total(0, "ok", 3.0, 0.05))
+        r.daemon.ingress.counted(end := CounterResult(5, "timeout"))
+        r.daemon.ingress.counted(LateCounterResult(0, "ok", 3.0, 0.05))
         r.daemon.ingress.leases = None
     assert heard_of == [end]
 
@@ -452,12 +482,12 @@
         r.until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
         wire = r.counter.accept()
         wire.until(b"60000\r\n")
-        (c,) = gateway.customers.values()
-        (call,) = c.calls
-        assert call.amount > 0 and c.read_at < 0
+        (c,) = gateway.firms.values()
+        (call,) = c.pending_calls
+        assert call.amount > 0 and c.reading_at < 0
         r.step(0.035)
-        assert r.count("count_timeout") == 1 and c.read_at < 0 and c.calls == [call]
+        assert r.count("count_timeout") == 1 and c.reading_at < 0 and c.pending_calls == [call]
         r.step(0.02)
         wire.send(b"$2\r\n40\r\n")
         r.until(lambda: r.count("count_late") == 1)
-        assert c.read_at == call.at and c.total == 40.0 and c.others > 0 and not c.calls
+        assert c.reading_at == call.sent_at and c.counter_total == 40.0 and c.others_rate > 0 and not c.pending_calls
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -554,7 +554,7 @@
 
 def test_an_attempt_that_has_not_begun_is_not_begun_for_a_client_that_left_though_none_is_cancelled() -> None:
     with rig() as r:
-        r.daemon.ingress.gateway.s.cancel = False
+        r.daemon.ingress.gateway.settings.cancel = False
         event, r.daemon.south._event = r.daemon.south._event, lambda conn, events: None  # it does not come up yet
         client = r.ask(1)
         r.until(lambda: r.count("relays") == 1)
@@ -567,7 +567,7 @@
 
 def test_an_attempt_that_has_begun_goes_on_where_none_is_cancelled() -> None:
     with rig() as r:
-        r.daemon.ingress.gateway.s.cancel = False
+        r.daemon.ingress.gateway.settings.cancel = False
         client = r.ask(1)
         _, server = r.served()
         server.answer()
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -15,7 +15,7 @@
 from brackenpulley.drains.holder import PART, Holder
 from brackenpulley.drains.limits import Command, Enter, Leave, Limit, Limits, Want, encode
 from brackenpulley.drains.schedule import Ingress, Rules, fits, lasts, left_out, waves
-from brackenpulley.policy.interface import Refuse, Send, Shares
+from brackenpulley.policy.interface import Refuse, RelayLimitsChanged, Send
 from brackenpulley.simulation.faults import Faults
 from brackenpulley.simulation.links import Link, Links
 from brackenpulley.simulation.script import drawn
@@ -280,13 +280,13 @@
 
 def test_the_module_sends_no_more_to_a_server_than_its_share() -> None:
     drive = Drive(2)
-    drive.do(Shares({"s0": 1, "s1": 0}))
+    drive.do(RelayLimitsChanged({"s0": 1, "s1": 0}))
     assert [act.server for act in of(Send, drive.ask())] == ["s0"]
     refused = drive.ask()
     assert not of(Send, refused) and of(Refuse, refused)
-    drive.do(Shares({"s0": 1, "s1": 1}))
+    drive.do(RelayLimitsChanged({"s0": 1, "s1": 1}))
     assert [act.server for act in of(Send, drive.ask())] == ["s1"]
-    drive.do(Shares({}))
+    drive.do(RelayLimitsChanged({}))
     assert of(Send, drive.ask())
 
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -2,48 +2,48 @@
 
 import pytest
 
-from brackenpulley.policy.brain import RATE_MAX, RATE_MIN, Loop
+from brackenpulley.policy.brain import RATE_MAX, RATE_MIN, RateController
 from brackenpulley.policy.interface import ClassSpec
 
 
-def loop(rate: float = 50.0, aim: float = 1.0) -> Loop:
-    made = Loop(ClassSpec("c", aim=aim, deadline=5.0, worth=1.0, effect="safe"), 0.0)
+def loop(rate: float = 50.0, aim: float = 1.0) -> RateController:
+    made = RateController(ClassSpec("c", aim=aim, deadline=5.0, worth=1.0, effect="safe"), 0.0)
     made.rate = rate
     return made
 
 
-def run(x: Loop, now: float, latencies: list[float] = (), busy: bool = True) -> None:  # type: ignore[assignment]
+def run(x: RateController, now: float, latencies: list[float] = (), busy: bool = True) -> None:  # type: ignore[assignment]
     x.samples.clear()
     x.samples.extend((now, v) for v in latencies)
-    x.busy = busy
+    x.is_busy = busy
     x.run(now, [])
 
 
 def test_smoothing_and_cut() -> None:
     x = loop()
-    x.admitted, x.sent = 60.0, 60
+    x.admitted_rate, x.admitted_since_run = 60.0, 60
     run(x, 1.0, [5.0] * 10)
-    assert x.cur == pytest.approx(1.5)  # 0.7 x 0 + 0.3 x 5
+    assert x.smoothed_latency == pytest.approx(1.5)  # 0.7 x 0 + 0.3 x 5
     assert x.rate == pytest.approx(50.0 / 1.2)
 
 
 def test_rise_is_in_proportion_to_the_error() -> None:
     x = loop()
     run(x, 1.0, [0.5])
-    assert x.cur == pytest.approx(0.15)
+    assert x.smoothed_latency == pytest.approx(0.15)
     assert x.rate == pytest.approx(50.0 + (0.85 - 0.1) * 2.0)
 
 
 def test_dead_zone_moves_nothing() -> None:
     x = loop()
-    x.cur = 0.8
+    x.smoothed_latency = 0.8
     run(x, 1.0, [0.8])
     assert x.rate == 50.0
 
 
 def test_rates_stay_between_their_bounds() -> None:
     low, high = loop(RATE_MIN), loop(RATE_MAX)
-    low.cur = 100.0
+    low.smoothed_latency = 100.0
     run(low, 1.0, [5.0])
     run(high, 1.0, [0.1])
     assert (low.rate, high.rate) == (RATE_MIN, RATE_MAX)
@@ -51,8 +51,8 @@
 
 def test_lower_worth_yields_first_and_its_rise_is_barred_then_own_after_twenty() -> None:
     top, low = loop(), loop()
-    top.lower = [low]
-    top.cur, low.admitted, top.admitted, top.sent = 100.0, 50.0, 1000.0, 1000
+    top.lower_worth = [low]
+    top.smoothed_latency, low.admitted_rate, top.admitted_rate, top.admitted_since_run = 100.0, 50.0, 1000.0, 1000
     run(top, 1.0, [5.0])
     assert (top.rate, low.rate) == (50.0, 5.0)
     run(low, 1.0, [0.1])
@@ -61,10 +61,10 @@
     assert low.rate > 5.0
     low.rate = RATE_MIN
     for n in range(2, 21):
-        top.cur = 100.0
+        top.smoothed_latency = 100.0
         run(top, float(n), [5.0])
     assert top.rate == 50.0
-    top.cur = 100.0
+    top.smoothed_latency = 100.0
     run(top, 21.0, [5.0])
     assert top.rate < 50.0
 
@@ -72,7 +72,7 @@
 def test_cut_bites_from_what_is_admitted() -> None:
     """A starting rate of thousands took dozens of cuts before a single request was refused."""
     x = loop(RATE_MAX)
-    x.admitted, x.sent = 10.0, 10
+    x.admitted_rate, x.admitted_since_run = 10.0, 10
     run(x, 1.0, [9.0])
     assert x.rate < 10.0
 
@@ -80,7 +80,7 @@
 def test_little_out_is_no_ground_for_a_cut() -> None:
     """Samples of a few sick servers pinned every class at the floor while the fleet idled."""
     x = loop()
-    x.cur = 5.0
+    x.smoothed_latency = 5.0
     run(x, 1.0, [9.0], busy=False)
     assert x.rate > 50.0
 
@@ -88,13 +88,13 @@
 def test_percentile_of_few_samples_is_not_their_maximum() -> None:
     x = loop()
     run(x, 1.0, [0.1, 0.1, 0.1, 9.0])
-    assert x.cur == pytest.approx(0.03)
+    assert x.smoothed_latency == pytest.approx(0.03)
 
 
 def test_a_stretched_aim_widens_the_target() -> None:
     x, plain = loop(), loop()
-    x.spec.aim_stretch, x.mean = 2.0, 1.0
+    x.spec.aim_stretch, x.mean_latency = 2.0, 1.0
     for each in (x, plain):
-        each.admitted, each.sent = 60.0, 60
+        each.admitted_rate, each.admitted_since_run = 60.0, 60
         run(each, 1.0, [5.0] * 10)
     assert x.rate >= 50.0 > plain.rate
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -8,18 +8,18 @@
 
 from brackenpulley.policy.interface import (
     Cancel,
-    Counted,
+    ClientGone,
+    CounterResult,
     Fail,
-    Gone,
+    LateCounterResult,
     Outcome,
     PeerNote,
-    Probed,
+    ProbeResult,
     Refuse,
     Send,
     ServerEntry,
     ServerList,
-    Timer,
-    Total,
+    TimerFired,
 )
 
 from .util import Drive, of
@@ -69,7 +69,7 @@
     def request(self, cls: str, customer: int, left: float) -> None:
         rid = f"{self.d.serial + 1:016x}"
         self.cls[rid], self.answers[rid] = cls, 0
-        self.see(self.d.ask(cls, customer, left=left, spread=1 + customer % 3))
+        self.see(self.d.ask(cls, customer, time_left=left, spread=1 + customer % 3))
         assert (rid in self.out) != bool(self.answers[rid])
 
     @rule(
@@ -102,7 +102,7 @@
         if live:
             rid = live[pick % len(live)]
             self.answers[rid] = 1
-            self.see(self.d.do(Gone(rid)))
+            self.see(self.d.do(ClientGone(rid)))
 
     @rule(n=st.integers(0, 5), state=st.sampled_from(["up", "draining", "gone"]), fresh=st.booleans())
     def server(self, n: int, state: str, fresh: bool) -> None:
@@ -113,15 +113,15 @@
     @rule(step=st.floats(0.001, 3.0))
     def wait(self, step: float) -> None:
         self.d.now += step
-        self.see(self.d.do(Timer(self.d.g.token)))
+        self.see(self.d.do(TimerFired(self.d.decision_module.timer_token)))
 
     @rule(name=st.integers(0, 1 << 60), status=st.sampled_from(["ok", "timeout", "full"]), total=st.floats(0, 50))
     def count(self, name: int, status: str, total: float) -> None:
-        self.see(self.d.do(Counted(name, status, total)))
+        self.see(self.d.do(CounterResult(name, status, total)))
 
     @rule(call=st.integers(0, 12), status=st.sampled_from(["ok", "full"]), total=st.floats(0, 50))
     def late(self, call: int, status: str, total: float) -> None:
-        self.see(self.d.do(Total(call, status, total, 0.06)))
+        self.see(self.d.do(LateCounterResult(call, status, total, 0.06)))
 
     @rule(data=st.text(max_size=40))
     def peer(self, data: str) -> None:
@@ -129,9 +129,9 @@
 
     @invariant()
     def books_balance(self) -> None:
-        assert set(self.d.g.reqs) == set(self.out)
-        assert all(c.open >= 0 for c in self.d.g.customers.values())
-        assert sum(c.open for c in self.d.g.customers.values()) == len(of(Send, list(self.out.values())))
+        assert set(self.d.decision_module.messages) == set(self.out)
+        assert all(c.in_flight >= 0 for c in self.d.decision_module.firms.values())
+        assert sum(c.in_flight for c in self.d.decision_module.firms.values()) == len(of(Send, list(self.out.values())))
 
 
 class HostileLarge(Hostile):
@@ -145,7 +145,7 @@
         load=st.lists(st.floats(0, 99), max_size=2),
     )
     def probed(self, n: int, status: str, load: list[float]) -> None:
-        self.see(self.d.do(Probed(f"s{n}", status, 0.01, load)))
+        self.see(self.d.do(ProbeResult(f"s{n}", status, 0.01, load)))
 
 
 RUN = hsettings(derandomize=True, deadline=None, max_examples=60, stateful_step_count=40, database=None)
--- a/tests/test_module_cost.py
+++ b/tests/test_module_cost.py
@@ -9,7 +9,7 @@
 
 from benchmarks.module_cost import MOST, lines
 from brackenpulley.policy.interface import ServerEntry
-from brackenpulley.policy.state import Servers
+from brackenpulley.policy.state import ServerTable
 
 
 def test_a_message_costs_the_same_among_a_thousand_servers_as_among_ten() -> None:
@@ -17,10 +17,10 @@
     assert 100 < few < many < MOST * few
 
 
-def scan(servers: Servers, late: float) -> tuple[int, int]:
+def scan(servers: ServerTable, late: float) -> tuple[int, int]:
     """In use and held, as they were found before there were indexes: by a look at each server and attempt."""
-    up = [s for s in servers.values() if s.e.state == "up" and not s.aside and s.unheard() > late]
-    return len(up), sum(s.recent(late) for s in up)
+    up = [s for s in servers.values() if s.entry.state == "up" and not s.is_ejected and s.get_unanswered_since() > late]
+    return len(up), sum(s.count_not_overdue(late) for s in up)
 
 
 STEPS = st.lists(
@@ -37,14 +37,14 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_indexes_agree_with_a_scan(steps: list[tuple[str, int]], patience: float) -> None:
     """At each count; where nothing is ever overdue, between counts as well."""
-    servers, rng, now, serial = Servers(), random.Random(1), 100.0, 0
+    servers, rng, now, serial = ServerTable(), random.Random(1), 100.0, 0
     out: list[tuple[str, tuple[str, int]]] = []
     for what, n in steps:
         now += 0.1
         name = f"s{n}"
         if what in ("list", "whole"):
             states = ("up", "up", "draining", "gone") if what == "list" else ("up", "draining")
-            servers.told(
+            servers.update_entries(
                 what == "whole",
                 [
                     ServerEntry(f"s{m}", state=rng.choice(states), size=1.0 + m, started=float(rng.randrange(2)))
@@ -54,25 +54,25 @@
         elif what == "end" and out:
             name, attempt = out.pop(rng.randrange(len(out)))
             if name in servers:
-                servers.ended(servers[name], attempt)
+                servers.record_ended(servers[name], attempt)
         elif name in servers:
             s = servers[name]
-            if what == "send" and s.e.state == "up":
+            if what == "send" and s.entry.state == "up":
                 serial += 1
-                servers.sent(s, (f"r{serial}", 0), now, True)
+                servers.record_sent(s, (f"r{serial}", 0), now, True)
                 out.append((name, (f"r{serial}", 0)))
             elif what == "answer":
-                s.answered = now
-                servers.stale = True  # a beat follows within 0.1 s
-            elif what == "aside" and s.e.state == "up":
-                servers.aside(s, True)
-            elif what == "back" and s.aside:
-                servers.aside(s, False)
-        if anew := what == "count" or servers.stale:
-            servers.count(now - patience)
+                s.answered_at = now
+                servers.is_stale = True  # a beat follows within 0.1 s
+            elif what == "aside" and s.entry.state == "up":
+                servers.set_ejected(s, True)
+            elif what == "back" and s.is_ejected:
+                servers.set_ejected(s, False)
+        if anew := what == "count" or servers.is_stale:
+            servers.recount(now - patience)
         if anew or patience > 1e6:
-            assert (servers.in_use, servers.held) == scan(servers, servers.late)
-        assert servers.up == [s for s in servers.values() if s.e.state == "up"]
-        assert servers.busy == {k: s for k, s in servers.items() if s.out}
-        assert servers.apart == {k: s for k, s in servers.items() if s.aside}
-        assert len(servers.sizes) == len(servers.up)
+            assert (servers.in_use, servers.in_flight) == scan(servers, servers.overdue_before)
+        assert servers.up == [s for s in servers.values() if s.entry.state == "up"]
+        assert servers.with_relays == {k: s for k, s in servers.items() if s.relays}
+        assert servers.ejected == {k: s for k, s in servers.items() if s.is_ejected}
+        assert len(servers.cumulative_sizes) == len(servers.up)
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 
 from brackenpulley.policy.interface import (
-    Allow,
+    AddToCounter,
     Charge,
-    Count,
-    Counted,
-    Moved,
+    CounterResult,
+    FirmMoved,
+    LeaseGranted,
     Outcome,
-    PlanFigures,
+    PlansChanged,
     PlanSpec,
     Refuse,
     Reserve,
     Reserved,
     Send,
     Settle,
-    Timer,
+    TimerFired,
 )
 
 from .util import Drive, of
@@ -56,26 +56,26 @@
 def test_debt_survives_a_move_down_and_back() -> None:
     d = drive()
     assert ask(d, "county", 40) == 32
-    d.do(Moved(1, "school"))
-    assert d.g.customers[1].level == 8 - 32
-    d.do(Moved(1, "county"))
-    assert d.g.customers[1].level == 0 and ask(d, "county") == 0
+    d.do(FirmMoved(1, "school"))
+    assert d.decision_module.firms[1].level == 8 - 32
+    d.do(FirmMoved(1, "county"))
+    assert d.decision_module.firms[1].level == 0 and ask(d, "county") == 0
 
 
 def test_a_reading_does_not_forgive_what_is_owed() -> None:
     d = drive()
     ask(d, "county", 40, spread=3)
-    (call,) = of(Count, d.log)
-    d.do(Counted(call.name, "ok", call.amount))
-    d.do(Moved(1, "school"))
-    owed = d.g.customers[1].level
+    (call,) = of(AddToCounter, d.log)
+    d.do(CounterResult(call.name, "ok", call.amount))
+    d.do(FirmMoved(1, "school"))
+    owed = d.decision_module.firms[1].level
     assert owed < 0
-    d.g.customers[1].unsaid, d.g.customers[1].next_call = 8.0, d.now
-    d.g.note_use(d.now, d.g.customers[1])
+    d.decision_module.firms[1].unreported, d.decision_module.firms[1].next_call_at = 8.0, d.now
+    d.decision_module.schedule_report(d.now, d.decision_module.firms[1])
     d.now += 1.0
-    (again,) = of(Count, d.do(Timer(d.g.token)))
-    d.do(Counted(again.name, "ok", call.amount + again.amount))
-    assert d.g.customers[1].level < owed + 3.5
+    (again,) = of(AddToCounter, d.do(TimerFired(d.decision_module.timer_token)))
+    d.do(CounterResult(again.name, "ok", call.amount + again.amount))
+    assert d.decision_module.firms[1].level < owed + 3.5
 
 
 def test_an_older_clients_retry_does_not_take_the_plan_back() -> None:
@@ -83,19 +83,19 @@
     ask(d, "school")
     ask(d, "county")
     ask(d, "school", retry=True)
-    assert d.g.customers[1].plan is COUNTY
+    assert d.decision_module.firms[1].plan is COUNTY
     d.now += 5.0
     ask(d, "school")  # a retry that is not marked: its first try may be this old
-    assert d.g.customers[1].plan is COUNTY
+    assert d.decision_module.firms[1].plan is COUNTY
     d.now += 8.0
     ask(d, "school")  # nobody waits that long: the firm has been moved back
-    assert d.g.customers[1].plan is SCHOOL
+    assert d.decision_module.firms[1].plan is SCHOOL
 
 
 def test_new_figures_hold_for_all_on_the_plan() -> None:
     d = drive()
     ask(d, "school", 8)
-    d.do(PlanFigures([PlanSpec("school", rate=6.0, burst=12.0)]))
+    d.do(PlansChanged([PlanSpec("school", rate=6.0, burst=12.0)]))
     assert ask(d, "school", 9) == 4
     d.now += 1.0
     assert ask(d, "school", 9) == 6
@@ -109,10 +109,10 @@
     """A server that turns a try away has had it whole: PROTOCOL counts it."""
     d = drive(max_attempts=1)
     (send,) = of(Send, d.ask(plan="school", units=4.0))
-    assert d.g.customers[1].level == 4.0
+    assert d.decision_module.firms[1].level == 4.0
     acts = d.do(Outcome(send.id, send.server, 0, status, 0.1))
     assert of(Refuse, acts) or not returned
-    assert d.g.customers[1].level == (8.0 if returned else 4.0)
+    assert d.decision_module.firms[1].level == (8.0 if returned else 4.0)
     assert [c.units for c in of(Charge, acts)] == ([] if returned else [4.0])
 
 
@@ -121,28 +121,28 @@
     ask(d, "school", 1, spread=3, units=2.0)
     (send,) = of(Send, d.ask(plan="school", spread=3, units=2.0))
     d.now += 0.3
-    d.do(Timer(d.g.token))
-    for call in of(Count, d.log):
-        d.do(Counted(call.name, "ok", call.amount))
+    d.do(TimerFired(d.decision_module.timer_token))
+    for call in of(AddToCounter, d.log):
+        d.do(CounterResult(call.name, "ok", call.amount))
     d.now += 0.3
-    d.do(Timer(d.g.token))
-    assert sum(call.amount for call in of(Count, d.log)) == 4.0
-    for call in of(Count, d.log)[1:]:
-        d.do(Counted(call.name, "ok", 4.0))
+    d.do(TimerFired(d.decision_module.timer_token))
+    assert sum(call.amount for call in of(AddToCounter, d.log)) == 4.0
+    for call in of(AddToCounter, d.log)[1:]:
+        d.do(CounterResult(call.name, "ok", 4.0))
     d.log.clear()
     d.do(Outcome(send.id, send.server, 0, "connect_failed"))
     d.now += 1.0
-    d.do(Timer(d.g.token))
-    assert [call.amount for call in of(Count, d.log)] == [-2.0]
+    d.do(TimerFired(d.decision_module.timer_token))
+    assert [call.amount for call in of(AddToCounter, d.log)] == [-2.0]
 
 
 def test_the_true_cost_is_charged_once_and_under_the_plan_it_was_let_in_on() -> None:
     d = drive(settles=True)
     (send,) = of(Send, d.ask(plan="school", units=2.0))
-    d.do(Moved(1, "county"))
+    d.do(FirmMoved(1, "county"))
     (charge,) = of(Charge, d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
-    assert (charge.plan, charge.units, charge.customer, charge.since) == ("school", 5.0, 1, d.now)
-    assert d.g.customers[1].level == 32 - 5
+    assert (charge.plan, charge.units, charge.firm, charge.since) == ("school", 5.0, 1, d.now)
+    assert d.decision_module.firms[1].level == 32 - 5
 
 
 def test_a_reservation_holds_until_it_is_settled() -> None:
@@ -152,25 +152,25 @@
     assert refusal.id == "r2"
     assert ask(d, "school", 5) == 2
     assert of(Charge, d.do(Settle("r1", 1, "school", 3, 6.0, 1.0, d.now)))[0].units == 1.0
-    assert d.g.customers[1].level == 5.0
+    assert d.decision_module.firms[1].level == 5.0
     d.do(Reserve("r3", 1, "school", 5.0))
-    assert not d.do(Settle("r3", 1, "school", 3, 5.0, 0.0, d.now)) and d.g.customers[1].level == 5.0
+    assert not d.do(Settle("r3", 1, "school", 3, 5.0, 0.0, d.now)) and d.decision_module.firms[1].level == 5.0
 
 
 def test_a_try_that_a_reservation_pays_for_takes_nothing_more() -> None:
     d = drive()
     d.do(Reserve("r1", 1, "school", 8.0))
     assert ask(d, "school") == 0
-    assert ask(d, "school", units=8.0, held=8.0) == 1
-    assert d.g.customers[1].level == 0.0
+    assert ask(d, "school", units=8.0, reserved_units=8.0) == 1
+    assert d.decision_module.firms[1].level == 0.0
 
 
 def test_a_leased_store_is_filled_by_leases_alone() -> None:
     d = drive(leased=True)
     assert ask(d, "school", spread=3) == 0
-    d.do(Allow(1, "school", 3.0, spread=3))
+    d.do(LeaseGranted(1, "school", 3.0, spread=3))
     d.now += 10.0
-    assert ask(d, "school", 9, spread=3) == 3 and not of(Count, d.log)
+    assert ask(d, "school", 9, spread=3) == 3 and not of(AddToCounter, d.log)
 
 
 STEP = st.tuples(
@@ -188,10 +188,10 @@
     rates: list[tuple[float, float]] = []
     for plan, tries, wait, by_book in steps:
         if by_book:
-            d.do(Moved(1, plan))
+            d.do(FirmMoved(1, plan))
         for _ in range(tries):
             sends += [d.now] * ask(d, plan)
-        spec = d.g.customers[1].plan
+        spec = d.decision_module.firms[1].plan
         rates.append((wait, spec.rate))
         d.now += wait
 
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -27,7 +27,7 @@
 from brackenpulley.plans.book import Change, Figures, firm_text
 from brackenpulley.plans.reservations import ReservationError
 from brackenpulley.plans.service import PlanService, ReservationService
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import PlanSpec, ServerEntry, ServerList
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
@@ -91,7 +91,9 @@
     def __init__(self, folder: str, now: float) -> None:
         self.now = now
         self.loop = Loop(lambda: self.now, Metrics(), Silent())
-        gateway = Gateway(util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now)
+        gateway = DecisionModule(
+            util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now
+        )
         self.ingress = Ingress(gateway, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
         part = LedgerPart(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
         self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
@@ -225,7 +227,7 @@
     with rig(operator=told) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
-        level = r.daemon.ingress.gateway.customers[7].level
+        level = r.daemon.ingress.gateway.firms[7].level
         assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted == 0
         if end == "committed":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/commit", {"units": 1.0})[0] == 200
@@ -235,7 +237,7 @@
             r.skip(2.1)
         assert heads.counted == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO
         if end != "expired":
-            assert r.daemon.ingress.gateway.customers[7].level >= level + 3.0
+            assert r.daemon.ingress.gateway.firms[7].level >= level + 3.0
 
 
 def test_a_daemon_killed_between_upload_and_acknowledgement_sends_the_same_again(tmp_path: Path) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -27,7 +27,7 @@
 from brackenpulley.net.counter import encode as encode_call
 from brackenpulley.net.requests import Fault, Reader
 from brackenpulley.net.south import Trust
-from brackenpulley.policy.interface import Counted, Total
+from brackenpulley.policy.interface import CounterResult, LateCounterResult
 
 from .rig import Peer, Rig, rig
 from .test_link import SETTINGS
@@ -194,7 +194,7 @@
 def test_an_unknown_class_or_plan_is_answered(head: str) -> None:
     with rig() as r:
         client = r.client().send(f"{head}\r\nX-Request-ID: 1\r\nX-Timeout: 9000m\r\n\r\n".encode())
-        assert client.answer()[0] == 400 and client.ended() and not r.daemon.ingress.gateway.customers
+        assert client.answer()[0] == 400 and client.ended() and not r.daemon.ingress.gateway.firms
 
 
 # Guards against bad units in a usual customer's name: the module took them for that customer's own and kept the set.
@@ -205,7 +205,7 @@
 def test_weights_that_the_settings_leave_no_room_for_touch_no_customer(weight: str) -> None:
     with rig() as r:
         assert r.ask(7, more=f"X-Weight: {weight}\r\n").answer()[0] == 400
-        assert not r.daemon.ingress.gateway.customers and not r.count("relays")
+        assert not r.daemon.ingress.gateway.firms and not r.count("relays")
 
 
 @pytest.mark.parametrize(
@@ -486,8 +486,8 @@
         client = r.daemon.counter
         assert client is not None
 
-        def tell(e: Counted | Total) -> None:
-            if isinstance(e, Counted):
+        def tell(e: CounterResult | LateCounterResult) -> None:
+            if isinstance(e, CounterResult):
                 ends.append((e.status, e.total))
             else:
                 late.append((e.call, e.status, e.total))
@@ -803,7 +803,7 @@
         assert client.answer()[0] in (502, 503) and server.ended()
         # Our own limit: no other server is asked, and this one is not judged by it.
         assert r.count("answers_over_memory") == 1 and r.count("relays") == 2 and r.daemon.shares.held == 0
-        assert r.daemon.ingress.gateway.servers["s-0"].err == 0
+        assert r.daemon.ingress.gateway.servers["s-0"].error_rate == 0
 
 
 def test_kept_connections_that_break_unheard_are_no_longer_used_when_old() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -2,19 +2,19 @@
 
 import pytest
 
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import (
-    Count,
-    Counted,
+    AddToCounter,
+    CounterResult,
+    MessageReceived,
     Outcome,
     PeerNote,
     PlanSpec,
     Refuse,
-    Request,
     Send,
+    SendPeerNote,
     SetTimer,
-    Tell,
-    Timer,
+    TimerFired,
 )
 
 from .util import Drive, fleet, of, settings
@@ -83,8 +83,8 @@
     """A first try here, and its call's answer: the others have used so much in the 10 s of this number so far."""
     assert passes(d, 1, spread=200, units=2.0) == 1
     settle(d)
-    (call,) = of(Count, d.log)
-    d.do(Counted(call.name, "ok", used + call.amount, 0.001))
+    (call,) = of(AddToCounter, d.log)
+    d.do(CounterResult(call.name, "ok", used + call.amount, 0.001))
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
     d = dear(cost)
     d.now = 1030.0  # 10 s of the 30 that one number serves
     elsewhere(d, used)
-    d.g.customers[1].level = 3.0 if used < 100 else 0.0  # what this gateway reckons that it may use
+    d.decision_module.firms[1].level = 3.0 if used < 100 else 0.0  # what this gateway reckons that it may use
     assert passes(d, 1, spread=200, units=2.0) == sent
 
 
@@ -108,7 +108,7 @@
     d = dear()
     d.now = 1030.0
     elsewhere(d, 38.0)
-    d.g.customers[1].level = 3.0
+    d.decision_module.firms[1].level = 3.0
     assert passes(d, 1, spread=200, units=2.0) == 0
     d.now += 12.0
     assert passes(d, 1, spread=200, units=2.0) == 1
@@ -133,42 +133,42 @@
     passes(d, 2, spread=3)
     for _ in range(8):
         d.ask(spread=3)
-    (call,) = of(Count, d.log)
-    d.do(Counted(call.name, "ok", call.amount))
-    level = d.g.customers[1].level
+    (call,) = of(AddToCounter, d.log)
+    d.do(CounterResult(call.name, "ok", call.amount))
+    level = d.decision_module.firms[1].level
     assert level > 12
     d.now += 1.0
     d.ask(spread=3)
-    d.do(Timer(d.g.token))
+    d.do(TimerFired(d.decision_module.timer_token))
     d.now += 0.1
     for _ in range(6):
         d.ask(spread=3)
-    calls = of(Count, d.log)
+    calls = of(AddToCounter, d.log)
     if len(calls) == 1:
-        d.do(Timer(d.g.token))
-        calls = of(Count, d.log)
-    d.do(Counted(calls[-1].name, "ok", call.amount + calls[-1].amount + 15))
-    assert d.g.customers[1].level < level - 10
-    assert d.g.customers[1].others > 0
+        d.do(TimerFired(d.decision_module.timer_token))
+        calls = of(AddToCounter, d.log)
+    d.do(CounterResult(calls[-1].name, "ok", call.amount + calls[-1].amount + 15))
+    assert d.decision_module.firms[1].level < level - 10
+    assert d.decision_module.firms[1].others_rate > 0
 
 
 def test_counter_that_came_back_empty_is_no_reading() -> None:
     d = Drive(servers=20)
     for _ in range(8):
         d.ask(spread=3)
-    (call,) = of(Count, d.log)
-    d.do(Counted(call.name, "ok", call.amount + 30))
-    c = d.g.customers[1]
-    c.next_call = d.now
-    c.unsaid = 6.0
-    c.tries = 5
-    d.g.note_use(d.now, c)
+    (call,) = of(AddToCounter, d.log)
+    d.do(CounterResult(call.name, "ok", call.amount + 30))
+    c = d.decision_module.firms[1]
+    c.next_call_at = d.now
+    c.unreported = 6.0
+    c.admitted = 5
+    d.decision_module.schedule_report(d.now, c)
     d.now += 1.0
-    (again,) = of(Count, d.do(Timer(d.g.token)))
-    before, read_at = c.level, c.read_at
+    (again,) = of(AddToCounter, d.do(TimerFired(d.decision_module.timer_token)))
+    before, read_at = c.level, c.reading_at
     d.now += 0.01
-    d.do(Counted(again.name, "ok", again.amount))
-    assert (c.read_at, c.total) == (read_at, again.amount) and c.level <= before + 0.2
+    d.do(CounterResult(again.name, "ok", again.amount))
+    assert (c.reading_at, c.counter_total) == (read_at, again.amount) and c.level <= before + 0.2
 
 
 def test_refused_call_is_told_again_and_unanswered_one_is_not() -> None:
@@ -176,25 +176,25 @@
         d = Drive(servers=20)
         for _ in range(8):
             d.ask(spread=3)
-        (call,) = of(Count, d.log)
-        before = d.g.customers[1].unsaid
-        d.do(Counted(call.name, status))
-        assert (d.g.customers[1].unsaid == before + call.amount) is left
+        (call,) = of(AddToCounter, d.log)
+        before = d.decision_module.firms[1].unreported
+        d.do(CounterResult(call.name, status))
+        assert (d.decision_module.firms[1].unreported == before + call.amount) is left
 
 
 def test_answers_never_asked_for_are_ignored() -> None:
     d = Drive()
-    assert d.do(Counted(12345, "ok", 9.0)) == []
+    assert d.do(CounterResult(12345, "ok", 9.0)) == []
     assert d.do(PeerNote(1, "n,zz:1:x,,:")) == []
 
 
 def test_a_customer_seen_once_costs_no_call() -> None:
     d = Drive(servers=20)
     for k in range(100):
-        d.ask(customer=1000 + k, spread=3)
+        d.ask(firm=1000 + k, spread=3)
     d.now += 0.2
-    d.do(Timer(d.g.token))
-    assert not of(Count, d.log)
+    d.do(TimerFired(d.decision_module.timer_token))
+    assert not of(AddToCounter, d.log)
 
 
 def test_peer_notes_stand_in_for_readings() -> None:
@@ -204,11 +204,11 @@
     passes(a, 5, spread=3)
     for d in (a, b):
         d.now += 0.6
-    for note in of(Tell, a.do(Timer(a.g.token))):
+    for note in of(SendPeerNote, a.do(TimerFired(a.decision_module.timer_token))):
         assert len(note.data) <= 256
         b.do(PeerNote(0, note.data))
-    assert b.g.customers[1].read_at == b.now
-    assert not of(Count, b.log)
+    assert b.decision_module.firms[1].reading_at == b.now
+    assert not of(AddToCounter, b.log)
 
 
 def test_idle_customers_age_out() -> None:
@@ -216,14 +216,14 @@
     d.ask()
     settle(d)
     d.now += 70.0
-    d.do(Timer(d.g.token))
-    assert not d.g.customers
+    d.do(TimerFired(d.decision_module.timer_token))
+    assert not d.decision_module.firms
 
 
 def test_beyond_quota_never_drains_class_tokens() -> None:
     d = Drive(servers=20)
     passes(d, 20)
-    loop = d.g.loops["check"]
+    loop = d.decision_module.rate_controllers["check"]
     loop.rate, loop.tokens = 5.0, 5.0
     before = loop.tokens
     assert of(Refuse, d.ask()) and loop.tokens == before
@@ -234,44 +234,47 @@
     d = Drive(servers=20)
     for n in range(1, 7):
         for _ in range(4):
-            d.ask(customer=n, spread=3, units=1.0 + (n == 5))
+            d.ask(firm=n, spread=3, units=1.0 + (n == 5))
     d.now += 0.3
-    (first,) = of(Count, d.log)
-    (second,) = of(Count, d.do(Counted(first.name, "ok", first.amount)) + d.do(Timer(d.g.token)))
+    (first,) = of(AddToCounter, d.log)
+    (second,) = of(
+        AddToCounter,
+        d.do(CounterResult(first.name, "ok", first.amount)) + d.do(TimerFired(d.decision_module.timer_token)),
+    )
     assert second.name % (1 << 33) == 5
-    assert not of(Count, d.do(Counted(first.name, "ok", 1.0)))  # an answer to no call that is out
+    assert not of(AddToCounter, d.do(CounterResult(first.name, "ok", 1.0)))  # an answer to no call that is out
 
 
 def test_slow_and_lost_answers_slow_the_calls_down() -> None:
     paces = []
     for status, latency in (("ok", 0.001), ("ok", 0.045), ("timeout", 0.05)):
         d = Drive(counter_timeout=0.05)
-        d.g.calls.waited(d.now, 0.001)  # it is near: an answer came quickly before
+        d.decision_module.counter_calls.compute_wait(d.now, 0.001)  # it is near: an answer came quickly before
         for _ in range(9):
             d.ask(spread=3)
-        (call,) = of(Count, d.log)
-        d.do(Counted(call.name, status, call.amount, latency))
-        paces.append(d.g.calls.gap)
+        (call,) = of(AddToCounter, d.log)
+        d.do(CounterResult(call.name, status, call.amount, latency))
+        paces.append(d.decision_module.counter_calls.interval)
     assert paces == sorted(paces) and len(set(paces)) == 3
 
 
 def test_a_counter_that_turns_calls_away_is_asked_less_often() -> None:
     """With a crowded counter nine calls of ten were turned away, and all were repeated at once."""
     d = Drive(servers=20)
-    start = d.g.calls.gap
+    start = d.decision_module.counter_calls.interval
     for _ in range(8):
         d.ask(spread=3)
     for _ in range(20):
-        for call in of(Count, d.log):
-            d.do(Counted(call.name, "full"))
+        for call in of(AddToCounter, d.log):
+            d.do(CounterResult(call.name, "full"))
         d.log.clear()
         d.now += 1.6
         d.ask(spread=3)
-    assert d.g.calls.gap > 5 * start
-    for call in of(Count, d.log):
-        grown = d.g.calls.gap
-        d.do(Counted(call.name, "ok", 100.0))
-        assert d.g.calls.gap < grown
+    assert d.decision_module.counter_calls.interval > 5 * start
+    for call in of(AddToCounter, d.log):
+        grown = d.decision_module.counter_calls.interval
+        d.do(CounterResult(call.name, "ok", 100.0))
+        assert d.decision_module.counter_calls.interval < grown
 
 
 def test_open_cap_is_shared_and_leaves_one_for_what_the_peers_sent_since() -> None:
@@ -293,18 +296,18 @@
 def test_true_units_settle_the_guess() -> None:
     d = Drive(servers=3, settles=True)
     (first,) = of(Send, d.ask(units=2.0))
-    before = d.g.customers[1].level
+    before = d.decision_module.firms[1].level
     d.do(Outcome(first.id, first.server, 0, "ok", 0.1, closed=True, cost=5.0))
-    assert d.g.customers[1].level == before - 3.0
+    assert d.decision_module.firms[1].level == before - 3.0
 
 
 def test_meter_on_answers_is_a_reading() -> None:
     d = Drive(servers=3, counter=False, meter_period=1.0)
     (first,) = of(Send, d.ask(spread=3))
     d.now += 0.5
-    d.do(Outcome(first.id, first.server, 0, "ok", 0.5, closed=True, used=181))
-    c = d.g.customers[1]
-    assert c.read_at == d.now and c.others > 5.0
+    d.do(Outcome(first.id, first.server, 0, "ok", 0.5, closed=True, quota_used=181))
+    c = d.decision_module.firms[1]
+    assert c.reading_at == d.now and c.others_rate > 5.0
 
 
 def test_notes_on_customers_never_seen_here_leave_nothing_behind() -> None:
@@ -312,7 +315,9 @@
     d.ask(spread=3)
     for k in range(500):
         d.do(PeerNote(1, f"n,{k + 10:x}:3:1"))
-    assert set(d.g.customers) == {1} and not any(isinstance(v, dict) and len(v) > 10 for v in vars(d.g).values())
+    assert set(d.decision_module.firms) == {1} and not any(
+        isinstance(v, dict) and len(v) > 10 for v in vars(d.decision_module).values()
+    )
 
 
 def test_notes_that_would_be_stale_leave_the_counter_in_use() -> None:
@@ -321,16 +326,16 @@
     for d in (few, many):
         for _ in range(8):
             d.ask(spread=3)
-    assert not of(Count, few.log) and of(Count, many.log)
+    assert not of(AddToCounter, few.log) and of(AddToCounter, many.log)
 
 
 def test_gateways_do_not_call_in_step() -> None:
     """Beats at the same instant everywhere left two calls of five unanswered at a counter half used."""
-    delays = {of(SetTimer, Gateway(settings(), seed, 0.0).handle(0.0, fleet(1)))[0].delay for seed in range(20)}
+    delays = {of(SetTimer, DecisionModule(settings(), seed, 0.0).handle(0.0, fleet(1)))[0].delay for seed in range(20)}
     assert len(delays) == 20
 
 
-def pass_of(gateways: list[Gateway], plan: str, seconds: float, each_s: float, spread: int) -> int:
+def pass_of(gateways: list[DecisionModule], plan: str, seconds: float, each_s: float, spread: int) -> int:
     """What all of them send on of one customer's requests, asked of each in turn, with no counter answering."""
     sent, serial = 0, 0
     for step in range(int(seconds / 0.5)):
@@ -338,14 +343,17 @@
             for _ in range(int(each_s / 2)):
                 serial += 1
                 now = 1000.0 + step * 0.5
-                for s in of(Send, g.handle(now, Request(f"{serial:016x}", "check", plan, 1, 5.0, 1.0, spread))):
+                for s in of(Send, g.handle(now, MessageReceived(f"{serial:016x}", "check", plan, 1, 5.0, 1.0, spread))):
                     sent += 1
                     g.handle(now, Outcome(s.id, s.server, 0, "ok", 0.05, closed=True))
     return sent
 
 
-def large(plan: PlanSpec, **more: object) -> list[Gateway]:
-    made = [Gateway(settings(gateways=300, me=me, plans=[plan], most_units=1, **more), me, 1000.0) for me in range(300)]
+def large(plan: PlanSpec, **more: object) -> list[DecisionModule]:
+    made = [
+        DecisionModule(settings(gateways=300, me=me, plans=[plan], most_units=1, **more), me, 1000.0)
+        for me in range(300)
+    ]
     for g in made:
         g.handle(1000.0, fleet(4))
     return made
@@ -368,13 +376,13 @@
     calls = 0
     for me in range(40):
         d = Drive(60, gateways=40)
-        d.g.rng.seed(me)
+        d.decision_module.rng.seed(me)
         for step in range(100):
             d.now += 0.01
-            acts = d.ask(customer=step % 30, spread=20, units=4.0)
+            acts = d.ask(firm=step % 30, spread=20, units=4.0)
             for send in of(Send, acts):
                 d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True))
-            for count in of(Count, acts):
+            for count in of(AddToCounter, acts):
                 calls += 1
-                d.do(Counted(count.name, "timeout", 0.0, 0.03))
+                d.do(CounterResult(count.name, "timeout", 0.0, 0.03))
     assert 40 <= calls < 100  # 117 from a pace of 0.06 s
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,23 +2,23 @@
 
 import pytest
 
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import (
     Cancel,
+    ClientGone,
     Fail,
-    Gone,
+    MessageReceived,
     Outcome,
     PlanSpec,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
-    Request,
     Send,
     ServerEntry,
     ServerList,
     SettingsError,
-    Started,
-    Timer,
+    StreamStarted,
+    TimerFired,
     Watch,
 )
 
@@ -55,7 +55,7 @@
 
 def test_keyed_repeat_stays_in_its_cell_and_window() -> None:
     d = Drive(servers=6)
-    (first,) = of(Send, d.ask("push", left=12.0))
+    (first,) = of(Send, d.ask("push", time_left=12.0))
     d.now += 7.9
     (again,) = of(Send, end(d, first, "error"))
     assert int(again.server[1]) % 2 == int(first.server[1]) % 2
@@ -67,7 +67,7 @@
 def test_no_send_after_the_client_left_and_one_answer_only() -> None:
     d = Drive()
     (first,) = of(Send, d.ask())
-    assert of(Cancel, d.do(Gone(first.id)))
+    assert of(Cancel, d.do(ClientGone(first.id)))
     acts = end(d, first, "cancelled", closed=True)
     assert not of(Send, acts) and not of(Refuse, acts) and not of(Fail, acts)
     assert not end(d, first, "cancelled", closed=True)
@@ -79,12 +79,12 @@
     for attempt in range(3):
         (send,) = of(Send, acts)
         acts = end(d, send, "full", attempt)
-    assert len(of(Refuse, acts)) == 1 and not d.g.reqs
+    assert len(of(Refuse, acts)) == 1 and not d.decision_module.messages
 
 
 def test_deadline_answer_is_a_failure_for_what_may_have_run() -> None:
     d = Drive()
-    (first,) = of(Send, d.ask("blast", left=3.0))
+    (first,) = of(Send, d.ask("blast", time_left=3.0))
     d.now += 3.0
     assert of(Fail, end(d, first, "timeout"))
 
@@ -93,13 +93,13 @@
 def test_nothing_new_to_a_draining_or_removed_server(state: str) -> None:
     d = Drive(servers=2)
     d.do(ServerList("changes", [ServerEntry("s0", zone="a", state=state)]))
-    assert {a.server for _ in range(20) for a in of(Send, d.ask(customer=d.serial))} == {"s1"}
+    assert {a.server for _ in range(20) for a in of(Send, d.ask(firm=d.serial))} == {"s1"}
 
 
 def test_server_missing_from_a_full_list_is_gone() -> None:
     d = Drive(servers=3)
     d.do(fleet(1))
-    assert {a.server for _ in range(10) for a in of(Send, d.ask(customer=d.serial))} == {"s0"}
+    assert {a.server for _ in range(10) for a in of(Send, d.ask(firm=d.serial))} == {"s0"}
 
 
 def test_cold_server_gets_no_burst_though_its_start_is_learned_late() -> None:
@@ -108,7 +108,7 @@
     sent = 0
     for _ in range(200):  # eight seconds of heavy asking
         d.now += 0.04
-        sent += len(of(Send, d.ask(customer=d.serial)))
+        sent += len(of(Send, d.ask(firm=d.serial)))
     assert 1 <= sent <= 3
 
 
@@ -133,9 +133,9 @@
 def test_odd_but_legal_events_are_ignored() -> None:
     d = Drive()
     d.do(Outcome("00", "s9", 3, "ok", closed=True))
-    d.do(Gone("00"))
+    d.do(ClientGone("00"))
     before = len(d.log)
-    d.do(Timer(999))
+    d.do(TimerFired(999))
     assert len(d.log) == before
 
 
@@ -150,22 +150,22 @@
         d = Drive(servers=5)
         for n in range(50):
             d.now += 0.05
-            d.ask(customer=n % 7, spread=3)
+            d.ask(firm=n % 7, spread=3)
         return list(d.log)
 
     assert play() == play()
 
 
 def test_request_type_needs_no_wire() -> None:
-    g = Gateway(settings(), 1, 0.0)
-    assert of(Refuse, g.handle(0.0, Request("a", "check", "gold", 1, 5.0)))
+    g = DecisionModule(settings(), 1, 0.0)
+    assert of(Refuse, g.handle(0.0, MessageReceived("a", "check", "gold", 1, 5.0)))
 
 
 def test_room_by_worth_and_bounded_by_what_is_out() -> None:
     """Before any latency is known queues of many seconds built up; and the low class crowded out the high one."""
     d = Drive(servers=4)  # 3 gateways: 6 x 4 / 3 = 8 out here at most
-    low = sum(len(of(Send, d.ask("check", customer=n))) for n in range(20))
-    high = sum(len(of(Send, d.ask("blast", customer=n))) for n in range(20))
+    low = sum(len(of(Send, d.ask("check", firm=n))) for n in range(20))
+    high = sum(len(of(Send, d.ask("blast", firm=n))) for n in range(20))
     assert 4 <= low < 8 <= low + high <= 10
 
 
@@ -183,25 +183,25 @@
 ) -> None:
     """Reads of 0.19 s stood at 0.39 of what was asked while servers had room for all: two out were the whole of it."""
     d = Drive(servers=60)  # 3 gateways: 6 x 60 / 3 = 120 out here at most
-    for name, loop in d.g.loops.items():
-        loop.mean = short if name == "check" else long
-        loop.samples.extend([(d.now, loop.mean)] * known)  # before any answer nobody knows
+    for name, loop in d.decision_module.rate_controllers.items():
+        loop.mean_latency = short if name == "check" else long
+        loop.samples.extend([(d.now, loop.mean_latency)] * known)  # before any answer nobody knows
     d.now += 1.0
-    d.do(Timer(d.g.token))
-    low = sum(len(of(Send, d.ask("check", customer=n))) for n in range(200))
+    d.do(TimerFired(d.decision_module.timer_token))
+    low = sum(len(of(Send, d.ask("check", firm=n))) for n in range(200))
     assert least * 120 <= low <= most * 120 + 4
 
 
 def test_silent_server_is_set_aside_and_what_may_go_again_is_taken_back() -> None:
     d = Drive(servers=4)
-    (first,) = of(Send, d.ask("check", left=12.0))
+    (first,) = of(Send, d.ask("check", time_left=12.0))
     for n in range(60):
         d.now += 0.1
-        for send in of(Send, d.ask("check", customer=n)):
+        for send in of(Send, d.ask("check", firm=n)):
             if send.server != first.server:
                 d.do(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
-        d.do(Timer(d.g.token))
-    assert d.g.servers[first.server].aside
+        d.do(TimerFired(d.decision_module.timer_token))
+    assert d.decision_module.servers[first.server].is_ejected
     assert Cancel(first.id, 0) in d.log
 
 
@@ -209,21 +209,21 @@
     d = Drive(servers=6)
     for n in range(200):
         d.now += 0.05
-        acts = d.ask("blast", customer=n)
+        acts = d.ask("blast", firm=n)
         for send in of(Send, acts):
             end(d, send, "error")
-        d.do(Timer(d.g.token))
-    assert sum(s.aside for s in d.g.servers.values()) == 3
+        d.do(TimerFired(d.decision_module.timer_token))
+    assert sum(s.is_ejected for s in d.decision_module.servers.values()) == 3
 
 
 def test_slowness_fades_without_answers() -> None:
     """After a slow spell servers hardly asked kept their bad record while others carried the load."""
     d = Drive(servers=2)
-    d.g.servers["s0"].slow, d.g.servers["s0"].answered = 10.0, d.now
+    d.decision_module.servers["s0"].slowness, d.decision_module.servers["s0"].answered_at = 10.0, d.now
     d.now += 60.0
     used = set()
     for n in range(4):
-        used |= {a.server for a in of(Send, d.ask("blast", customer=n))}
+        used |= {a.server for a in of(Send, d.ask("blast", firm=n))}
     assert used == {"s0", "s1"}
 
 
@@ -238,17 +238,17 @@
     assert len(of(Watch, d.log)) == 1
     d.do(ServerList("failed", []))
     d.now += 2.0
-    assert of(Watch, d.do(Timer(d.g.token)))
+    assert of(Watch, d.do(TimerFired(d.decision_module.timer_token)))
     assert of(Send, d.ask())  # the old list stands
 
 
 def test_a_stream_that_flows_is_neither_repeated_nor_cancelled() -> None:
     d = Drive()
     (first,) = of(Send, d.ask())
-    d.do(Started(first.id, first.server, 0, 0.2))
+    d.do(StreamStarted(first.id, first.server, 0, 0.2))
     for _ in range(60):
         d.now += 0.2
-        d.do(Timer(d.g.token))
+        d.do(TimerFired(d.decision_module.timer_token))
     assert not of(Cancel, d.log)
     acts = end(d, first, "reset", closed=True)
     assert not of(Send, acts) and not of(Refuse, acts) and not of(Fail, acts)
@@ -258,11 +258,11 @@
     """Of hundreds of gateways each has one attempt out at a server: four usual latencies set healthy ones aside."""
     d = Drive(servers=4, gateways=300)
     (first,) = of(Send, d.ask("check"))
-    usual = max(x.mean for x in d.g.loops.values())
+    usual = max(x.mean_latency for x in d.decision_module.rate_controllers.values())
     for _ in range(int(6 * usual / 0.1)):  # longer than four, shorter than eight
         d.now += 0.1
-        d.do(Timer(d.g.token))
-    assert not d.g.servers[first.server].aside
+        d.do(TimerFired(d.decision_module.timer_token))
+    assert not d.decision_module.servers[first.server].is_ejected
 
 
 def test_many_gateways_do_not_choose_the_same_server() -> None:
@@ -270,9 +270,9 @@
     entries = [ServerEntry(f"s{n}", zone="a", size=4.0 if n < 2 else 3.0) for n in range(10)]
     chosen = []
     for me in range(200):
-        g = Gateway(settings(gateways=200, me=me), me, 1000.0)
+        g = DecisionModule(settings(gateways=200, me=me), me, 1000.0)
         g.handle(1000.0, ServerList("full", entries))
-        chosen += of(Send, g.handle(1000.0, Request(f"{me:016x}", "check", "gold", 1, 5.0)))
+        chosen += of(Send, g.handle(1000.0, MessageReceived(f"{me:016x}", "check", "gold", 1, 5.0)))
     most = max(sum(s.server == f"s{n}" for s in chosen) for n in range(10))
     assert len(chosen) == 200 and most < 60
 
@@ -281,13 +281,13 @@
     """A whole request saved up, or granted, at each of 300 gateways falls on a server that has just started."""
     sent, gateways = 0, []
     for me in range(300):
-        g = Gateway(settings(gateways=300, me=me), me, 1000.0)
+        g = DecisionModule(settings(gateways=300, me=me), me, 1000.0)
         g.servers.warm_rate = 2.0 / 300  # two requests a second at a warm server, from all of them
         g.handle(1000.0, ServerList("full", [ServerEntry("s0", started=999.0)]))
         gateways.append(g)
     for step in range(20):  # 2 s, the window of the rule; multiple 3, at least a fifth warm
         for me, g in enumerate(gateways):
-            request = Request(f"{step * 300 + me:016x}", "check", "gold", step, 5.0)
+            request = MessageReceived(f"{step * 300 + me:016x}", "check", "gold", step, 5.0)
             sent += len(of(Send, g.handle(1000.0 + 0.1 * step, request)))
     assert 1 <= sent <= 3 * 0.5 * 2.0 * 2.0
 
@@ -297,15 +297,24 @@
     to_cold = to_warm = 0
     for me in range(40):
         d = Drive(0, gateways=40, me=me, cold_time=18.0, counter=False)
-        d.g.rng.seed(me)
-        d.g.servers.warm_rate = 0.15  # six a second at a warm server, from all of them
+        d.decision_module.rng.seed(me)
+        d.decision_module.servers.warm_rate = 0.15  # six a second at a warm server, from all of them
         d.do(ServerList("full", [ServerEntry(f"s{n}", started=995.0 if n < 36 else 0.0) for n in range(60)]))
         for _ in range(20):
             d.now += 0.1
-            for send in of(Send, d.ask(customer=d.serial)):
+            for send in of(Send, d.ask(firm=d.serial)):
                 to_cold += int(send.server[1:]) < 36
                 to_warm += int(send.server[1:]) >= 36
-                d.do(Outcome(send.id, send.server, 0, "ok", d.g.loops["check"].mean, closed=True))
+                d.do(
+                    Outcome(
+                        send.id,
+                        send.server,
+                        0,
+                        "ok",
+                        d.decision_module.rate_controllers["check"].mean_latency,
+                        closed=True,
+                    )
+                )
     assert to_cold + to_warm == 800
     # 36 servers, 2 s, 0.42 warm at least: so much would fell them, at three times what they can do.
     fells = 3 * 36 * 2.0 * 0.42 * 6.0
@@ -319,24 +328,24 @@
     turned = 0
     for _ in range(300):
         d.now += 0.05
-        acts = d.ask(customer=d.serial)
+        acts = d.ask(firm=d.serial)
         while sends := of(Send, acts):
             away = sends[0].server in draining
             turned += away
             attempt = sum(s.id == sends[0].id for s in of(Send, d.log)) - 1
             acts = d.do(Outcome(sends[0].id, sends[0].server, attempt, "full" if away else "ok", 0.1, closed=not away))
-        d.do(Timer(d.g.token))
+        d.do(TimerFired(d.decision_module.timer_token))
     assert not of(Refuse, d.log)
     assert 12 <= turned < 60  # trials included; 90 and a rate at its floor without
     # One that answers again was full for a while: that speaks of load, and it is not left for it.
-    samples = d.g.loops["check"].samples
+    samples = d.decision_module.rate_controllers["check"].samples
     worst = max(latency for _, latency in samples)
     for status in ("full", "ok"):
-        send = of(Send, d.ask(customer=0))[0]
-        d.g.servers.ended(d.g.servers[send.server], (send.id, 0))
-        d.g.reqs[send.id].server = d.g.servers["s20"]
+        send = of(Send, d.ask(firm=0))[0]
+        d.decision_module.servers.record_ended(d.decision_module.servers[send.server], (send.id, 0))
+        d.decision_module.messages[send.id].server = d.decision_module.servers["s20"]
         d.do(Outcome(send.id, "s20", 0, status, 0.1, closed=True))
-        assert not d.g.servers["s20"].aside
+        assert not d.decision_module.servers["s20"].is_ejected
         assert max(latency for _, latency in samples) == (worst if status == "full" else 5.0)
 
 
@@ -346,15 +355,24 @@
     sends: list[Send] = []
     for _ in range(200):
         d.now += 0.1
-        sends += of(Send, d.ask(customer=d.serial))
+        sends += of(Send, d.ask(firm=d.serial))
         while len(sends) > 3:  # three are out at a time
-            d.do(Outcome(sends[0].id, sends.pop(0).server, 0, "ok", d.g.loops["check"].mean, closed=True))
+            d.do(
+                Outcome(
+                    sends[0].id,
+                    sends.pop(0).server,
+                    0,
+                    "ok",
+                    d.decision_module.rate_controllers["check"].mean_latency,
+                    closed=True,
+                )
+            )
     met = {s.server for s in of(Send, d.log)}
     assert 8 <= len(met) <= 25  # 58 without the preference
     for server in met:  # it is no fixed set: these are gone, and others take their place
         d.do(ServerList("changes", [ServerEntry(server, state="draining")]))
     d.now += 1
-    assert of(Send, d.ask(customer=0))
+    assert of(Send, d.ask(firm=0))
 
 
 def test_where_attempts_are_few_a_server_is_probed_and_a_queue_told_is_kept_away_from() -> None:
@@ -365,10 +383,10 @@
     d = Drive(servers=8, probes=True, gateways=300, report_fields=["queue"], report_via="probe")
     for n in range(40):
         d.now += 0.5
-        for send in of(Send, d.ask(customer=n)):
+        for send in of(Send, d.ask(firm=n)):
             end(d, send, "ok", closed=True, latency=0.1)
         for probe in of(Probe, d.log)[-1:]:
-            d.do(Probed(probe.server, "ok", 0.001, [60.0 if probe.server < "s4" else 0.0]))
+            d.do(ProbeResult(probe.server, "ok", 0.001, [60.0 if probe.server < "s4" else 0.0]))
     late = [a.server for a in of(Send, d.log)[10:]]
     assert sum(name < "s4" for name in late) < len(late) / 4
 
@@ -377,39 +395,39 @@
     d = Drive(servers=2, report_fields=["queue"])
     (first,) = of(Send, d.ask())
     end(d, first, "ok", closed=True, load=[9.0])
-    (again,) = of(Send, d.ask(customer=2))
+    (again,) = of(Send, d.ask(firm=2))
     end(d, again, "ok", closed=True, load=[])
-    assert d.g.servers[first.server].queue == 9.0
+    assert d.decision_module.servers[first.server].queue == 9.0
 
 
 def test_a_client_that_gives_up_before_the_usual_answer_costs_no_work() -> None:
     """Clients of one plan gave up after a quarter of the aim and came again: half of all attempts timed out."""
     d = Drive(servers=6)
-    usual = d.g.loops["check"].mean
-    assert of(Refuse, d.ask(left=1.5 * usual)) and not of(Send, d.log)
-    assert of(Send, d.ask(left=3.1 * usual))
+    usual = d.decision_module.rate_controllers["check"].mean_latency
+    assert of(Refuse, d.ask(time_left=1.5 * usual)) and not of(Send, d.log)
+    assert of(Send, d.ask(time_left=3.1 * usual))
 
 
 def test_lost_servers_with_one_attempt_out_each_do_not_fill_the_room_for_good() -> None:
     """A hall was lost: each of hundreds of gateways held attempts that nobody answers, and refused for seconds."""
     d = Drive(servers=12, gateways=60)
     for n in range(8):
-        d.ask("blast", customer=n, left=60.0)
-    usual = max(x.mean for x in d.g.loops.values())
+        d.ask("blast", firm=n, time_left=60.0)
+    usual = max(x.mean_latency for x in d.decision_module.rate_controllers.values())
     for _ in range(int(7.5 * usual / 0.1)):  # overdue for seconds, not yet set aside
         d.now += 0.1
-        d.do(Timer(d.g.token))
+        d.do(TimerFired(d.decision_module.timer_token))
     d.log.clear()
-    assert of(Send, d.ask("blast", customer=99, left=60.0))
+    assert of(Send, d.ask("blast", firm=99, time_left=60.0))
 
 
 def test_a_server_probed_before_it_restarted_is_not_sent_to_once_it_drains() -> None:
     """The record kept from the probe was that of the earlier life: up and warm for ever."""
     d = Drive(servers=8, probes=True, gateways=300)
-    d.do(Probed("s0", "ok", 0.001))
+    d.do(ProbeResult("s0", "ok", 0.001))
     d.do(ServerList("changes", [ServerEntry("s0", zone="a", started=d.now)]))
     d.do(ServerList("changes", [ServerEntry("s0", zone="a", started=d.now, state="draining")]))
-    assert "s0" not in {a.server for n in range(3) for a in of(Send, d.ask(customer=n))}
+    assert "s0" not in {a.server for n in range(3) for a in of(Send, d.ask(firm=n))}
 
 
 def test_one_attempt_that_hangs_does_not_make_its_server_silent() -> None:
@@ -421,7 +439,7 @@
         (sent,) = of(Send, d.ask())
         assert sent.server == "s0"
         d.do(Outcome(sent.id, "s0", 0, "ok", 0.1, closed=True))
-    d.do(Timer(d.g.token))  # the beat that finds it overdue
-    assert d.g.at_work(d.now) == (1, 0)
+    d.do(TimerFired(d.decision_module.timer_token))  # the beat that finds it overdue
+    assert d.decision_module.count_active(d.now) == (1, 0)
     d.ask()
-    assert d.g.at_work(d.now) == (1, 1)
+    assert d.decision_module.count_active(d.now) == (1, 1)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,6 +1,15 @@
 """Two troubles at once, without the bench."""
 
-from brackenpulley.policy.interface import Count, Counted, Outcome, Refuse, Send, ServerEntry, ServerList, Timer
+from brackenpulley.policy.interface import (
+    AddToCounter,
+    CounterResult,
+    Outcome,
+    Refuse,
+    Send,
+    ServerEntry,
+    ServerList,
+    TimerFired,
+)
 
 from .util import Drive, of
 
@@ -12,15 +21,19 @@
     for _ in range(400):
         d.now += 0.05
         d.log.clear()
-        d.ask("check", customer=1, spread=3)
-        d.do(Timer(d.g.token))
+        d.ask("check", firm=1, spread=3)
+        d.do(TimerFired(d.decision_module.timer_token))
         for act in list(d.log):
-            if isinstance(act, Count):
-                d.do(Counted(act.name, "timeout"))
+            if isinstance(act, AddToCounter):
+                d.do(CounterResult(act.name, "timeout"))
             elif isinstance(act, Send) and int(act.server[1]) % 2 == 1:
-                d.do(Outcome(act.id, act.server, d.g.reqs[act.id].tries - 1, "ok", 0.05, closed=True))
+                d.do(
+                    Outcome(
+                        act.id, act.server, d.decision_module.messages[act.id].attempts - 1, "ok", 0.05, closed=True
+                    )
+                )
                 done.add(act.id)
-    assert sum(s.aside for s in d.g.servers.values()) >= 3
+    assert sum(s.is_ejected for s in d.decision_module.servers.values()) >= 3
     assert 10 / 3 * 20 * 0.5 < len(done) < 10 / 3 * 20 * 1.5  # the even share over 20 s
 
 
@@ -31,12 +44,12 @@
     d = Drive(servers=0, plans=[plan])
     d.do(ServerList("stale", [ServerEntry("s0", started=d.now - 0.5), ServerEntry("s1")]))
     for _ in range(100):
-        d.ask(customer=1, spread=3)
+        d.ask(firm=1, spread=3)
     assert not of(Send, d.log) and len(of(Refuse, d.log)) == 100
     for _ in range(40):
         d.now += 0.05
         for _ in range(10):
-            d.ask(customer=1, spread=3)
+            d.ask(firm=1, spread=3)
     sends = of(Send, d.log)
     assert 0 < len(sends) <= 15.0 / 3 * 2 + 1
     assert sum(a.server == "s0" for a in sends) <= 1
--- a/tests/util.py
+++ b/tests/util.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from brackenpulley.policy.brain import Gateway
+from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import (
     Action,
     ClassSpec,
     Event,
+    MessageReceived,
     PlanSpec,
-    Request,
     ServerEntry,
     ServerList,
     Settings,
@@ -50,21 +50,21 @@
 class Drive:
     def __init__(self, servers: int = 4, start: float = 1000.0, **more: Any) -> None:
         self.now, self.serial = start, 0
-        self.g = Gateway(settings(**more), 7, start)
+        self.decision_module = DecisionModule(settings(**more), 7, start)
         self.timer = 0
         self.log: list[Action] = []
         if servers:
             self.do(fleet(servers))
 
     def do(self, event: Event) -> list[Action]:
-        acts = self.g.handle(self.now, event)
+        acts = self.decision_module.handle(self.now, event)
         self.log += acts
         return acts
 
     def ask(self, cls: str = "check", customer: int = 1, **more: Any) -> list[Action]:
         self.serial += 1
-        args: dict[str, Any] = dict(plan="gold", left=5.0, units=1.0, spread=1)
-        return self.do(Request(f"{self.serial:016x}", cls, customer=customer, **{**args, **more}))
+        args: dict[str, Any] = dict(plan="gold", time_left=5.0, units=1.0, spread=1)
+        return self.do(MessageReceived(f"{self.serial:016x}", cls, firm=customer, **{**args, **more}))
 
 
 def of(kind: type, acts: list[Action]) -> list[Any]:
