--- a/brackenpulley/policy/__init__.py
+++ b/brackenpulley/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: brain, its interface and its records."""
+"""The decision module: its interface, its decisions and its records."""
