--- a/brackenpulley/policy/drain.py
+++ b/brackenpulley/policy/drain.py
@@ -1,4 +1,4 @@
-"""Drain: whether this ingress takes clients, keeps their connections and says yes to the front. No I/O."""
+"""Drain state of an ingress: whether it accepts messages, keeps connections and reports ready. No I/O."""
 
 from __future__ import annotations
 
@@ -6,34 +6,36 @@
 
 
 class DrainState:
-    """In service, out of service by the operators' word or for agreed work, or ending; the ways out add up.
+    """In service, out of service (by an operator or for maintenance) or shutting down.
 
-    Out of service: /ready says no at once, every answer ends its connection, idle connections are closed, and
-    what is taken is still served. In service again: yes at once. Ending is for good."""
+    The reasons to drain are independent; the ingress is in service when none of them holds. While it drains, /ready
+    reports 503, each answer closes its connection, idle connections are closed, and messages that were accepted are
+    still served. Shutting down is final.
+    """
 
     __slots__ = ("out_of_service", "out_for_maintenance", "is_ending", "has_opened")
 
     def __init__(self) -> None:
-        self.out_of_service = False  # the operators took it out of service
-        self.out_for_maintenance = False  # its host goes out for work, as agreed with the others
-        self.is_ending = False  # SIGTERM came
-        self.has_opened = False  # it has been able to serve once
-
-    def accepts(self, able: Callable[[], bool]) -> bool:
-        """Whether a message is tried, or refused at once.
-
-        Before this process could first serve, nobody was told to send to it: what comes then is what
-        clients held for a predecessor at this address (a crashed one, or one without a list yet), sent
-        again with the time it had left at first. Its age cannot be known here, so it is answered at once,
-        not late."""
-        self.has_opened = self.has_opened or able()
+        self.out_of_service = False  # by an operator
+        self.out_for_maintenance = False  # its host is out for maintenance agreed with the other ingresses
+        self.is_ending = False  # SIGTERM was received
+        self.has_opened = False  # it has been able to serve at least once
+
+    def accepts(self, is_able: Callable[[], bool]) -> bool:
+        """Returns whether a message is tried; otherwise it is refused at once.
+
+        Before this process can serve for the first time no client was told to use it. Messages that arrive then were
+        held for a predecessor at this address, which crashed or had no inventory yet, and were sent again with the
+        time that they had left at first. Their age is unknown, so they are refused at once instead of served too late.
+        """
+        self.has_opened = self.has_opened or is_able()
         return self.has_opened
 
     @property
     def is_draining(self) -> bool:
-        """No new work is wanted: answers end their connections, idle ones are closed."""
+        """No new work is wanted: answers close their connections and idle connections are closed."""
         return self.is_ending or self.out_of_service or self.out_for_maintenance
 
-    def is_ready(self, able: bool) -> bool:
-        """What /ready says, where `able` tells that a list of servers is in hand."""
-        return able and not self.is_draining
+    def is_ready(self, is_able: bool) -> bool:
+        """Returns what /ready reports. `is_able`: an inventory is present."""
+        return is_able and not self.is_draining
