--- a/brackenpulley/policy/brain.py
+++ b/brackenpulley/policy/brain.py
@@ -385,7 +385,7 @@
 
     def call_counter(self, now: float) -> None:
         """One call at a time, most unsaid first: many at once wait for each other until they are given up."""
-        if now < self.counter_calls.next_at or not (ready := self.firms.ready_to_call(now)):
+        if now < self.counter_calls.next_at or not (ready := self.firms.list_ready(now)):
             return
         self.firms.set_due(c := max(ready, key=lambda c: abs(c.unreported) / c.plan.burst), False)
         self.fill_bucket(now, c)  # its total speaks of now at the earliest: what was granted until then counts
