--- a/benchmarks/capacity/second.py
+++ b/benchmarks/capacity/second.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from brackenpulley.members.service import SEEK
-from brackenpulley.policy.brain import PACE_MAX
+from brackenpulley.policy.brain import CALL_INTERVAL_MAX_SECONDS
 
 from .kinds import shares
 from .kinds.members import exchange
@@ -44,8 +44,8 @@
             "key": "connections.calls",
             "source": "counting",
             "n": SIZE["ingresses"],
-            "value": round(ingresses / PACE_MAX, 1),
-            "how": f"one call of each in PACE_MAX = {PACE_MAX} s, its slowest pace; the page takes the greater",
+            "value": round(ingresses / CALL_INTERVAL_MAX_SECONDS, 1),
+            "how": f"one call of each in PACE_MAX = {CALL_INTERVAL_MAX_SECONDS} s, its slowest pace; the page takes the greater",
         }
     )
     rows.append(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -203,7 +203,7 @@
 def test_the_bound_is_one_that_can_be_broken(part: float | None, monkeypatch: pytest.MonkeyPatch) -> None:
     """Five times the part that the module gives a cold server, or no bound at all: the world above tells."""
     if part:
-        monkeypatch.setattr(brain, "COLD_PART", part * brain.COLD_PART)
+        monkeypatch.setattr(brain, "COLD_BUDGET_SHARE", part * brain.COLD_BUDGET_SHARE)
     else:
         monkeypatch.setattr(DecisionModule, "has_cold_budget", lambda *_: True)
     made = Fleet(0, 30, load=0.95, each=30.0)
