--- a/brackenpulley/adapter.py
+++ b/brackenpulley/adapter.py
@@ -1,4 +1,7 @@
-"""Adapter between the simulator's wire (one JSON value a line) and the decision module. It decides nothing."""
+"""Runs decision modules for the simulator: one JSON value a line on standard input and output.
+
+Translates the simulator's events to those of the module and the module's actions back. It makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +10,11 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from .policy import interface as i
+from .policy import interface
 from .policy.brain import DecisionModule
 from .settings import JSON, decode_settings
 
-STATUS = {
+STATUSES = {
     "served": "ok",
     "server_error": "error",
     "turned_away": "full",
@@ -21,107 +24,121 @@
     "called_off": "cancelled",
     "not_sent": "moot",
 }
-STATE = {"healthy": "up", "cordoned": "draining", "deregistered": "gone"}
-HOW = {"patch": "changes", "whole": "full", "stale_copy": "stale", "broken": "failed"}
+SERVER_STATES = {"healthy": "up", "cordoned": "draining", "deregistered": "gone"}
+LIST_KINDS = {"patch": "changes", "whole": "full", "stale_copy": "stale", "broken": "failed"}
 
 
-def _members(e: JSON) -> i.ServerList:
+def _decode_server_list(event: JSON) -> interface.ServerList:
     entries = [
-        i.ServerEntry(
-            server=x["Worker"],
-            zone=x.get("Az", ""),
-            cell=x.get("Stripe", 0),
-            size=x.get("Units", 1.0),
-            state=STATE.get(x.get("StageState", "healthy"), "gone"),
-            started=x.get("Born") or 0.0,
-            kind=x.get("Machine", ""),
+        interface.ServerEntry(
+            server=line["Worker"],
+            zone=line.get("Az", ""),
+            cell=line.get("Stripe", 0),
+            size=line.get("Units", 1.0),
+            state=SERVER_STATES.get(line.get("StageState", "healthy"), "gone"),
+            started=line.get("Born") or 0.0,
+            kind=line.get("Machine", ""),
         )
-        for x in e.get("Lines") or []
+        for line in event.get("Lines") or []
     ]
-    return i.ServerList(HOW.get(str(e["How"]), "failed"), entries, e.get("SeqNo", 0))
-
-
-def _status(e: JSON) -> str:
-    return STATUS.get(str(e["Disposition"]), "error")
-
-
-EVENTS: dict[str, Callable[[JSON], i.Event]] = {
-    "Membership": _members,
-    "WorkItem": lambda e: i.MessageReceived(
-        e["Ref"],
-        e["Category"],
-        e.get("Package", ""),
-        e.get("Caller", 0),
-        e["Grace"],
-        e.get("CostUnits", 1),
-        int(e.get("EntryPoints", 1)),
-        int(e.get("Base", 0)),
-        e.get("Resent", False),
-        e.get("Update", False),
+    return interface.ServerList(LIST_KINDS.get(str(event["How"]), "failed"), entries, event.get("SeqNo", 0))
+
+
+def _decode_status(event: JSON) -> str:
+    return STATUSES.get(str(event["Disposition"]), "error")
+
+
+EVENTS: dict[str, Callable[[JSON], interface.Event]] = {
+    "Membership": _decode_server_list,
+    "WorkItem": lambda event: interface.MessageReceived(
+        event["Ref"],
+        event["Category"],
+        event.get("Package", ""),
+        event.get("Caller", 0),
+        event["Grace"],
+        event.get("CostUnits", 1),
+        int(event.get("EntryPoints", 1)),
+        int(event.get("Base", 0)),
+        event.get("Resent", False),
+        event.get("Update", False),
+    ),
+    "Verdict": lambda event: interface.Outcome(
+        event["Ref"],
+        event.get("Worker", ""),
+        event.get("Go", 0),
+        _decode_status(event),
+        event.get("Latency", 0.0),
+        event.get("Closed", False),
+        event.get("Used", 0),
+        event.get("Billed", 0),
+        event.get("Telemetry") or [],
+    ),
+    "Opened": lambda event: interface.StreamStarted(
+        event["Ref"], event.get("Worker", ""), event.get("Go", 0), event.get("Latency", 0.0)
+    ),
+    "CancelledByClient": lambda event: interface.ClientGone(event["Ref"]),
+    "Echo": lambda event: interface.ProbeResult(
+        event["Worker"], _decode_status(event), event.get("Latency", 0.0), event.get("Telemetry") or []
     ),
-    "Verdict": lambda e: i.Outcome(
-        e["Ref"],
-        e.get("Worker", ""),
-        e.get("Go", 0),
-        _status(e),
-        e.get("Latency", 0.0),
-        e.get("Closed", False),
-        e.get("Used", 0),
-        e.get("Billed", 0),
-        e.get("Telemetry") or [],
+    "Tallied": lambda event: interface.CounterResult(
+        event["Cname"], _decode_status(event), event.get("Sum", 0.0), event.get("Latency", 0.0)
     ),
-    "Opened": lambda e: i.StreamStarted(e["Ref"], e.get("Worker", ""), e.get("Go", 0), e.get("Latency", 0.0)),
-    "CancelledByClient": lambda e: i.ClientGone(e["Ref"]),
-    "Echo": lambda e: i.ProbeResult(e["Worker"], _status(e), e.get("Latency", 0.0), e.get("Telemetry") or []),
-    "Tallied": lambda e: i.CounterResult(e["Cname"], _status(e), e.get("Sum", 0.0), e.get("Latency", 0.0)),
-    "NoteFrom": lambda e: i.PeerNote(e.get("OriginPeer", 0), e.get("Data", "")),
-    "Alarm": lambda e: i.TimerFired(e.get("Tag", 0)),
+    "NoteFrom": lambda event: interface.PeerNote(event.get("OriginPeer", 0), event.get("Data", "")),
+    "Alarm": lambda event: interface.TimerFired(event.get("Tag", 0)),
 }
 ACTIONS: dict[type, Callable[[Any], tuple[str, JSON]]] = {
-    i.Send: lambda a: ("HandOff", {"Ref": a.id, "Worker": a.server, "Patience": a.timeout}),
-    i.Refuse: lambda a: ("OverloadReply", {"Ref": a.id, "HoldOff": a.retry_after}),
-    i.Fail: lambda a: ("FinishError", {"Ref": a.id}),
-    i.Cancel: lambda a: ("StopAttempt", {"Ref": a.id, "Go": a.attempt}),
-    i.Probe: lambda a: ("Test", {"Worker": a.server}),
-    i.AddToCounter: lambda a: ("Add", {"Cname": a.name, "N": a.amount, "Lifetime": a.ttl}),
-    i.SendPeerNote: lambda a: ("Notify", {"Dest": a.peer, "Data": a.data}),
-    i.SetTimer: lambda a: ("SetAlarm", {"Tag": a.token, "Span": a.delay}),
-    i.Watch: lambda a: ("Tail", {"Enable": a.enabled}),
-    i.Fetch: lambda a: ("Reload", {}),
-    i.Log: lambda a: ("SayLog", {"ReasonText": a.text}),
+    interface.Send: lambda action: (
+        "HandOff",
+        {"Ref": action.id, "Worker": action.server, "Patience": action.timeout},
+    ),
+    interface.Refuse: lambda action: ("OverloadReply", {"Ref": action.id, "HoldOff": action.retry_after}),
+    interface.Fail: lambda action: ("FinishError", {"Ref": action.id}),
+    interface.Cancel: lambda action: ("StopAttempt", {"Ref": action.id, "Go": action.attempt}),
+    interface.Probe: lambda action: ("Test", {"Worker": action.server}),
+    interface.AddToCounter: lambda action: (
+        "Add",
+        {"Cname": action.name, "N": action.amount, "Lifetime": action.ttl},
+    ),
+    interface.SendPeerNote: lambda action: ("Notify", {"Dest": action.peer, "Data": action.data}),
+    interface.SetTimer: lambda action: ("SetAlarm", {"Tag": action.token, "Span": action.delay}),
+    interface.Watch: lambda action: ("Tail", {"Enable": action.enabled}),
+    interface.Fetch: lambda action: ("Reload", {}),
+    interface.Log: lambda action: ("SayLog", {"ReasonText": action.text}),
 }
 
 
-class Link:
-    """Routes the events of a batch to the gateways of this process."""
+class Adapter:
+    """Passes the events of a batch to the decision modules of this process."""
 
     def __init__(self) -> None:
-        self.decision_modules: dict[int, DecisionModule] = {}
-
-    def batch(self, message: JSON) -> JSON:
-        now, steps = message["AtTime"], []
-        for item in message["in"]:
-            ((kind, e),) = item.items()
-            who = e["Who"]
+        self.decision_modules: dict[int, DecisionModule] = {}  # by the simulator's number of the ingress
+
+    def handle_batch(self, batch: JSON) -> JSON:
+        """Returns the actions of all events in a batch; events of unknown kind or for unknown modules are ignored."""
+        now, steps = batch["AtTime"], []
+        for item in batch["in"]:
+            ((kind, event),) = item.items()
+            number = event["Who"]
             if kind == "Provision":
-                self.decision_modules[who] = DecisionModule(decode_settings(e["Settings"]), e["Prng"], now)
+                self.decision_modules[number] = DecisionModule(decode_settings(event["Settings"]), event["Prng"], now)
             elif kind == "Halt":
-                self.decision_modules.pop(who, None)
-            elif kind in EVENTS and who in self.decision_modules:
-                for action in self.decision_modules[who].handle(now, EVENTS[kind](e)):
-                    name, row = ACTIONS[type(action)](action)
-                    steps.append({name: {"Who": who, **row}})
+                self.decision_modules.pop(number, None)
+            elif kind in EVENTS and number in self.decision_modules:
+                for action in self.decision_modules[number].handle(now, EVENTS[kind](event)):
+                    name, fields = ACTIONS[type(action)](action)
+                    steps.append({name: {"Who": number, **fields}})
         return {"steps": steps}
 
 
 def run(source: TextIO, sink: TextIO) -> int:
-    link = Link()
+    """Answers batches until the end of input; returns the exit code, 1 after a line that is not a valid batch."""
+    adapter = Adapter()
     for line in source:
         try:
-            message = json.loads(line)
-            if not isinstance(message, dict) or not isinstance(message.get("in"), list) or "AtTime" not in message:
+            batch = json.loads(line)
+            if not isinstance(batch, dict) or not isinstance(batch.get("in"), list) or "AtTime" not in batch:
                 raise ValueError("not a batch")
-            reply = link.batch(message)
+            reply = adapter.handle_batch(batch)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             print(f"adapter: {type(error).__name__}: {error}: {line.strip()[:200]!r}", file=sys.stderr)
             return 1
