--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -20,7 +20,7 @@
 from brackenpulley.policy.interface import MessageReceived, Outcome, SetTimer
 
 from .test_machine import RUN
-from .util import fleet, settings
+from .util import server_list, settings
 
 ROOT = Path(__file__).parent.parent
 
@@ -55,7 +55,7 @@
 def make(**more: Any) -> tuple[Ports, Ingress]:
     ports = Ports()
     ingress = Ingress(DecisionModule(settings(**more), 1, ports.now), lambda: ports.now, ports, ports, Metrics(), ports)
-    ingress.members(fleet())
+    ingress.members(server_list())
     return ports, ingress
 
 
@@ -204,7 +204,7 @@
         self.left: set[str] = set()
         self.verdicts: dict[str, Any] = {}
         self.ingress = Ingress(DecisionModule(settings(), 1, self.now), lambda: self.now, self, self, Metrics(), self)
-        self.ingress.members(fleet(6))
+        self.ingress.members(server_list(6))
 
     # The ports.
     def call_at(self, when: float, call: Any) -> Any:
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -20,53 +20,53 @@
 
 from .rig import Rig, rig
 from .test_link import SETTINGS
-from .util import Drive, of
+from .util import Driver, select
 
 WAIT = 0.03  # s, the time-out of a call
 START = 1005.0  # a while into the life of a counter's name, so that none ends within a short test
 
 
-def drive(start: float = START) -> Drive:
-    d = Drive(servers=20, start=start, counter_timeout=WAIT)
+def drive(start: float = START) -> Driver:
+    d = Driver(servers=20, start=start, counter_timeout=WAIT)
     d.decision_module.started_at = start
     return d
 
 
-def busy(d: Drive, count: int = 8) -> AddToCounter:
+def busy(d: Driver, count: int = 8) -> AddToCounter:
     """A customer takes so much that it is told; the call."""
     for _ in range(count):
-        d.ask(spread=3)
-    (call,) = of(AddToCounter, d.log)
-    d.log.clear()
+        d.send_message(spread=3)
+    (call,) = select(AddToCounter, d.actions)
+    d.actions.clear()
     return call
 
 
-def again(d: Drive, after: float = 1.0) -> AddToCounter:
+def again(d: Driver, after: float = 1.0) -> AddToCounter:
     """The next call, after this time and a few more tries."""
     d.now += after
-    d.log.clear()
+    d.actions.clear()
     for tries in range(20):
-        if tries >= 4 and of(AddToCounter, d.log):
+        if tries >= 4 and select(AddToCounter, d.actions):
             break
-        for send in of(Send, d.ask(spread=3)):
-            d.do(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
+        for send in select(Send, d.send_message(spread=3)):
+            d.handle(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
     for _ in range(40):
-        if not of(AddToCounter, d.log):
+        if not select(AddToCounter, d.actions):
             d.now += 0.05
-            d.do(TimerFired(d.decision_module.timer_token))
-    (call,) = of(AddToCounter, d.log)
-    d.log.clear()
+            d.handle(TimerFired(d.decision_module.timer_token))
+    (call,) = select(AddToCounter, d.actions)
+    d.actions.clear()
     return call
 
 
-def lost(d: Drive, call: AddToCounter) -> None:
+def lost(d: Driver, call: AddToCounter) -> None:
     d.now += WAIT
-    d.do(CounterResult(call.name, "timeout", 0.0, WAIT))
+    d.handle(CounterResult(call.name, "timeout", 0.0, WAIT))
 
 
-def late(d: Drive, call: AddToCounter, total: float, after: float = 0.025) -> None:
+def late(d: Driver, call: AddToCounter, total: float, after: float = 0.025) -> None:
     d.now += after
-    d.do(LateCounterResult(call.call, "ok", total, WAIT + after))
+    d.handle(LateCounterResult(call.call, "ok", total, WAIT + after))
 
 
 def test_a_late_total_is_a_reading_as_of_the_time_its_call_was_sent() -> None:
@@ -89,7 +89,7 @@
     c.unreported, at = 5.0, c.filled_at
     d.decision_module.firms.set_due(c, True)
     d.now += 0.7
-    (call,) = of(AddToCounter, d.do(TimerFired(d.decision_module.timer_token)))
+    (call,) = select(AddToCounter, d.handle(TimerFired(d.decision_module.timer_token)))
     assert c.filled_at == d.now > at and c.pending_calls[-1].serial == call.call
     assert c.pending_calls[-1].granted == c.granted > 0
 
@@ -101,18 +101,18 @@
     for way in (0.0, after):
         d = drive()
         first = busy(d)
-        d.do(CounterResult(first.name, "ok", first.amount, 0.0))
+        d.handle(CounterResult(first.name, "ok", first.amount, 0.0))
         call = again(d)
         if not way:
-            d.do(CounterResult(call.name, "ok", first.amount + call.amount + 6.0, 0.0))
+            d.handle(CounterResult(call.name, "ok", first.amount + call.amount + 6.0, 0.0))
         d.now += WAIT
         if way:
-            d.do(CounterResult(call.name, "timeout", 0.0, WAIT))
-        d.ask(spread=3, units=2.0)  # own use since is not the others'
+            d.handle(CounterResult(call.name, "timeout", 0.0, WAIT))
+        d.send_message(spread=3, units=2.0)  # own use since is not the others'
         d.now += after
         d.decision_module.fill_bucket(d.now, c := d.decision_module.firms[1])
         if way:
-            d.do(LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, WAIT + after))
+            d.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, WAIT + after))
         levels.append((c.level, c.reading_at, c.counter_total))
     (prompt, *same), (after_all, *also) = levels
     assert same == also
@@ -156,7 +156,7 @@
     late(d, second, first.amount + second.amount)
     assert c.others_rate == 0 and c.counter_total == first.amount + second.amount and not c.pending_calls
     third = again(d)
-    d.do(CounterResult(third.name, "ok", c.counter_total + third.amount + 4.0, 0.01))
+    d.handle(CounterResult(third.name, "ok", c.counter_total + third.amount + 4.0, 0.01))
     assert c.others_rate > 0
 
 
@@ -165,7 +165,7 @@
     for added in (True, False):
         d = drive()
         first = busy(d)
-        d.do(CounterResult(first.name, "ok", first.amount, 0.001))
+        d.handle(CounterResult(first.name, "ok", first.amount, 0.001))
         second = again(d)
         lost(d, second)
         third = again(d)
@@ -191,10 +191,10 @@
         c.others_rate,
         d.decision_module.counter_calls.interval,
     )
-    d.do(LateCounterResult(call.call, "ok", call.amount + 9.0, WAIT + 0.025))
-    d.do(LateCounterResult(call.call, "ok", call.amount + 30.0, WAIT + 0.025))
-    d.do(LateCounterResult(call.call, "full", 0.0, WAIT + 0.025))
-    d.do(LateCounterResult(99, "ok", 1.0, 0.1))
+    d.handle(LateCounterResult(call.call, "ok", call.amount + 9.0, WAIT + 0.025))
+    d.handle(LateCounterResult(call.call, "ok", call.amount + 30.0, WAIT + 0.025))
+    d.handle(LateCounterResult(call.call, "full", 0.0, WAIT + 0.025))
+    d.handle(LateCounterResult(99, "ok", 1.0, 0.1))
     assert (
         c.level,
         c.granted,
@@ -219,8 +219,8 @@
     d.now += 0.001
     for customer in (2, 3):
         for _ in range(8):
-            d.ask(firm=customer, spread=3)
-    assert not of(AddToCounter, d.log)
+            d.send_message(firm=customer, spread=3)
+    assert not select(AddToCounter, d.actions)
 
 
 def test_a_late_total_of_a_name_that_is_no_longer_in_use_is_no_reading() -> None:
@@ -228,7 +228,7 @@
     first = busy(d)
     lost(d, first)
     d.now = 1020.05
-    d.log.clear()
+    d.actions.clear()
     second = again(d, 0.0)
     assert second.name != first.name
     c = d.decision_module.firms[1]
@@ -246,7 +246,7 @@
     lost(d, call)
     del d.decision_module.firms[1]
     late(d, call, 30.0)
-    d.ask(spread=3)
+    d.send_message(spread=3)
     late(d, call, 30.0)
     assert d.decision_module.firms[1].counter_total == 0 and d.decision_module.firms[1].reading_at < 0
 
@@ -254,7 +254,7 @@
 def test_a_late_total_below_what_is_known_says_that_the_counter_came_back_empty() -> None:
     d = drive()
     first = busy(d)
-    d.do(CounterResult(first.name, "ok", first.amount + 30, 0.001))
+    d.handle(CounterResult(first.name, "ok", first.amount + 30, 0.001))
     c = d.decision_module.firms[1]
     read_at = c.reading_at
     second = again(d)
@@ -274,7 +274,7 @@
     c = d.decision_module.firms[1]
     before, gap = c.unreported, d.decision_module.counter_calls.interval
     d.now += 0.02
-    d.do(LateCounterResult(call.call, "full", 0.0, 0.05))
+    d.handle(LateCounterResult(call.call, "full", 0.0, 0.05))
     assert c.unreported == before + call.amount and not c.pending_calls
     assert d.decision_module.counter_calls.interval == gap  # it was slowed down for the time-out already
 
@@ -285,15 +285,15 @@
     for moved_first in (False, True):
         d = drive()
         first = busy(d)
-        d.do(CounterResult(first.name, "ok", first.amount, 0.0))
+        d.handle(CounterResult(first.name, "ok", first.amount, 0.0))
         call = again(d)
         lost(d, call)
         change = PlansChanged([PlanSpec("gold", rate=40.0, burst=20.0)])
         if moved_first:
-            d.do(change)
-        d.do(LateCounterResult(call.call, "ok", first.amount + call.amount + 4.0, WAIT))
+            d.handle(change)
+        d.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 4.0, WAIT))
         if not moved_first:
-            d.do(change)
+            d.handle(change)
         levels.append(d.decision_module.firms[1].level)
     assert levels[0] == pytest.approx(levels[1])
 
@@ -315,33 +315,33 @@
             self.due.append((self.free + self.way / 2, now, call, self.totals[call.name]))
 
 
-def days(d: Drive, counter: Far, seconds: float) -> None:
+def days(d: Driver, counter: Far, seconds: float) -> None:
     """Firms that all have something to tell, in steps of 5 ms of virtual time."""
     ended: set[int] = set()
     out: list[tuple[float, AddToCounter]] = []
     beat = d.now
     for step in range(round(seconds / 0.005)):
         d.now += 0.005
-        d.log.clear()
+        d.actions.clear()
         while counter.due and counter.due[0][0] <= d.now:
             _, sent, call, total = counter.due.popleft()
             if d.now - sent <= WAIT:
                 ended.add(call.call)
-                d.do(CounterResult(call.name, "ok", total, d.now - sent))
+                d.handle(CounterResult(call.name, "ok", total, d.now - sent))
             else:
                 counter.told += 1
-                d.do(LateCounterResult(call.call, "ok", total, d.now - sent))
+                d.handle(LateCounterResult(call.call, "ok", total, d.now - sent))
         for sent, call in list(out):
             if call.call not in ended and d.now - sent >= WAIT:
                 ended.add(call.call)
-                d.do(CounterResult(call.name, "timeout", 0.0, WAIT))
+                d.handle(CounterResult(call.name, "timeout", 0.0, WAIT))
         out = [(sent, call) for sent, call in out if call.call not in ended]
-        for send in of(Send, d.ask(firm=step % 40, spread=3, units=2.0)):
-            d.do(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
+        for send in select(Send, d.send_message(firm=step % 40, spread=3, units=2.0)):
+            d.handle(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
         if d.now >= beat + 0.1:
             beat = d.now
-            d.do(TimerFired(d.decision_module.timer_token))
-        for count in of(AddToCounter, d.log):
+            d.handle(TimerFired(d.decision_module.timer_token))
+        for count in select(AddToCounter, d.actions):
             counter.take(d.now, count)
             out.append((d.now, count))
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -22,7 +22,7 @@
 from brackenpulley.simulation.world import Bare, Host, World
 
 from .rig import rig
-from .util import Drive, of
+from .util import Driver, select
 
 
 class Log:
@@ -279,15 +279,15 @@
 
 
 def test_the_module_sends_no_more_to_a_server_than_its_share() -> None:
-    drive = Drive(2)
-    drive.do(RelayLimitsChanged({"s0": 1, "s1": 0}))
-    assert [act.server for act in of(Send, drive.ask())] == ["s0"]
-    refused = drive.ask()
-    assert not of(Send, refused) and of(Refuse, refused)
-    drive.do(RelayLimitsChanged({"s0": 1, "s1": 1}))
-    assert [act.server for act in of(Send, drive.ask())] == ["s1"]
-    drive.do(RelayLimitsChanged({}))
-    assert of(Send, drive.ask())
+    drive = Driver(2)
+    drive.handle(RelayLimitsChanged({"s0": 1, "s1": 0}))
+    assert [act.server for act in select(Send, drive.send_message())] == ["s0"]
+    refused = drive.send_message()
+    assert not select(Send, refused) and select(Refuse, refused)
+    drive.handle(RelayLimitsChanged({"s0": 1, "s1": 1}))
+    assert [act.server for act in select(Send, drive.send_message())] == ["s1"]
+    drive.handle(RelayLimitsChanged({}))
+    assert select(Send, drive.send_message())
 
 
 def test_nothing_is_opened_beyond_the_share_and_what_is_open_is_counted() -> None:
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,7 +1,7 @@
-"""The example program runs and reports each decision."""
+"""Runs the example program."""
 
 from examples.embed import main
 
 
-def test_the_example_tells_its_story() -> None:
+def test_the_example_reports_each_decision() -> None:
     assert main() == [f"r{n} goes to server-1" for n in range(4)] + ["r4 is refused", "r5 is refused"]
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -22,7 +22,7 @@
     TimerFired,
 )
 
-from .util import Drive, of
+from .util import Driver, select
 
 PROOF = ("full", "connect_failed", "moot")
 EFFECTS = {"check": "safe", "push": "keyed", "blast": "unsafe"}
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.d = Drive(servers=6, **self.size)
+        self.d = Driver(servers=6, **self.size)
         self.zone = {f"s{n}": n % 2 for n in range(6)}
         self.state = {f"s{n}": "up" for n in range(6)}
         self.cls: dict[str, str] = {}
@@ -69,7 +69,7 @@
     def request(self, cls: str, customer: int, left: float) -> None:
         rid = f"{self.d.serial + 1:016x}"
         self.cls[rid], self.answers[rid] = cls, 0
-        self.see(self.d.ask(cls, customer, time_left=left, spread=1 + customer % 3))
+        self.see(self.d.send_message(cls, customer, time_left=left, spread=1 + customer % 3))
         assert (rid in self.out) != bool(self.answers[rid])
 
     @rule(
@@ -90,7 +90,7 @@
             self.answers[rid] = 1
             closed = True
         before = self.answers[rid]
-        self.see(self.d.do(Outcome(rid, a.server, self.tries[rid] - 1, status, 0.1, closed)))
+        self.see(self.d.handle(Outcome(rid, a.server, self.tries[rid] - 1, status, 0.1, closed)))
         if closed:
             assert self.answers[rid] == before
         else:
@@ -102,36 +102,38 @@
         if live:
             rid = live[pick % len(live)]
             self.answers[rid] = 1
-            self.see(self.d.do(ClientGone(rid)))
+            self.see(self.d.handle(ClientGone(rid)))
 
     @rule(n=st.integers(0, 5), state=st.sampled_from(["up", "draining", "gone"]), fresh=st.booleans())
     def server(self, n: int, state: str, fresh: bool) -> None:
         self.state[f"s{n}"] = state
         entry = ServerEntry(f"s{n}", "ab"[n % 2], n % 2, state=state, started=self.d.now if fresh else 0.0)
-        self.see(self.d.do(ServerList("changes", [entry])))
+        self.see(self.d.handle(ServerList("changes", [entry])))
 
     @rule(step=st.floats(0.001, 3.0))
     def wait(self, step: float) -> None:
         self.d.now += step
-        self.see(self.d.do(TimerFired(self.d.decision_module.timer_token)))
+        self.see(self.d.handle(TimerFired(self.d.decision_module.timer_token)))
 
     @rule(name=st.integers(0, 1 << 60), status=st.sampled_from(["ok", "timeout", "full"]), total=st.floats(0, 50))
     def count(self, name: int, status: str, total: float) -> None:
-        self.see(self.d.do(CounterResult(name, status, total)))
+        self.see(self.d.handle(CounterResult(name, status, total)))
 
     @rule(call=st.integers(0, 12), status=st.sampled_from(["ok", "full"]), total=st.floats(0, 50))
     def late(self, call: int, status: str, total: float) -> None:
-        self.see(self.d.do(LateCounterResult(call, status, total, 0.06)))
+        self.see(self.d.handle(LateCounterResult(call, status, total, 0.06)))
 
     @rule(data=st.text(max_size=40))
     def peer(self, data: str) -> None:
-        self.see(self.d.do(PeerNote(1, data)))
+        self.see(self.d.handle(PeerNote(1, data)))
 
     @invariant()
     def books_balance(self) -> None:
         assert set(self.d.decision_module.messages) == set(self.out)
         assert all(c.in_flight >= 0 for c in self.d.decision_module.firms.values())
-        assert sum(c.in_flight for c in self.d.decision_module.firms.values()) == len(of(Send, list(self.out.values())))
+        assert sum(c.in_flight for c in self.d.decision_module.firms.values()) == len(
+            select(Send, list(self.out.values()))
+        )
 
 
 class HostileLarge(Hostile):
@@ -145,7 +147,7 @@
         load=st.lists(st.floats(0, 99), max_size=2),
     )
     def probed(self, n: int, status: str, load: list[float]) -> None:
-        self.see(self.d.do(ProbeResult(f"s{n}", status, 0.01, load)))
+        self.see(self.d.handle(ProbeResult(f"s{n}", status, 0.01, load)))
 
 
 RUN = hsettings(derandomize=True, deadline=None, max_examples=60, stateful_step_count=40, database=None)
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -25,23 +25,23 @@
     TimerFired,
 )
 
-from .util import Drive, of
+from .util import Driver, select
 
 SCHOOL = PlanSpec("school", rate=3.0, burst=8.0)
 COUNTY = PlanSpec("county", rate=7.0, burst=32.0)
 
 
-def drive(**more: Any) -> Drive:
-    return Drive(servers=20, plans=[SCHOOL, COUNTY], charges=True, **more)
+def drive(**more: Any) -> Driver:
+    return Driver(servers=20, plans=[SCHOOL, COUNTY], charges=True, **more)
 
 
-def ask(d: Drive, plan: str, count: int = 1, **more: Any) -> int:
+def ask(d: Driver, plan: str, count: int = 1, **more: Any) -> int:
     """How many pass; each is served at once."""
     passed = 0
     for _ in range(count):
-        for send in of(Send, d.ask(plan=plan, **more)):
+        for send in select(Send, d.send_message(plan=plan, **more)):
             passed += 1
-            d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True))
+            d.handle(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True))
     return passed
 
 
@@ -56,25 +56,25 @@
 def test_debt_survives_a_move_down_and_back() -> None:
     d = drive()
     assert ask(d, "county", 40) == 32
-    d.do(FirmMoved(1, "school"))
+    d.handle(FirmMoved(1, "school"))
     assert d.decision_module.firms[1].level == 8 - 32
-    d.do(FirmMoved(1, "county"))
+    d.handle(FirmMoved(1, "county"))
     assert d.decision_module.firms[1].level == 0 and ask(d, "county") == 0
 
 
 def test_a_reading_does_not_forgive_what_is_owed() -> None:
     d = drive()
     ask(d, "county", 40, spread=3)
-    (call,) = of(AddToCounter, d.log)
-    d.do(CounterResult(call.name, "ok", call.amount))
-    d.do(FirmMoved(1, "school"))
+    (call,) = select(AddToCounter, d.actions)
+    d.handle(CounterResult(call.name, "ok", call.amount))
+    d.handle(FirmMoved(1, "school"))
     owed = d.decision_module.firms[1].level
     assert owed < 0
     d.decision_module.firms[1].unreported, d.decision_module.firms[1].next_call_at = 8.0, d.now
     d.decision_module.schedule_report(d.now, d.decision_module.firms[1])
     d.now += 1.0
-    (again,) = of(AddToCounter, d.do(TimerFired(d.decision_module.timer_token)))
-    d.do(CounterResult(again.name, "ok", call.amount + again.amount))
+    (again,) = select(AddToCounter, d.handle(TimerFired(d.decision_module.timer_token)))
+    d.handle(CounterResult(again.name, "ok", call.amount + again.amount))
     assert d.decision_module.firms[1].level < owed + 3.5
 
 
@@ -95,7 +95,7 @@
 def test_new_figures_hold_for_all_on_the_plan() -> None:
     d = drive()
     ask(d, "school", 8)
-    d.do(PlansChanged([PlanSpec("school", rate=6.0, burst=12.0)]))
+    d.handle(PlansChanged([PlanSpec("school", rate=6.0, burst=12.0)]))
     assert ask(d, "school", 9) == 4
     d.now += 1.0
     assert ask(d, "school", 9) == 6
@@ -108,58 +108,58 @@
 def test_a_try_that_reached_no_server_whole_has_its_units_returned(status: str, returned: bool) -> None:
     """A server that turns a try away has had it whole: PROTOCOL counts it."""
     d = drive(max_attempts=1)
-    (send,) = of(Send, d.ask(plan="school", units=4.0))
+    (send,) = select(Send, d.send_message(plan="school", units=4.0))
     assert d.decision_module.firms[1].level == 4.0
-    acts = d.do(Outcome(send.id, send.server, 0, status, 0.1))
-    assert of(Refuse, acts) or not returned
+    acts = d.handle(Outcome(send.id, send.server, 0, status, 0.1))
+    assert select(Refuse, acts) or not returned
     assert d.decision_module.firms[1].level == (8.0 if returned else 4.0)
-    assert [c.units for c in of(Charge, acts)] == ([] if returned else [4.0])
+    assert [c.units for c in select(Charge, acts)] == ([] if returned else [4.0])
 
 
 def test_units_returned_after_they_were_told_are_told_back() -> None:
     d = drive(max_attempts=1)
     ask(d, "school", 1, spread=3, units=2.0)
-    (send,) = of(Send, d.ask(plan="school", spread=3, units=2.0))
+    (send,) = select(Send, d.send_message(plan="school", spread=3, units=2.0))
     d.now += 0.3
-    d.do(TimerFired(d.decision_module.timer_token))
-    for call in of(AddToCounter, d.log):
-        d.do(CounterResult(call.name, "ok", call.amount))
+    d.handle(TimerFired(d.decision_module.timer_token))
+    for call in select(AddToCounter, d.actions):
+        d.handle(CounterResult(call.name, "ok", call.amount))
     d.now += 0.3
-    d.do(TimerFired(d.decision_module.timer_token))
-    assert sum(call.amount for call in of(AddToCounter, d.log)) == 4.0
-    for call in of(AddToCounter, d.log)[1:]:
-        d.do(CounterResult(call.name, "ok", 4.0))
-    d.log.clear()
-    d.do(Outcome(send.id, send.server, 0, "connect_failed"))
+    d.handle(TimerFired(d.decision_module.timer_token))
+    assert sum(call.amount for call in select(AddToCounter, d.actions)) == 4.0
+    for call in select(AddToCounter, d.actions)[1:]:
+        d.handle(CounterResult(call.name, "ok", 4.0))
+    d.actions.clear()
+    d.handle(Outcome(send.id, send.server, 0, "connect_failed"))
     d.now += 1.0
-    d.do(TimerFired(d.decision_module.timer_token))
-    assert [call.amount for call in of(AddToCounter, d.log)] == [-2.0]
+    d.handle(TimerFired(d.decision_module.timer_token))
+    assert [call.amount for call in select(AddToCounter, d.actions)] == [-2.0]
 
 
 def test_the_true_cost_is_charged_once_and_under_the_plan_it_was_let_in_on() -> None:
     d = drive(settles=True)
-    (send,) = of(Send, d.ask(plan="school", units=2.0))
-    d.do(FirmMoved(1, "county"))
-    (charge,) = of(Charge, d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
+    (send,) = select(Send, d.send_message(plan="school", units=2.0))
+    d.handle(FirmMoved(1, "county"))
+    (charge,) = select(Charge, d.handle(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
     assert (charge.plan, charge.units, charge.firm, charge.since) == ("school", 5.0, 1, d.now)
     assert d.decision_module.firms[1].level == 32 - 5
 
 
 def test_a_reservation_holds_until_it_is_settled() -> None:
     d = drive()
-    assert of(Reserved, d.do(Reserve("r1", 1, "school", 6.0)))
-    (refusal,) = of(Refuse, d.do(Reserve("r2", 1, "school", 4.0)))
+    assert select(Reserved, d.handle(Reserve("r1", 1, "school", 6.0)))
+    (refusal,) = select(Refuse, d.handle(Reserve("r2", 1, "school", 4.0)))
     assert refusal.id == "r2"
     assert ask(d, "school", 5) == 2
-    assert of(Charge, d.do(Settle("r1", 1, "school", 3, 6.0, 1.0, d.now)))[0].units == 1.0
+    assert select(Charge, d.handle(Settle("r1", 1, "school", 3, 6.0, 1.0, d.now)))[0].units == 1.0
     assert d.decision_module.firms[1].level == 5.0
-    d.do(Reserve("r3", 1, "school", 5.0))
-    assert not d.do(Settle("r3", 1, "school", 3, 5.0, 0.0, d.now)) and d.decision_module.firms[1].level == 5.0
+    d.handle(Reserve("r3", 1, "school", 5.0))
+    assert not d.handle(Settle("r3", 1, "school", 3, 5.0, 0.0, d.now)) and d.decision_module.firms[1].level == 5.0
 
 
 def test_a_try_that_a_reservation_pays_for_takes_nothing_more() -> None:
     d = drive()
-    d.do(Reserve("r1", 1, "school", 8.0))
+    d.handle(Reserve("r1", 1, "school", 8.0))
     assert ask(d, "school") == 0
     assert ask(d, "school", units=8.0, reserved_units=8.0) == 1
     assert d.decision_module.firms[1].level == 0.0
@@ -168,9 +168,9 @@
 def test_a_leased_store_is_filled_by_leases_alone() -> None:
     d = drive(leased=True)
     assert ask(d, "school", spread=3) == 0
-    d.do(LeaseGranted(1, "school", 3.0, spread=3))
+    d.handle(LeaseGranted(1, "school", 3.0, spread=3))
     d.now += 10.0
-    assert ask(d, "school", 9, spread=3) == 3 and not of(AddToCounter, d.log)
+    assert ask(d, "school", 9, spread=3) == 3 and not select(AddToCounter, d.actions)
 
 
 STEP = st.tuples(
@@ -188,7 +188,7 @@
     rates: list[tuple[float, float]] = []
     for plan, tries, wait, by_book in steps:
         if by_book:
-            d.do(FirmMoved(1, plan))
+            d.handle(FirmMoved(1, plan))
         for _ in range(tries):
             sends += [d.now] * ask(d, plan)
         spec = d.decision_module.firms[1].plan
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -11,23 +11,23 @@
     TimerFired,
 )
 
-from .util import Drive, of
+from .util import Driver, select
 
 
 def test_counter_lost_while_half_the_fleet_goes_silent() -> None:
     """A hall takes the counter with it: customers keep their share, servers left keep working, all are answered."""
-    d = Drive(servers=8)
+    d = Driver(servers=8)
     done: set[str] = set()
     for _ in range(400):
         d.now += 0.05
-        d.log.clear()
-        d.ask("check", firm=1, spread=3)
-        d.do(TimerFired(d.decision_module.timer_token))
-        for act in list(d.log):
+        d.actions.clear()
+        d.send_message("check", firm=1, spread=3)
+        d.handle(TimerFired(d.decision_module.timer_token))
+        for act in list(d.actions):
             if isinstance(act, AddToCounter):
-                d.do(CounterResult(act.name, "timeout"))
+                d.handle(CounterResult(act.name, "timeout"))
             elif isinstance(act, Send) and int(act.server[1]) % 2 == 1:
-                d.do(
+                d.handle(
                     Outcome(
                         act.id, act.server, d.decision_module.messages[act.id].attempts - 1, "ok", 0.05, closed=True
                     )
@@ -41,15 +41,15 @@
     from brackenpulley.policy.interface import PlanSpec
 
     plan = PlanSpec("gold", rate=10.0, burst=20.0, ceiling_rate=15.0, ceiling_burst=30.0)
-    d = Drive(servers=0, plans=[plan])
-    d.do(ServerList("stale", [ServerEntry("s0", started=d.now - 0.5), ServerEntry("s1")]))
+    d = Driver(servers=0, plans=[plan])
+    d.handle(ServerList("stale", [ServerEntry("s0", started=d.now - 0.5), ServerEntry("s1")]))
     for _ in range(100):
-        d.ask(firm=1, spread=3)
-    assert not of(Send, d.log) and len(of(Refuse, d.log)) == 100
+        d.send_message(firm=1, spread=3)
+    assert not select(Send, d.actions) and len(select(Refuse, d.actions)) == 100
     for _ in range(40):
         d.now += 0.05
         for _ in range(10):
-            d.ask(firm=1, spread=3)
-    sends = of(Send, d.log)
+            d.send_message(firm=1, spread=3)
+    sends = select(Send, d.actions)
     assert 0 < len(sends) <= 15.0 / 3 * 2 + 1
     assert sum(a.server == "s0" for a in sends) <= 1
--- a/tests/util.py
+++ b/tests/util.py
@@ -1,4 +1,4 @@
-"""A gateway with small settings, and a driver that keeps the clock."""
+"""Settings for small decision modules, and a driver that supplies the clock and numbers the messages."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 
 
 def settings(**more: Any) -> Settings:
+    """Settings of one of three ingresses; `more` replaces single values."""
     base: dict[str, Any] = dict(
         classes=CLASSES,
         plans=[PLAN],
@@ -43,29 +44,33 @@
     return Settings(**{**base, **more})
 
 
-def fleet(count: int = 4, **more: Any) -> ServerList:
+def server_list(count: int = 4, **more: Any) -> ServerList:
+    """A full inventory of servers s0, s1, ... that alternate between two zones and cells."""
     return ServerList("full", [ServerEntry(f"s{n}", zone="ab"[n % 2], cell=n % 2, **more) for n in range(count)])
 
 
-class Drive:
+class Driver:
+    """A decision module with a virtual clock and a record of its actions."""
+
     def __init__(self, servers: int = 4, start: float = 1000.0, **more: Any) -> None:
         self.now, self.serial = start, 0
         self.decision_module = DecisionModule(settings(**more), 7, start)
         self.timer = 0
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         if servers:
-            self.do(fleet(servers))
+            self.handle(server_list(servers))
 
-    def do(self, event: Event) -> list[Action]:
-        acts = self.decision_module.handle(self.now, event)
-        self.log += acts
-        return acts
+    def handle(self, event: Event) -> list[Action]:
+        actions = self.decision_module.handle(self.now, event)
+        self.actions += actions
+        return actions
 
-    def ask(self, cls: str = "check", customer: int = 1, **more: Any) -> list[Action]:
+    def send_message(self, cls: str = "check", firm: int = 1, **more: Any) -> list[Action]:
         self.serial += 1
         args: dict[str, Any] = dict(plan="gold", time_left=5.0, units=1.0, spread=1)
-        return self.do(MessageReceived(f"{self.serial:016x}", cls, firm=customer, **{**args, **more}))
+        return self.handle(MessageReceived(f"{self.serial:016x}", cls, firm=firm, **{**args, **more}))
 
 
-def of(kind: type, acts: list[Action]) -> list[Any]:
-    return [a for a in acts if isinstance(a, kind)]
+def select(kind: type, actions: list[Action]) -> list[Any]:
+    """The actions of one kind."""
+    return [action for action in actions if isinstance(action, kind)]
