--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,7 +19,7 @@
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.policy.interface import MessageReceived, Outcome, SetTimer
 
-from .test_machine import RUN
+from .test_machine import MACHINE_SETTINGS
 from .util import server_list, settings
 
 ROOT = Path(__file__).parent.parent
@@ -305,7 +305,7 @@
         return False
 
 
-Hostile.TestCase.settings = RUN
+Hostile.TestCase.settings = MACHINE_SETTINGS
 TestHostile = Hostile.TestCase
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The adapter as a real process on its standard streams."""
+"""The simulator's adapter as a process on its standard streams."""
 
 import json
 import os
@@ -21,22 +21,22 @@
 }
 
 
-def start(who: int, settings: Any = SETTINGS) -> list[Any]:
-    lines = [{"Worker": f"10.0.0.{n}:1", "Az": "z", "Units": 1, "StageState": "healthy"} for n in range(3)]
+def provision(number: int, settings: Any = SETTINGS) -> list[Any]:
+    lines = [{"Worker": f"10.0.0.{serial}:1", "Az": "z", "Units": 1, "StageState": "healthy"} for serial in range(3)]
     return [
-        {"Provision": {"Who": who, "Prng": 5, "Settings": settings}},
-        {"Membership": {"Who": who, "How": "stale_copy", "SeqNo": 1, "Lines": lines}},
+        {"Provision": {"Who": number, "Prng": 5, "Settings": settings}},
+        {"Membership": {"Who": number, "How": "stale_copy", "SeqNo": 1, "Lines": lines}},
     ]
 
 
-def item(who: int, n: int) -> dict[str, Any]:
+def work_item(number: int, serial: int) -> dict[str, Any]:
     return {
         "WorkItem": {
-            "Who": who,
-            "Ref": f"{who:08x}{n:08x}",
+            "Who": number,
+            "Ref": f"{number:08x}{serial:08x}",
             "Category": "a",
             "Package": "p",
-            "Caller": n % 5,
+            "Caller": serial % 5,
             "Grace": 3.0,
             "CostUnits": 1,
             "EntryPoints": 1,
@@ -46,7 +46,7 @@
     }
 
 
-def play(batches: list[Any], seed: str = "0") -> tuple[list[Any], int, str]:
+def run_adapter(batches: list[Any], seed: str = "0") -> tuple[list[Any], int, str]:
     text = "".join(b if isinstance(b, str) else json.dumps(b) + "\n" for b in batches)
     done = subprocess.run(
         [sys.executable, "-m", "brackenpulley.adapter"],
@@ -59,18 +59,18 @@
     return [json.loads(x) for x in done.stdout.splitlines()], done.returncode, done.stderr
 
 
-def days() -> list[Any]:
+def make_batches() -> list[Any]:
     return [
         {"AtTime": 1.0, "in": []},
-        {"AtTime": 1.0, "in": start(0) + start(1)},
-        {"AtTime": 1.1, "in": [item(n % 2, n) for n in range(200)]},
-        {"AtTime": 1.2, "in": [{"Halt": {"Who": 1}}, *start(1), item(1, 999)]},
+        {"AtTime": 1.0, "in": provision(0) + provision(1)},
+        {"AtTime": 1.1, "in": [work_item(serial % 2, serial) for serial in range(200)]},
+        {"AtTime": 1.2, "in": [{"Halt": {"Who": 1}}, *provision(1), work_item(1, 999)]},
         {"AtTime": 1.3, "in": [{"Mystery": {"Who": 0}}, {"Alarm": {"Who": 1, "Tag": 77}}]},
     ]
 
 
 def test_batches_restart_and_end_of_input() -> None:
-    replies, code, errors = play(days())
+    replies, code, errors = run_adapter(make_batches())
     assert code == 0 and not errors and len(replies) == 5
     assert replies[0] == {"steps": []}
     answered = {
@@ -82,15 +82,17 @@
 
 
 def test_same_replies_under_any_hash_seed() -> None:
-    assert play(days(), "1") == play(days(), "4242")
+    assert run_adapter(make_batches(), "1") == run_adapter(make_batches(), "4242")
 
 
-def test_a_line_that_is_no_batch_ends_it_plainly() -> None:
-    for bad in ("nonsense\n", "[]\n", '{"in": 3}\n'):
-        replies, code, errors = play([{"AtTime": 1.0, "in": []}, bad])
+def test_a_line_that_is_not_a_batch_ends_the_adapter_with_a_message() -> None:
+    for invalid in ("nonsense\n", "[]\n", '{"in": 3}\n'):
+        replies, code, errors = run_adapter([{"AtTime": 1.0, "in": []}, invalid])
         assert code == 1 and len(replies) == 1 and errors.startswith("adapter: ") and "Traceback" not in errors
 
 
 def test_missing_setting_is_named() -> None:
-    _, code, errors = play([{"AtTime": 1.0, "in": start(0, {k: v for k, v in SETTINGS.items() if k != "Limits"})}])
+    _, code, errors = run_adapter(
+        [{"AtTime": 1.0, "in": provision(0, {k: v for k, v in SETTINGS.items() if k != "Limits"})}]
+    )
     assert code == 1 and "Limits" in errors
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Legal but hostile event orders; the rules are checked after each step."""
+"""State machine tests: random legal orders of events; the rules of the decision module are checked after each."""
 
 from typing import Any
 
@@ -24,53 +24,55 @@
 
 from .util import Driver, select
 
-PROOF = ("full", "connect_failed", "moot")
+NOT_RUN_STATUSES = ("full", "connect_failed", "moot")
 EFFECTS = {"check": "safe", "push": "keyed", "blast": "unsafe"}
 
 
-class Hostile(RuleBasedStateMachine):
+class HostileMachine(RuleBasedStateMachine):
+    """One of three ingresses before six servers."""
+
     size: dict[str, Any] = {}
 
     def __init__(self) -> None:
         super().__init__()
-        self.d = Driver(servers=6, **self.size)
-        self.zone = {f"s{n}": n % 2 for n in range(6)}
-        self.state = {f"s{n}": "up" for n in range(6)}
-        self.cls: dict[str, str] = {}
-        self.out: dict[str, Send] = {}
-        self.tries: dict[str, int] = {}
-        self.ran: dict[str, tuple[float, str]] = {}
+        self.driver = Driver(servers=6, **self.size)
+        self.zone = {f"s{number}": number % 2 for number in range(6)}
+        self.state = {f"s{number}": "up" for number in range(6)}
+        self.classes: dict[str, str] = {}
+        self.in_flight: dict[str, Send] = {}
+        self.attempts: dict[str, int] = {}
+        self.first_runs: dict[str, tuple[float, str]] = {}
         self.sent_at: dict[str, float] = {}
         self.answers: dict[str, int] = {}
 
-    def see(self, acts: list[Any]) -> None:
-        for a in acts:
-            if isinstance(a, Send):
-                assert a.id not in self.out and not self.answers[a.id]
-                assert self.state[a.server] == "up"
-                if a.id in self.ran:
-                    at, server = self.ran[a.id]
-                    effect = EFFECTS[self.cls[a.id]]
+    def check_actions(self, actions: list[Any]) -> None:
+        for action in actions:
+            if isinstance(action, Send):
+                assert action.id not in self.in_flight and not self.answers[action.id]
+                assert self.state[action.server] == "up"
+                if action.id in self.first_runs:
+                    at, server = self.first_runs[action.id]
+                    effect = EFFECTS[self.classes[action.id]]
                     assert effect != "unsafe"
                     if effect == "keyed":
-                        assert self.zone[server] == self.zone[a.server] and self.d.now <= at + 8.0
-                self.out[a.id], self.sent_at[a.id] = a, self.d.now
-                self.tries[a.id] = self.tries.get(a.id, 0) + 1
-                assert self.tries[a.id] <= 3
-            elif isinstance(a, Refuse | Fail):
-                assert a.id not in self.out
-                self.answers[a.id] += 1
-                if isinstance(a, Refuse):
-                    assert a.id not in self.ran or EFFECTS[self.cls[a.id]] == "safe"
-            elif isinstance(a, Cancel):
-                assert a.attempt < self.tries[a.id]
-
-    @rule(cls=st.sampled_from(sorted(EFFECTS)), customer=st.integers(1, 4), left=st.floats(0.01, 12.0))
-    def request(self, cls: str, customer: int, left: float) -> None:
-        rid = f"{self.d.serial + 1:016x}"
-        self.cls[rid], self.answers[rid] = cls, 0
-        self.see(self.d.send_message(cls, customer, time_left=left, spread=1 + customer % 3))
-        assert (rid in self.out) != bool(self.answers[rid])
+                        assert self.zone[server] == self.zone[action.server] and self.driver.now <= at + 8.0
+                self.in_flight[action.id], self.sent_at[action.id] = action, self.driver.now
+                self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
+                assert self.attempts[action.id] <= 3
+            elif isinstance(action, Refuse | Fail):
+                assert action.id not in self.in_flight
+                self.answers[action.id] += 1
+                if isinstance(action, Refuse):
+                    assert action.id not in self.first_runs or EFFECTS[self.classes[action.id]] == "safe"
+            elif isinstance(action, Cancel):
+                assert action.attempt < self.attempts[action.id]
+
+    @rule(cls=st.sampled_from(sorted(EFFECTS)), firm=st.integers(1, 4), time_left=st.floats(0.01, 12.0))
+    def request(self, cls: str, firm: int, time_left: float) -> None:
+        message_id = f"{self.driver.serial + 1:016x}"
+        self.classes[message_id], self.answers[message_id] = cls, 0
+        self.check_actions(self.driver.send_message(cls, firm, time_left=time_left, spread=1 + firm % 3))
+        assert (message_id in self.in_flight) != bool(self.answers[message_id])
 
     @rule(
         pick=st.integers(0, 99),
@@ -78,78 +80,82 @@
         status=st.sampled_from(["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"]),
     )
     def outcome(self, pick: int, status: str, closed: bool) -> None:
-        if not self.out:
+        if not self.in_flight:
             return
-        rid = sorted(self.out)[pick % len(self.out)]
-        a = self.out.pop(rid)
-        if status not in PROOF:
-            self.ran.setdefault(rid, (self.sent_at[rid], a.server))
-        if self.answers[rid]:
+        message_id = sorted(self.in_flight)[pick % len(self.in_flight)]
+        action = self.in_flight.pop(message_id)
+        if status not in NOT_RUN_STATUSES:
+            self.first_runs.setdefault(message_id, (self.sent_at[message_id], action.server))
+        if self.answers[message_id]:
             closed = True
         if status == "ok" or closed:
-            self.answers[rid] = 1
+            self.answers[message_id] = 1
             closed = True
-        before = self.answers[rid]
-        self.see(self.d.handle(Outcome(rid, a.server, self.tries[rid] - 1, status, 0.1, closed)))
+        before = self.answers[message_id]
+        self.check_actions(
+            self.driver.handle(Outcome(message_id, action.server, self.attempts[message_id] - 1, status, 0.1, closed))
+        )
         if closed:
-            assert self.answers[rid] == before
+            assert self.answers[message_id] == before
         else:
-            assert (rid in self.out) != (self.answers[rid] == 1)
+            assert (message_id in self.in_flight) != (self.answers[message_id] == 1)
 
     @rule(pick=st.integers(0, 99))
     def gone(self, pick: int) -> None:
-        live = [r for r in sorted(self.out) if not self.answers[r]]
-        if live:
-            rid = live[pick % len(live)]
-            self.answers[rid] = 1
-            self.see(self.d.handle(ClientGone(rid)))
-
-    @rule(n=st.integers(0, 5), state=st.sampled_from(["up", "draining", "gone"]), fresh=st.booleans())
-    def server(self, n: int, state: str, fresh: bool) -> None:
-        self.state[f"s{n}"] = state
-        entry = ServerEntry(f"s{n}", "ab"[n % 2], n % 2, state=state, started=self.d.now if fresh else 0.0)
-        self.see(self.d.handle(ServerList("changes", [entry])))
+        waiting = [r for r in sorted(self.in_flight) if not self.answers[r]]
+        if waiting:
+            message_id = waiting[pick % len(waiting)]
+            self.answers[message_id] = 1
+            self.check_actions(self.driver.handle(ClientGone(message_id)))
+
+    @rule(number=st.integers(0, 5), state=st.sampled_from(["up", "draining", "gone"]), is_restarted=st.booleans())
+    def server(self, number: int, state: str, is_restarted: bool) -> None:
+        self.state[f"s{number}"] = state
+        entry = ServerEntry(
+            f"s{number}", "ab"[number % 2], number % 2, state=state, started=self.driver.now if is_restarted else 0.0
+        )
+        self.check_actions(self.driver.handle(ServerList("changes", [entry])))
 
     @rule(step=st.floats(0.001, 3.0))
     def wait(self, step: float) -> None:
-        self.d.now += step
-        self.see(self.d.handle(TimerFired(self.d.decision_module.timer_token)))
+        self.driver.now += step
+        self.check_actions(self.driver.handle(TimerFired(self.driver.decision_module.timer_token)))
 
     @rule(name=st.integers(0, 1 << 60), status=st.sampled_from(["ok", "timeout", "full"]), total=st.floats(0, 50))
     def count(self, name: int, status: str, total: float) -> None:
-        self.see(self.d.handle(CounterResult(name, status, total)))
+        self.check_actions(self.driver.handle(CounterResult(name, status, total)))
 
     @rule(call=st.integers(0, 12), status=st.sampled_from(["ok", "full"]), total=st.floats(0, 50))
     def late(self, call: int, status: str, total: float) -> None:
-        self.see(self.d.handle(LateCounterResult(call, status, total, 0.06)))
+        self.check_actions(self.driver.handle(LateCounterResult(call, status, total, 0.06)))
 
     @rule(data=st.text(max_size=40))
     def peer(self, data: str) -> None:
-        self.see(self.d.handle(PeerNote(1, data)))
+        self.check_actions(self.driver.handle(PeerNote(1, data)))
 
     @invariant()
-    def books_balance(self) -> None:
-        assert set(self.d.decision_module.messages) == set(self.out)
-        assert all(c.in_flight >= 0 for c in self.d.decision_module.firms.values())
-        assert sum(c.in_flight for c in self.d.decision_module.firms.values()) == len(
-            select(Send, list(self.out.values()))
+    def check_balance(self) -> None:
+        assert set(self.driver.decision_module.messages) == set(self.in_flight)
+        assert all(c.in_flight >= 0 for c in self.driver.decision_module.firms.values())
+        assert sum(c.in_flight for c in self.driver.decision_module.firms.values()) == len(
+            select(Send, list(self.in_flight.values()))
         )
 
 
-class HostileLarge(Hostile):
-    """One of hundreds, where peers may talk, the counter answers and probes are allowed."""
+class LargeHostileMachine(HostileMachine):
+    """One of 300 ingresses, with peer notes, counter results and probes."""
 
     size = dict(gateways=300, probes=True, peers=True, peer_per_s=40.0, report_fields=["queue"])
 
     @rule(
-        n=st.integers(0, 9),
+        number=st.integers(0, 9),
         status=st.sampled_from(["ok", "timeout", "full"]),
         load=st.lists(st.floats(0, 99), max_size=2),
     )
-    def probed(self, n: int, status: str, load: list[float]) -> None:
-        self.see(self.d.handle(ProbeResult(f"s{n}", status, 0.01, load)))
+    def probed(self, number: int, status: str, load: list[float]) -> None:
+        self.check_actions(self.driver.handle(ProbeResult(f"s{number}", status, 0.01, load)))
 
 
-RUN = hsettings(derandomize=True, deadline=None, max_examples=60, stateful_step_count=40, database=None)
-Hostile.TestCase.settings = HostileLarge.TestCase.settings = RUN
-TestHostile, TestHostileLarge = Hostile.TestCase, HostileLarge.TestCase
+MACHINE_SETTINGS = hsettings(derandomize=True, deadline=None, max_examples=60, stateful_step_count=40, database=None)
+HostileMachine.TestCase.settings = LargeHostileMachine.TestCase.settings = MACHINE_SETTINGS
+TestHostileMachine, TestLargeHostileMachine = HostileMachine.TestCase, LargeHostileMachine.TestCase
--- a/tests/test_module_cost.py
+++ b/tests/test_module_cost.py
@@ -1,4 +1,4 @@
-"""The module's cost by the number of servers, and the indexes that keep it flat against what a scan finds."""
+"""The cost of a message does not grow with the number of servers, and the indexes behind that match a full scan."""
 
 from __future__ import annotations
 
@@ -13,14 +13,18 @@
 
 
 def test_a_message_costs_the_same_among_a_thousand_servers_as_among_ten() -> None:
-    few, many = lines(10, 200), lines(1000, 200)
-    assert 100 < few < many < MOST * few
+    cost_of_ten, cost_of_thousand = lines(10, 200), lines(1000, 200)
+    assert 100 < cost_of_ten < cost_of_thousand < MOST * cost_of_ten
 
 
-def scan(servers: ServerTable, late: float) -> tuple[int, int]:
-    """In use and held, as they were found before there were indexes: by a look at each server and attempt."""
-    up = [s for s in servers.values() if s.entry.state == "up" and not s.is_ejected and s.get_unanswered_since() > late]
-    return len(up), sum(s.count_not_overdue(late) for s in up)
+def count_by_scan(servers: ServerTable, overdue_before: float) -> tuple[int, int]:
+    """Servers in use and their relays in flight, found by a scan of all servers and relays."""
+    up = [
+        server
+        for server in servers.values()
+        if server.entry.state == "up" and not server.is_ejected and server.get_unanswered_since() > overdue_before
+    ]
+    return len(up), sum(server.count_not_overdue(overdue_before) for server in up)
 
 
 STEPS = st.lists(
@@ -36,43 +40,45 @@
 @given(STEPS, st.sampled_from([1.0, 1e9]))
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_indexes_agree_with_a_scan(steps: list[tuple[str, int]], patience: float) -> None:
-    """At each count; where nothing is ever overdue, between counts as well."""
+    """Compared at each recount and, where no relay ever is overdue, between recounts too."""
     servers, rng, now, serial = ServerTable(), random.Random(1), 100.0, 0
-    out: list[tuple[str, tuple[str, int]]] = []
-    for what, n in steps:
+    in_flight: list[tuple[str, tuple[str, int]]] = []
+    for kind, number in steps:
         now += 0.1
-        name = f"s{n}"
-        if what in ("list", "whole"):
-            states = ("up", "up", "draining", "gone") if what == "list" else ("up", "draining")
+        name = f"s{number}"
+        if kind in ("list", "whole"):
+            states = ("up", "up", "draining", "gone") if kind == "list" else ("up", "draining")
             servers.update_entries(
-                what == "whole",
+                kind == "whole",
                 [
-                    ServerEntry(f"s{m}", state=rng.choice(states), size=1.0 + m, started=float(rng.randrange(2)))
-                    for m in range(n + 1)
+                    ServerEntry(
+                        f"s{other}", state=rng.choice(states), size=1.0 + other, started=float(rng.randrange(2))
+                    )
+                    for other in range(number + 1)
                 ],
             )
-        elif what == "end" and out:
-            name, attempt = out.pop(rng.randrange(len(out)))
+        elif kind == "end" and in_flight:
+            name, attempt = in_flight.pop(rng.randrange(len(in_flight)))
             if name in servers:
                 servers.record_ended(servers[name], attempt)
         elif name in servers:
-            s = servers[name]
-            if what == "send" and s.entry.state == "up":
+            server = servers[name]
+            if kind == "send" and server.entry.state == "up":
                 serial += 1
-                servers.record_sent(s, (f"r{serial}", 0), now, True)
-                out.append((name, (f"r{serial}", 0)))
-            elif what == "answer":
-                s.answered_at = now
-                servers.is_stale = True  # a beat follows within 0.1 s
-            elif what == "aside" and s.entry.state == "up":
-                servers.set_ejected(s, True)
-            elif what == "back" and s.is_ejected:
-                servers.set_ejected(s, False)
-        if anew := what == "count" or servers.is_stale:
+                servers.record_sent(server, (f"r{serial}", 0), now, True)
+                in_flight.append((name, (f"r{serial}", 0)))
+            elif kind == "answer":
+                server.answered_at = now
+                servers.is_stale = True  # the next tick recounts within 0.1 s
+            elif kind == "aside" and server.entry.state == "up":
+                servers.set_ejected(server, True)
+            elif kind == "back" and server.is_ejected:
+                servers.set_ejected(server, False)
+        if is_recounted := kind == "count" or servers.is_stale:
             servers.recount(now - patience)
-        if anew or patience > 1e6:
-            assert (servers.in_use, servers.in_flight) == scan(servers, servers.overdue_before)
-        assert servers.up == [s for s in servers.values() if s.entry.state == "up"]
-        assert servers.with_relays == {k: s for k, s in servers.items() if s.relays}
-        assert servers.ejected == {k: s for k, s in servers.items() if s.is_ejected}
+        if is_recounted or patience > 1e6:
+            assert (servers.in_use, servers.in_flight) == count_by_scan(servers, servers.overdue_before)
+        assert servers.up == [server for server in servers.values() if server.entry.state == "up"]
+        assert servers.with_relays == {k: server for k, server in servers.items() if server.relays}
+        assert servers.ejected == {k: server for k, server in servers.items() if server.is_ejected}
         assert len(servers.cumulative_sizes) == len(servers.up)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,4 +1,4 @@
-"""Two troubles at once, without the bench."""
+"""Two faults at the same time."""
 
 from brackenpulley.policy.interface import (
     AddToCounter,
@@ -14,42 +14,47 @@
 from .util import Driver, select
 
 
-def test_counter_lost_while_half_the_fleet_goes_silent() -> None:
-    """A hall takes the counter with it: customers keep their share, servers left keep working, all are answered."""
-    d = Driver(servers=8)
-    done: set[str] = set()
+def test_counter_lost_while_half_of_the_servers_are_silent() -> None:
+    """A zone fails together with the counter: firms keep their even share at the remaining servers."""
+    driver = Driver(servers=8)
+    answered: set[str] = set()
     for _ in range(400):
-        d.now += 0.05
-        d.actions.clear()
-        d.send_message("check", firm=1, spread=3)
-        d.handle(TimerFired(d.decision_module.timer_token))
-        for act in list(d.actions):
-            if isinstance(act, AddToCounter):
-                d.handle(CounterResult(act.name, "timeout"))
-            elif isinstance(act, Send) and int(act.server[1]) % 2 == 1:
-                d.handle(
+        driver.now += 0.05
+        driver.actions.clear()
+        driver.send_message("check", firm=1, spread=3)
+        driver.handle(TimerFired(driver.decision_module.timer_token))
+        for action in list(driver.actions):
+            if isinstance(action, AddToCounter):
+                driver.handle(CounterResult(action.name, "timeout"))
+            elif isinstance(action, Send) and int(action.server[1]) % 2 == 1:
+                driver.handle(
                     Outcome(
-                        act.id, act.server, d.decision_module.messages[act.id].attempts - 1, "ok", 0.05, closed=True
+                        action.id,
+                        action.server,
+                        driver.decision_module.messages[action.id].attempts - 1,
+                        "ok",
+                        0.05,
+                        closed=True,
                     )
                 )
-                done.add(act.id)
-    assert sum(s.is_ejected for s in d.decision_module.servers.values()) >= 3
-    assert 10 / 3 * 20 * 0.5 < len(done) < 10 / 3 * 20 * 1.5  # the even share over 20 s
+                answered.add(action.id)
+    assert sum(s.is_ejected for s in driver.decision_module.servers.values()) >= 3
+    assert 10 / 3 * 20 * 0.5 < len(answered) < 10 / 3 * 20 * 1.5  # the even share over 20 s
 
 
-def test_restart_in_a_flood_spends_neither_ceiling_nor_cold_server() -> None:
+def test_a_restart_under_overload_exceeds_neither_ceiling_nor_cold_budget() -> None:
     from brackenpulley.policy.interface import PlanSpec
 
     plan = PlanSpec("gold", rate=10.0, burst=20.0, ceiling_rate=15.0, ceiling_burst=30.0)
-    d = Driver(servers=0, plans=[plan])
-    d.handle(ServerList("stale", [ServerEntry("s0", started=d.now - 0.5), ServerEntry("s1")]))
+    driver = Driver(servers=0, plans=[plan])
+    driver.handle(ServerList("stale", [ServerEntry("s0", started=driver.now - 0.5), ServerEntry("s1")]))
     for _ in range(100):
-        d.send_message(firm=1, spread=3)
-    assert not select(Send, d.actions) and len(select(Refuse, d.actions)) == 100
+        driver.send_message(firm=1, spread=3)
+    assert not select(Send, driver.actions) and len(select(Refuse, driver.actions)) == 100
     for _ in range(40):
-        d.now += 0.05
+        driver.now += 0.05
         for _ in range(10):
-            d.send_message(firm=1, spread=3)
-    sends = select(Send, d.actions)
+            driver.send_message(firm=1, spread=3)
+    sends = select(Send, driver.actions)
     assert 0 < len(sends) <= 15.0 / 3 * 2 + 1
     assert sum(a.server == "s0" for a in sends) <= 1
