--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -31,7 +31,7 @@
 from benchmarks.ledger_cost import Process
 from benchmarks.plan_changes import ROOT, free_ports
 from benchmarks.relay import usage
-from brackenpulley.bodies.shares import Shares
+from brackenpulley.bodies.memory import BodyMemory
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.http import Payload
 from brackenpulley.net.loop import READ, WRITE, Loop
@@ -129,7 +129,7 @@
     def __init__(self, loop: Loop, name: str, wrong: Counter[str]) -> None:
         super().__init__(loop, name, random.Random(1))
         self.wrong = wrong
-        self.listener.shares = Shares(1 << 30)
+        self.listener.shares = BodyMemory(1 << 30)
 
     def _heard(self, line: Line, payload: Payload) -> None:
         stream = payload.stream
@@ -141,12 +141,12 @@
         def more() -> None:
             for part in stream.take(1 << 30):
                 seen.update(part)
-            if stream.whole:
+            if stream.is_complete:
                 stream.drop()
                 self._answer(line, payload, seen.hexdigest())
 
         stream.begin()
-        stream.changed = more
+        stream.on_change = more
         more()
 
     def _answer(self, line: Line, payload: Payload, seen: str) -> None:
--- a/brackenpulley/authz/convert.py
+++ b/brackenpulley/authz/convert.py
@@ -12,7 +12,7 @@
 from google.rpc import status_pb2
 
 from ..core.exchange import Answer, Verdict
-from ..core.message import MARGIN, Message, MessageError, decode
+from ..core.message import ANSWER_MARGIN_SECONDS, Message, MessageError, decode
 from ..net.http import HOP, Payload
 from . import http2
 
@@ -50,7 +50,9 @@
     headers.setdefault("x-request-id", http.id)
     headers.setdefault("x-timeout", f"{max(0, int(left * 1e6))}u")
     found = decode(headers, http.path, http)
-    found.left = max(0.0, min(found.left, left - MARGIN))  # the asker's deadline holds beside the client's
+    found.timeout = max(
+        0.0, min(found.timeout, left - ANSWER_MARGIN_SECONDS)
+    )  # the asker's deadline holds beside the client's
     return found
 
 
@@ -75,8 +77,8 @@
         code = GRPC_OF.get(answer.status, http2.INTERNAL)
         reply.status.CopyFrom(status_pb2.Status(code=code, message=answer.kind))
         reply.denied_response.status.code = answer.status
-        if answer.after > 0:
-            reply.denied_response.headers.extend(_rows([(b"retry-after", b"%.3f" % answer.after)]))
+        if answer.retry_after > 0:
+            reply.denied_response.headers.extend(_rows([(b"retry-after", b"%.3f" % answer.retry_after)]))
         if answer.payload is not None:
             body, headers = answer.payload
             reply.denied_response.body = body.decode("utf-8", "replace")
@@ -95,7 +97,7 @@
         http.size = len(payload.body)
         for name, value in payload.headers:
             http.headers[name.decode("latin-1")] = value.decode("latin-1")
-        http.headers["x-timeout"] = f"{int(message.left * 1000)}m"
+        http.headers["x-timeout"] = f"{int(message.timeout * 1000)}m"
     elif isinstance(payload, HttpRequest):
         http.CopyFrom(payload)
     return bytes(check.SerializeToString())
@@ -131,7 +133,7 @@
     if reply.status.code == http2.OK and reply.WhichOneof("http_response") != "denied_response":
         rows = _clean(reply.ok_response.headers, FIXED)
         removed = {n.lower().encode("latin-1", "replace") for n in reply.ok_response.headers_to_remove} - FIXED
-        return Verdict("allow", amend=_amend(rows, removed) if rows or removed else None)
+        return Verdict("allow", amend_payload=_amend(rows, removed) if rows or removed else None)
     denied = reply.denied_response
     status = int(denied.status.code)
     if not 400 <= status <= 599:  # a denial that looks like a served answer would be taken for one
--- a/brackenpulley/authz/front.py
+++ b/brackenpulley/authz/front.py
@@ -9,9 +9,9 @@
 import h2.events
 
 from ..address import Address
-from ..core.exchange import Answer, Exchange, RelayEnd
+from ..core.exchange import Answer, Exchange, RelayResult
 from ..core.ingress import Ingress
-from ..core.message import UNITS, Message, MessageError
+from ..core.message import SECONDS_PER_UNIT, Message, MessageError
 from ..metrics import Metrics
 from ..net import sockets
 from ..net.inventory import Inventory
@@ -33,9 +33,9 @@
     if text is None:
         return UNTIMED
     digits, unit = text[:-1], text[-1:]
-    if not (digits.isascii() and digits.isdigit() and len(digits) <= 8 and unit in UNITS):
+    if not (digits.isascii() and digits.isdigit() and len(digits) <= 8 and unit in SECONDS_PER_UNIT):
         raise MessageError(f"grpc-timeout: {text[:20]!r} is no time")
-    return float(int(digits) * UNITS[unit])
+    return float(int(digits) * SECONDS_PER_UNIT[unit])
 
 
 class Grant:
@@ -49,11 +49,11 @@
         message: Message,
         server: str,
         left: float,
-        done: Callable[[RelayEnd], None],
-        began: Callable[[RelayEnd], None],
+        done: Callable[[RelayResult], None],
+        began: Callable[[RelayResult], None],
     ) -> Grant:
         # The answer is written now, so this is where the list counts: what drains by now is not named any more.
-        done(RelayEnd("granted" if self.inventory.usable(server) else "connect_failed"))
+        done(RelayResult("granted" if self.inventory.usable(server) else "connect_failed"))
         return self
 
     def drop(self) -> bool:
@@ -137,7 +137,7 @@
         try:
             left = max(0.0, call.until - self.front.loop.clock())
             message = message_of(http2.unframe(bytes(call.data)), left)
-            exchange = self.front.ingress.take(message, lambda answer: self._answer(call, answer), self.front.grant)
+            exchange = self.front.ingress.accept(message, lambda answer: self._answer(call, answer), self.front.grant)
         except FramingError as error:
             self._error(call, error.status, str(error))
             return
@@ -147,7 +147,7 @@
             return
         if exchange is None:
             self._error(call, http2.ALREADY_EXISTS, "x-request-id: in hand already")
-        elif not exchange.over:
+        elif not exchange.is_finished:
             call.exchange = exchange
 
     def _answer(self, call: Call, answer: Answer) -> None:
@@ -191,7 +191,7 @@
             call.timer.cancel()
         if call.exchange is not None:
             exchange, call.exchange = call.exchange, None
-            self.front.ingress.leave(exchange)
+            self.front.ingress.disconnect(exchange)
         if self.refusing and not self.calls:
             self.front.loop.call_soon(self.finish)
 
--- a/brackenpulley/bodies/__init__.py
+++ b/brackenpulley/bodies/__init__.py
@@ -1,3 +1,4 @@
-"""Bodies of messages and answers: what may be taken in, passed on and kept. No sockets, no clock of its own.
+"""Bodies of messages and answers: how much is received, forwarded and kept. It has no sockets and no clock of its own.
 
-North and south hold a `Body` each other's way and ask it; the core passes it on without a look inside."""
+The north side and the south side exchange `Body` objects; the core passes them on without inspecting them.
+"""
--- a/brackenpulley/bodies/body.py
+++ b/brackenpulley/bodies/body.py
@@ -1,15 +1,17 @@
-"""One body, from the peer that writes it to the peer that reads it.
+"""A body on its way from the peer that writes it to the peer that reads it.
 
-| state   | means                                         | next                                                   |
-| ------- | --------------------------------------------- | ------------------------------------------------------ |
-| WAITING | nobody takes it yet; what came is held        | FLOWING at the first `begin`; CUT; DROPPED; ENDED      |
-| FLOWING | a reader takes it while it comes              | ENDED, CUT, DROPPED                                    |
-| ENDED   | all of it is in; the reader may still take    | DROPPED                                                |
-| CUT     | its writer broke off: never whole             | DROPPED                                                |
-| DROPPED | nobody wants it any more: what comes is lost  | none                                                   |
+| state   | meaning                                            | next states                                        |
+| ------- | -------------------------------------------------- | -------------------------------------------------- |
+| WAITING | no reader yet; what was received is held           | FLOWING at the first `begin`; ENDED, ABORTED,      |
+|         |                                                    | DROPPED                                            |
+| FLOWING | a reader takes the body while it is received       | ENDED, ABORTED, DROPPED                            |
+| ENDED   | completely received; the reader may still take     | DROPPED                                            |
+| ABORTED | the writer broke off; the body is never complete   | DROPPED                                            |
+| DROPPED | no longer wanted; what is received is discarded    | none                                               |
 
-`whole` is ENDED with every byte taken by the reader. A body can be read from its first byte `again`, by another
-attempt, while it is kept: in memory up to a size, then in a file where there is a folder for that, then not at all."""
+A body is complete when it is ENDED and the reader has taken every byte. While it is kept, another attempt can read it
+from its first byte. It is kept in memory up to a size, then in a file if a spool folder is configured, else not at all.
+"""
 
 from __future__ import annotations
 
@@ -18,200 +20,224 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .shares import Shares
+    from .memory import BodyMemory
     from .spool import Spool
 
-SLICE = 65536  # bytes handed to a reader at a time
+MAX_SLICE_BYTES = 65536  # that a reader gets at a time
 
 
 class State(Enum):
+    """The state of a body. The table at the head of the module lists the transitions."""
+
     WAITING = "waiting"
     FLOWING = "flowing"
     ENDED = "ended"
-    CUT = "cut off"
+    ABORTED = "cut off"
     DROPPED = "dropped"
 
 
-WAITING, FLOWING, ENDED, CUT, DROPPED = State  # asked for with each slice, so without a look into the class
+WAITING, FLOWING, ENDED, ABORTED, DROPPED = State  # used for each slice, where the lookup in the class would cost time
 
 
 def _nothing() -> None: ...
 
 
-class Hole(Exception):
-    """What was kept in a file cannot be read any more: this attempt cannot go on, and no other can begin."""
+class SpoolReadError(Exception):
+    """The part of a body that was kept in a file cannot be read.
+
+    The current attempt cannot continue, and no other attempt can begin.
+    """
 
 
 class Body:
-    """Owned by who makes it, until `drop`; `shares` counts what it holds. Sizes are bytes.
+    """A buffer between one writer and one reader. Sizes are in bytes.
 
-    `changed` is called when there is something new for the reader: bytes, the end, a cut. `eased` is called when the
-    writer may put in more after it had no room. Neither is called from within a call of the same side."""
+    Whoever creates a body owns it until `drop`; `memory` accounts for what it holds. `on_change` is called when there
+    is something new for the reader: bytes, the end or an abort. `on_space` is called when a writer that was blocked may
+    put in more. Neither is called during a call from the same side.
+    """
 
     __slots__ = (
-        "shares",
+        "memory",
         "length",
         "state",
         "size",
-        "kept",
-        "changed",
-        "eased",
+        "is_kept",
+        "on_change",
+        "on_space",
         "_parts",
-        "_gone",
-        "_at",
-        "_index",
-        "_offset",
-        "full",
+        "_released_bytes",
+        "_position",
+        "_part_index",
+        "_part_offset",
+        "is_writer_blocked",
         "_spool",
     )
 
-    def __init__(self, shares: Shares, length: int = -1, keep: bool = False) -> None:
-        """`length`: of the whole, where its writer told it, else -1. `keep`: for another attempt, if there is room."""
-        self.shares, self.length, self.kept = shares, length, keep
+    def __init__(self, memory: BodyMemory, length: int = -1, keep: bool = False) -> None:
+        """`length` is the announced length, or -1. `keep` keeps the body for another attempt, if there is room."""
+        self.memory, self.length, self.is_kept = memory, length, keep  # is_kept: all of it so far is in memory
         self.state = WAITING
-        self.size = 0  # put in so far
-        self.changed: Callable[[], None] = _nothing
-        self.eased: Callable[[], None] = _nothing
-        self._parts: list[bytes] = []  # what is held, in order
-        self._gone = 0  # let go in front of them
-        self._at = 0  # taken by the reader, from the first byte on
-        self._index = self._offset = 0  # where that is in the parts
-        self.full = False  # the writer was told that there is no room, and waits until it is eased
-        self._spool: Spool | None = None  # all of it so far, where it is kept in a file
-        shares.begin()
+        self.size = 0  # received so far
+        self.on_change: Callable[[], None] = _nothing
+        self.on_space: Callable[[], None] = _nothing
+        self._parts: list[bytes] = []  # held in memory, in order
+        self._released_bytes = 0  # in front of the parts, no longer in memory
+        self._position = 0  # of the reader, from the first byte
+        self._part_index = self._part_offset = 0  # of the reader, within the parts
+        self.is_writer_blocked = False  # the writer got no space and waits for `on_space`
+        self._spool: Spool | None = None  # holds all of it so far, where it is kept in a file
+        memory.open_body()
 
     @property
-    def held(self) -> int:
-        return self.size - self._gone
+    def held_bytes(self) -> int:
+        """Bytes that are held in memory."""
+        return self.size - self._released_bytes
 
     @property
-    def ahead(self) -> int:
-        """In, and not taken by the reader."""
-        return self.size - self._at
+    def unread_bytes(self) -> int:
+        """Bytes that were received and not taken by the reader."""
+        return self.size - self._position
 
     @property
-    def coming(self) -> bool:
-        """More may be put in."""
+    def is_open(self) -> bool:
+        """Whether more may be put in."""
         return self.state is FLOWING or self.state is WAITING
 
-    def again(self) -> bool:
-        """It can be read from its first byte once more."""
-        return (not self._gone or self._spool is not None) and self.state not in (CUT, DROPPED)
+    def can_restart(self) -> bool:
+        """Returns whether the body can be read from its first byte once more."""
+        return (not self._released_bytes or self._spool is not None) and self.state not in (ABORTED, DROPPED)
 
     @property
-    def whole(self) -> bool:
-        return self.state is ENDED and not self.ahead
+    def is_complete(self) -> bool:
+        """Whether the body has ended and the reader has taken all of it."""
+        return self.state is ENDED and not self.unread_bytes
 
     # The writer's side.
 
-    def space(self) -> int:
-        """How much may be put in now. A body that nobody wants takes everything, and holds nothing."""
+    def available_space(self) -> int:
+        """Returns how many bytes may be put in now; 0 blocks the writer until `on_space` is called.
+
+        A dropped body accepts everything and holds nothing.
+        """
         if self.state is DROPPED:
-            return SLICE
-        room = self.shares.window - (self.size - self._at)
-        if room > 0:
-            return room
-        self.full = True  # until `eased` is called, whatever is asked in between
+            return MAX_SLICE_BYTES
+        space = self.memory.window_bytes - (self.size - self._position)
+        if space > 0:
+            return space
+        self.is_writer_blocked = True  # until `on_space` is called, even if a later call finds space
         return 0
 
     def put(self, part: bytes) -> None:
-        """All of it, even past `space`: a parser may give more at once than was asked for."""
+        """Appends a part, even beyond the available space: a parser may return more at once than was requested."""
         if self.state is DROPPED or not part:
             return
-        assert self.coming, self.state
+        assert self.is_open, self.state
         self._parts.append(part)
         self.size += len(part)
-        if self.kept:
-            if not self.shares.keep(len(part), self.size):
-                self._forget()
+        if self.is_kept:
+            if not self.memory.keep(len(part), self.size):
+                self._stop_keeping()
         elif self._spool is not None and not self._spool.write(part):
             self._spool = None
-        self.changed()
+        self.on_change()
 
     def end(self) -> None:
-        if self.coming:
+        """Marks the end of the body."""
+        if self.is_open:
             self.state = ENDED
-            self.changed()
+            self.on_change()
 
-    def cut(self) -> None:
-        """The writer broke off."""
-        if self.coming:
-            self.state = CUT
-            self.changed()
+    def abort(self) -> None:
+        """Marks that the writer broke off before the end."""
+        if self.is_open:
+            self.state = ABORTED
+            self.on_change()
 
     # The reader's side.
 
     def begin(self) -> bool:
-        """Read from the first byte on; False where it is gone."""
-        if not self.again():
+        """Starts to read from the first byte. Returns False if that is no longer held."""
+        if not self.can_restart():
             return False
         if self.state is WAITING:
             self.state = FLOWING
-        self._at = self._index = self._offset = 0
+        self._position = self._part_index = self._part_offset = 0
         return True
 
-    def take(self, most: int = SLICE) -> list[memoryview]:
-        """Slices of what comes next, `most` bytes at most, which then counts as taken. Raises Hole."""
-        found = self._from_file(most) if self._at < self._gone else self._from_memory(most)
-        if found and self.full and self.coming and self.ahead <= self.shares.window // 2:
-            self.full = False
-            self.eased()
+    def take(self, max_bytes: int = MAX_SLICE_BYTES) -> list[memoryview]:
+        """Returns slices of the next `max_bytes` bytes at most, and counts them as taken.
+
+        Raises SpoolReadError.
+        """
+        found = (
+            self._take_from_file(max_bytes)
+            if self._position < self._released_bytes
+            else self._take_from_memory(max_bytes)
+        )
+        if found and self.is_writer_blocked and self.is_open and self.unread_bytes <= self.memory.window_bytes // 2:
+            self.is_writer_blocked = False
+            self.on_space()
         return found
 
-    def _from_file(self, most: int) -> list[memoryview]:
-        """For an attempt after the first."""
-        part = self._spool.read(self._at, min(most, self._gone - self._at)) if self._spool is not None else b""
+    def _take_from_file(self, max_bytes: int) -> list[memoryview]:
+        """Takes the next slice for an attempt after the first."""
+        part = (
+            self._spool.read(self._position, min(max_bytes, self._released_bytes - self._position))
+            if self._spool is not None
+            else b""
+        )
         if not part:
-            self._unspool()
-            raise Hole
-        self._at += len(part)
+            self._drop_spool()
+            raise SpoolReadError
+        self._position += len(part)
         return [memoryview(part)]
 
-    def _from_memory(self, most: int) -> list[memoryview]:
+    def _take_from_memory(self, max_bytes: int) -> list[memoryview]:
         found: list[memoryview] = []
-        while most > 0 and self._index < len(self._parts):
-            part = memoryview(self._parts[self._index])[self._offset : self._offset + most]
+        while max_bytes > 0 and self._part_index < len(self._parts):
+            part = memoryview(self._parts[self._part_index])[self._part_offset : self._part_offset + max_bytes]
             found.append(part)
-            most -= len(part)
-            self._at += len(part)
-            self._offset += len(part)
-            if self._offset == len(self._parts[self._index]):
-                self._index, self._offset = self._index + 1, 0
-        if not self.kept:
-            self._let_go()
+            max_bytes -= len(part)
+            self._position += len(part)
+            self._part_offset += len(part)
+            if self._part_offset == len(self._parts[self._part_index]):
+                self._part_index, self._part_offset = self._part_index + 1, 0
+        if not self.is_kept:
+            self._release_taken()
         return found
 
     def drop(self) -> None:
-        """Nobody wants it any more; the one place where what it holds is given back."""
+        """Discards the body. This is the only place that returns the memory and the file that it holds."""
         if self.state is DROPPED:
             return
-        coming, self.state = self.coming, DROPPED
-        if self.kept:
-            self.shares.forget(self.held)
-        self._unspool()
-        self.shares.end()
-        self._parts, self._gone, self._at, self.kept = [], self.size, self.size, False
-        self.changed = _nothing
-        if coming:  # what still comes is read and lost
-            self.eased()
-        self.eased = _nothing
-
-    def _forget(self) -> None:
-        """Memory has no room to keep it: from here on it is in a file, or can be read once only."""
-        self.kept = False
-        self.shares.forget(self.held - len(self._parts[-1]))
-        spool = self.shares.folder.open() if self.shares.folder is not None else None
+        was_open, self.state = self.is_open, DROPPED
+        if self.is_kept:
+            self.memory.release(self.held_bytes)
+        self._drop_spool()
+        self.memory.close_body()
+        self._parts, self._released_bytes, self._position, self.is_kept = [], self.size, self.size, False
+        self.on_change = _nothing
+        if was_open:  # unblocks the writer; what it still puts in is discarded
+            self.on_space()
+        self.on_space = _nothing
+
+    def _stop_keeping(self) -> None:
+        """Moves the body to a file, because memory has no room to keep it; without a file it can be read only once."""
+        self.is_kept = False
+        self.memory.release(self.held_bytes - len(self._parts[-1]))
+        spool = self.memory.folder.open() if self.memory.folder is not None else None
         if spool is not None and all(map(spool.write, self._parts)):
             self._spool = spool
-        self._let_go()
+        self._release_taken()
 
-    def _unspool(self) -> None:
+    def _drop_spool(self) -> None:
         if self._spool is not None:
             self._spool.drop()
             self._spool = None
 
-    def _let_go(self) -> None:
-        if self._index:
-            self._gone += sum(map(len, self._parts[: self._index]))
-            del self._parts[: self._index]
-            self._index = 0
+    def _release_taken(self) -> None:
+        if self._part_index:
+            self._released_bytes += sum(map(len, self._parts[: self._part_index]))
+            del self._parts[: self._part_index]
+            self._part_index = 0
--- a/brackenpulley/bodies/pace.py
+++ b/brackenpulley/bodies/pace.py
@@ -1,60 +1,68 @@
-"""How long a client may take over a message: one that flows against one that stands. No clock: times are passed in.
-
-| what has come                          | the message is given up (408) when                             |
-| -------------------------------------- | -------------------------------------------------------------- |
-| nothing, or a part of the head         | `HEAD` s have passed since its first byte (the first message:  |
-|                                        | since connecting): a bad client is owed its answer within 3 s  |
-| a part of the body, some of it lately  | it is slower on the whole than `SLOWEST`, after `GRACE` s      |
-| a part of the body, none of it lately  | `STANDS` s have passed since the last byte of it; in the first |
-|                                        | message `STANDS_FIRST`, once `HEAD` have since connecting      |
-| a part of the body, which we hold back | never: what we do not read does not count against the client   |
+"""Timeouts for a client that sends a message: tells a slow client from a stalled one. Times are passed in.
+
+| received so far                       | the message is given up (408) when                                      |
+| ------------------------------------- | ----------------------------------------------------------------------- |
+| nothing, or a part of the headers     | `HEAD_TIMEOUT_SECONDS` have passed since its first byte; for the first  |
+|                                       | message since connecting: a bad client must get its answer within 3 s   |
+| a part of the body, some of it lately | its average rate is below `MIN_BYTES_PER_SECOND`, after                 |
+|                                       | `RATE_GRACE_SECONDS`                                                    |
+| a part of the body, none of it lately | `STALL_TIMEOUT_SECONDS` have passed since its last byte; for the first  |
+|                                       | message `FIRST_MESSAGE_STALL_TIMEOUT_SECONDS`, once                     |
+|                                       | `HEAD_TIMEOUT_SECONDS` have passed since connecting                     |
+| a part of the body, reading is paused | never: time in which this ingress does not read is not counted          |
 """
 
 from __future__ import annotations
 
-HEAD = 2.4  # s; a client may spend 2 s on a head, and the sweep finds it up to 0.25 s late
-STANDS, STANDS_FIRST = 2.0, 1.0  # s
-GRACE = 15.0  # s from the first byte of the body
-SLOWEST = 16 << 10  # bytes a second; 64 kB a second is the least that clients are promised
+HEAD_TIMEOUT_SECONDS = 2.4  # a client may take 2 s for its headers, and the sweep finds it up to 0.25 s late
+STALL_TIMEOUT_SECONDS = 2.0  # without a byte of the body
+FIRST_MESSAGE_STALL_TIMEOUT_SECONDS = 1.0  # the same for the first message of a connection
+RATE_GRACE_SECONDS = 15.0  # from the first byte of the body, before its rate is checked
+MIN_BYTES_PER_SECOND = 16 << 10  # clients are promised that 64 kB/s is fast enough
 
 
 class Pace:
-    """The pace of one connection's messages. Times are of the caller's clock, in seconds."""
+    """Measures how fast the messages of one connection arrive. Times are in seconds, on the caller's clock."""
 
-    __slots__ = ("since", "body_at", "last", "held_back", "first")
+    __slots__ = ("message_started_at", "body_started_at", "last_progress_at", "paused_at", "is_first_message")
 
     def __init__(self, now: float) -> None:
-        self.first = True  # the client's first message: a bad one has its answer by when it connected
-        self.since = now  # the first byte of the message in hand, or when its client connected
-        self.body_at = 0.0  # when the head was whole; 0 = it is not
-        self.last = now  # byte of the body, or the end of the last time that it was held back
-        self.held_back = 0.0  # since when nothing is read; 0 = it is
-
-    def begin(self, now: float) -> None:
-        """The first byte of a message."""
-        self.since, self.body_at, self.held_back, self.first = now, 0.0, 0.0, False
-
-    def body(self, now: float) -> None:
-        """Bytes came and the head is whole."""
-        self.body_at = self.body_at or now
-        self.last = now
-
-    def hold(self, now: float, back: bool) -> None:
-        """We stop reading, or read again: the time between counts against nobody."""
-        if back and not self.held_back:
-            self.held_back = now
-        elif not back and self.held_back:
-            self.body_at += now - self.held_back
-            self.last, self.held_back = now, 0.0
-
-    def stands(self, now: float, size: int) -> bool:
-        """The message is to be given up; `size` bytes of its body have come."""
-        if self.held_back:
+        self.is_first_message = True  # its timeout for the headers runs from the time of connecting
+        self.message_started_at = now  # first byte of the current message, or the time of connecting
+        self.body_started_at = 0.0  # when the headers were complete; 0 before that
+        self.last_progress_at = now  # last byte of the body, or the end of the last pause
+        self.paused_at = 0.0  # since when nothing is read; 0 while reading
+
+    def begin_message(self, now: float) -> None:
+        """Records the first byte of a message."""
+        self.message_started_at, self.body_started_at, self.paused_at, self.is_first_message = now, 0.0, 0.0, False
+
+    def receive_body(self, now: float) -> None:
+        """Records that bytes were received and that the headers are complete."""
+        self.body_started_at = self.body_started_at or now
+        self.last_progress_at = now
+
+    def set_paused(self, now: float, is_paused: bool) -> None:
+        """Records that reading is paused or resumed. The time of a pause is not counted."""
+        if is_paused and not self.paused_at:
+            self.paused_at = now
+        elif not is_paused and self.paused_at:
+            self.body_started_at += now - self.paused_at
+            self.last_progress_at, self.paused_at = now, 0.0
+
+    def has_timed_out(self, now: float, size: int) -> bool:
+        """Returns whether the message must be given up; `size` is the number of bytes received of its body."""
+        if self.paused_at:
             return False
-        if not self.body_at:
-            return now - self.since > HEAD
-        still = now - self.last
-        if still > STANDS or self.first and still > STANDS_FIRST and now - self.since > HEAD:
+        if not self.body_started_at:
+            return now - self.message_started_at > HEAD_TIMEOUT_SECONDS
+        stalled = now - self.last_progress_at
+        if (
+            stalled > STALL_TIMEOUT_SECONDS
+            or self.is_first_message
+            and stalled > FIRST_MESSAGE_STALL_TIMEOUT_SECONDS
+            and now - self.message_started_at > HEAD_TIMEOUT_SECONDS
+        ):
             return True
-        taken = now - self.body_at
-        return taken > GRACE and size < SLOWEST * taken
+        elapsed = now - self.body_started_at
+        return elapsed > RATE_GRACE_SECONDS and size < MIN_BYTES_PER_SECOND * elapsed
--- a/brackenpulley/bodies/spool.py
+++ b/brackenpulley/bodies/spool.py
@@ -1,6 +1,7 @@
-"""Bodies kept in files where memory has no room: for installations with a disk, off on the platform.
+"""Keeps bodies in files where memory has no room, for installations with a disk. Off unless a folder is configured.
 
-Each body has a file of its own without a name: nobody can take it away, and nothing of it outlives the process."""
+Each body has an unnamed file of its own: nothing else can remove it, and it disappears with the process.
+"""
 
 from __future__ import annotations
 
@@ -10,35 +11,35 @@
 from typing import BinaryIO
 
 
-class Folder:
-    """Where the files are, and the account of them. Sizes are bytes; errors end in `failed`, one line each."""
+class SpoolFolder:
+    """The folder for spool files, and the account of their size in bytes."""
 
-    __slots__ = ("path", "most", "used", "failed")
+    __slots__ = ("path", "max_bytes", "used_bytes", "on_error")
 
-    def __init__(self, path: str, most: int, failed: Callable[[str], None]) -> None:
-        """`most`: of all files together."""
-        self.path, self.most, self.used, self.failed = path, most, 0, failed
+    def __init__(self, path: str, max_bytes: int, on_error: Callable[[str], None]) -> None:
+        """`max_bytes` limits all files together. `on_error` is called with one line of text for each error."""
+        self.path, self.max_bytes, self.used_bytes, self.on_error = path, max_bytes, 0, on_error
 
     def open(self) -> Spool | None:
-        """None where no file can be had."""
+        """Creates a file; returns None if that fails."""
         try:
             return Spool(self, tempfile.TemporaryFile(dir=self.path, buffering=0))
         except OSError as error:
-            self.failed(f"{self.path}: {error.strerror}")
+            self.on_error(f"{self.path}: {error.strerror}")
             return None
 
 
 class Spool:
-    """One body's bytes from the first on, for one reader."""
+    """A file with the bytes of one body, from the first on, for one reader."""
 
     __slots__ = ("_folder", "_file", "size")
 
-    def __init__(self, folder: Folder, file: BinaryIO) -> None:
+    def __init__(self, folder: SpoolFolder, file: BinaryIO) -> None:
         self._folder, self._file, self.size = folder, file, 0
 
     def write(self, part: bytes) -> bool:
-        """False, and the file is given back, where not all of it could be written."""
-        if self._folder.used + len(part) > self._folder.most:
+        """Appends a part. Returns False, and closes the file, if not all of it could be written."""
+        if self._folder.used_bytes + len(part) > self._folder.max_bytes:
             self.drop()
             return False
         left = memoryview(part)
@@ -46,23 +47,26 @@
             while left:
                 left = left[os.pwrite(self._file.fileno(), left, self.size + len(part) - len(left)) :]
         except OSError as error:
-            self._folder.failed(f"{self._folder.path}: {error.strerror}")
+            self._folder.on_error(f"{self._folder.path}: {error.strerror}")
             self.drop()
             return False
         self.size += len(part)
-        self._folder.used += len(part)
+        self._folder.used_bytes += len(part)
         return True
 
-    def read(self, at: int, most: int) -> bytes:
-        """Empty where it cannot be read, or is shorter than what was written."""
+    def read(self, offset: int, max_bytes: int) -> bytes:
+        """Reads up to `max_bytes` at `offset`.
+
+        Returns nothing if the file cannot be read or is shorter than what was written.
+        """
         try:
-            return os.pread(self._file.fileno(), most, at)
+            return os.pread(self._file.fileno(), max_bytes, offset)
         except (OSError, ValueError) as error:
-            self._folder.failed(f"{self._folder.path}: {error}")
+            self._folder.on_error(f"{self._folder.path}: {error}")
             return b""
 
     def drop(self) -> None:
-        """The one place where a file is given back."""
+        """Closes the file. This is the only place that returns its space to the folder."""
         if not self._file.closed:
-            self._folder.used -= self.size
+            self._folder.used_bytes -= self.size
             self._file.close()
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -149,10 +149,10 @@
             if plan is not None:
                 found.append(plan)
         if found:
-            ingress.tell(i.PlanFigures(found))
+            ingress.notify(i.PlanFigures(found))
         for firm in taken.firms:  # one that is not met yet hears its plan with its first message
-            if firm in ingress.gateway.customers and (name := content.firms.get(firm, "")):
-                ingress.tell(i.Moved(firm, name))
+            if firm in ingress.decision_module.customers and (name := content.firms.get(firm, "")):
+                ingress.notify(i.Moved(firm, name))
         if taken.addresses:
             discovery, counter = self.addresses(self._addresses["discovery"], self._addresses["counter"])
             if discovery is not None and "discovery" in taken.addresses and hasattr(daemon.discovery, "move"):
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -614,7 +614,7 @@
             "upSeconds": round(time.monotonic() - began, 3),
             "ready": daemon.drain.ready(daemon.ready()),
             "ending": daemon.ending,
-            "held": len(daemon.ingress.held),
+            "held": len(daemon.ingress.exchanges),
             "clients": len(daemon.north.clients),
             "servers": len(daemon.inventory),
             **{name: part.status() for name, part in parts.items() if part is not None},
@@ -628,7 +628,7 @@
     def drain(request: Request) -> Any:
         """/ready says no from now on; what still comes is served, until SIGTERM."""
         daemon.north.draining = True
-        return {"draining": True, "held": len(daemon.ingress.held)}
+        return {"draining": True, "held": len(daemon.ingress.exchanges)}
 
     routes.add("GET", "/v1/live", lambda request: daemon.health.status() if daemon.health is not None else {})
     routes.add("GET", "/v1/ready", ready)
--- a/brackenpulley/core/exchange.py
+++ b/brackenpulley/core/exchange.py
@@ -1,4 +1,8 @@
-"""The only place where the north side and the south side meet: one message, its relays, its one final answer."""
+"""Defines the exchange of one message between the north side and the south side.
+
+An exchange holds one message, its relays and its single final answer. `Ingress` owns exchanges. The fronts and the
+south side see only the protocols and the result types that are defined here.
+"""
 
 from __future__ import annotations
 
@@ -11,160 +15,203 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What the client is told. `kind`: served, granted (a front that relays nothing), back-off, failed or denied."""
+    """The final answer to a client.
+
+    `kind` is "served", "granted" (from a front that names a sim server and relays nothing), "back-off", "failed" or
+    "denied".
+    """
 
     kind: str
     status: int
-    after: float = 0.0  # s to stay away, with a back-off answer; 0 = no advice
-    payload: Any = None  # a served answer as the south side took it in; the core does not look inside
+    retry_after: float = 0.0  # seconds, for a back-off answer; 0 sends no Retry-After
+    payload: Any = None  # as the south side received it; the core does not inspect it
     server: str = ""
-    flows: bool = False  # its body still comes: whether it was served whole is known at the relay's end
+    is_streaming: bool = False  # the body is still being received; whether it is complete is known when the relay ends
 
 
 @dataclass(slots=True)
-class RelayEnd:
-    """How a relay ended, in the module's words for outcomes; or, with `ok`, how a long answer began."""
+class RelayResult:
+    """The result of a relay, with a status of `policy.interface.Outcome`.
+
+    Passed to `on_streaming`, it describes the start of a long answer, and its status is "ok".
+    """
 
     status: str
     payload: Any = None
     used: int = 0
     cost: float = 0.0
     load: list[float] = field(default_factory=list)
-    since: float = 0.0  # when the last byte of a long message was written; 0 = it was not long
-    last: bool = False  # it failed by our own limits, and would do so again
+    written_at: float = 0.0  # when the last byte of a long message was written; 0 for a short message
+    is_permanent: bool = False  # it failed on a limit of this ingress, so another attempt would fail as well
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What an authoriser says of a message: allow, deny, or unknown (it stalled, broke or could not be reached)."""
+    """An authoriser's verdict on a message.
+
+    `kind` is "allow", "deny" or "unknown"; the last one when the authoriser stalled, failed or was unreachable.
+    """
 
     kind: str
     status: int = 0
     payload: Any = None  # of a denial
-    amend: Callable[[Any], Any] | None = None  # what an allowed message's payload becomes
+    amend_payload: Callable[[Any], Any] | None = None  # returns the changed payload of an allowed message
+
 
+class PendingCall(Protocol):
+    """A call whose result the core awaits."""
 
-class Asking(Protocol):
     def drop(self) -> None:
-        """Give up: no verdict is reported any more."""
+        """Cancels the call. Its callback is not called any more."""
 
 
 class Authoriser(Protocol):
-    def ask(self, message: Message, left: float, done: Callable[[Verdict], None]) -> Asking:
-        """`done` is called once, within `left`, unless it is dropped; never before this returns."""
+    """Decides whether a message is allowed."""
+
+    def ask(self, message: Message, timeout: float, on_done: Callable[[Verdict], None]) -> PendingCall:
+        """Requests a verdict.
+
+        Calls `on_done` once within `timeout` seconds, unless the call is dropped, and never before this returns.
+        """
 
 
 class Relay(Protocol):
+    """A relay in flight."""
+
     def drop(self) -> bool:
-        """Give up: no end is reported any more. Tells whether it may have run: its last byte was written."""
+        """Cancels the relay; its result is not reported any more.
+
+        Returns whether the sim server may have run it, which is so if its last byte was written.
+        """
 
     def recall(self) -> bool:
-        """Give up, as long as not a byte of it has gone out. Tells whether that was so."""
+        """Cancels the relay if none of its bytes were sent, and returns whether that was so."""
 
 
 class South(Protocol):
+    """Starts relays to sim servers."""
+
     def start(
         self,
         message: Message,
         server: str,
-        left: float,
-        done: Callable[[RelayEnd], None],
-        began: Callable[[RelayEnd], None],
+        timeout: float,
+        on_done: Callable[[RelayResult], None],
+        on_streaming: Callable[[RelayResult], None],
     ) -> Relay:
-        """Begin one relay. `done` is called once, unless it is dropped; it may be called before this returns.
+        """Starts one relay that may take `timeout` seconds.
 
-        Where the answer is long, `began` is called once before that, when the first of it is there."""
+        Calls `on_done` once, unless the relay is dropped; the call may happen before this returns. For a long answer,
+        calls `on_streaming` once before that, when the first part of the answer has been received.
+        """
 
 
 class ExchangeError(RuntimeError):
-    """A second final answer or a second relay: the rules forbid both."""
+    """A second final answer, or a second relay while one is in flight or after the end of the exchange."""
 
 
 class Exchange:
+    """One message, at most one relay in flight, and at most one final answer."""
+
     __slots__ = (
         "message",
-        "until",
-        "final",
-        "gone",
-        "flowing",
+        "deadline",
+        "final_answer",
+        "is_client_gone",
+        "is_streaming",
         "server",
         "attempt",
-        "sent",
+        "sent_at",
         "timer",
-        "asking",
+        "pending_call",
         "_reply",
         "_south",
         "_relay",
     )
 
-    def __init__(self, message: Message, until: float, reply: Callable[[Answer], None], south: South) -> None:
-        self.message, self.until = message, until
-        self.final: Answer | None = None
-        self.gone = False
-        self.flowing = False  # the final answer goes out while it still comes
-        self.server, self.attempt, self.sent = "", -1, 0.0
+    def __init__(self, message: Message, deadline: float, reply: Callable[[Answer], None], south: South) -> None:
+        self.message, self.deadline = message, deadline
+        self.final_answer: Answer | None = None
+        self.is_client_gone = False
+        self.is_streaming = False  # the final answer is sent to the client while the sim server still sends it
+        self.server, self.attempt, self.sent_at = "", -1, 0.0
         self._reply, self._south = reply, south
         self._relay: Relay | None = None
         self.timer: Any = None
-        self.asking: Asking | None = None  # the authoriser's verdict is awaited; the module knows nothing of it yet
+        # Set while an authoriser's verdict or a lease is awaited. The decision module does not know the message yet.
+        self.pending_call: PendingCall | None = None
 
     @property
-    def out(self) -> bool:
+    def has_relay(self) -> bool:
+        """Whether a relay is in flight."""
         return bool(self.server)
 
     @property
-    def owed(self) -> bool:
-        return self.final is None and not (self.gone or self.server) and self.asking is None
+    def is_answer_due(self) -> bool:
+        """Whether the client waits for an answer and nothing that could produce one is pending."""
+        return self.final_answer is None and not (self.is_client_gone or self.server) and self.pending_call is None
 
     @property
-    def over(self) -> bool:
-        return self.gone or self.final is not None
+    def is_finished(self) -> bool:
+        """Whether the final answer was sent or the client has disconnected."""
+        return self.is_client_gone or self.final_answer is not None
 
     def relay(
         self,
         server: str,
         now: float,
-        left: float,
-        done: Callable[[Exchange, int, RelayEnd], None],
-        began: Callable[[Exchange, int, RelayEnd], None],
+        timeout: float,
+        on_done: Callable[[Exchange, int, RelayResult], None],
+        on_streaming: Callable[[Exchange, int, RelayResult], None],
     ) -> None:
-        if self.over or self.server:
-            raise ExchangeError(f"{self.message.id}: a relay while {'over' if self.over else 'another is out'}")
-        self.server, self.attempt, self.sent = server, self.attempt + 1, now
+        """Starts the next attempt. The callbacks get the exchange, the number of the attempt and the result.
+
+        Raises ExchangeError if the exchange is finished or another relay is in flight.
+        """
+        if self.is_finished or self.server:
+            raise ExchangeError(
+                f"message {self.message.id}: cannot start a relay: "
+                f"{'the exchange is finished' if self.is_finished else 'another relay is in flight'}"
+            )
+        self.server, self.attempt, self.sent_at = server, self.attempt + 1, now
         number = self.attempt
 
-        def ended(end: RelayEnd) -> None:
-            if self.server and self.attempt == number:  # guards against an end that comes after giving up
+        def report_done(result: RelayResult) -> None:
+            if self.server and self.attempt == number:  # ignores a result that arrives after the relay was dropped
                 self._relay = None
-                done(self, number, end)
+                on_done(self, number, result)
 
-        def begun(end: RelayEnd) -> None:
+        def report_streaming(result: RelayResult) -> None:
             if self.server and self.attempt == number:
-                began(self, number, end)
+                on_streaming(self, number, result)
 
-        relay = self._south.start(self.message, server, left, ended, begun)
+        relay = self._south.start(self.message, server, timeout, report_done, report_streaming)
         if self.server and self.attempt == number:
             self._relay = relay
 
     def settle(self) -> None:
-        """The relay's end has been taken in; another may go out."""
-        self.server, self.flowing = "", False
+        """Clears the relay whose result was processed, so that another one may start."""
+        self.server, self.is_streaming = "", False
 
     def drop(self) -> bool:
-        """Give up the relay that is out: its connection is closed and its end is no longer heard."""
+        """Cancels the relay in flight and ignores its result. Returns whether the sim server may have run it."""
         relay, self._relay = self._relay, None
         return relay is not None and relay.drop()
 
     def recall(self) -> bool:
-        """The same, if nothing of it has gone out yet: an attempt that waits for its connection is none."""
+        """Cancels the relay in flight if none of its bytes were sent, for example while it waits for a connection.
+
+        Returns whether the relay was cancelled.
+        """
         if self._relay is None or not self._relay.recall():
             return False
         self._relay = None
         return True
 
     def answer(self, answer: Answer) -> None:
-        if self.final is not None:
-            raise ExchangeError(f"{self.message.id}: a second final answer")
-        self.final = answer
-        if not self.gone:
+        """Sends the final answer, unless the client has disconnected. Raises ExchangeError on a second answer."""
+        if self.final_answer is not None:
+            raise ExchangeError(f"message {self.message.id}: the final answer was already sent")
+        self.final_answer = answer
+        if not self.is_client_gone:
             self._reply(answer)
--- a/brackenpulley/core/ingress.py
+++ b/brackenpulley/core/ingress.py
@@ -1,4 +1,9 @@
-"""Drives the decision module: events in, actions out, timers. Clock and ports are passed in."""
+"""Drives the decision module: passes events to it, carries out its actions and runs its timers.
+
+`Ingress` owns every exchange. The clock, the timers and all services that it calls are passed in, so that it runs
+without sockets. `serve.Daemon` builds it; the fronts, the inventory and the services for plans, leases, reservations
+and the fleet call it.
+"""
 
 from __future__ import annotations
 
@@ -8,385 +13,467 @@
 from typing import Any, Protocol
 
 from ..metrics import OUTCOMES, Metrics
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.brain import Gateway
-from .exchange import Answer, Asking, Authoriser, Exchange, RelayEnd, South, Verdict
-from .message import Message, check
+from .exchange import Answer, Authoriser, Exchange, PendingCall, RelayResult, South, Verdict
+from .message import Message, check_message
 
-UNSTORED = 1.0  # s to stay away while use cannot be stored
-UNOPENED = 0.5  # s to stay away from a process that cannot serve yet
+UNSTORED_RETRY_AFTER_SECONDS = 1.0  # for a message refused because the ledger cannot store its charge
+NOT_READY_RETRY_AFTER_SECONDS = 0.5  # for a message refused because the ingress cannot serve yet
 
 
 class Timers(Protocol):
-    def call_at(self, when: float, call: Callable[[], None]) -> Any:
-        """A handle with cancel()."""
+    """Timers on the clock of the ingress."""
+
+    def call_at(self, when: float, callback: Callable[[], None]) -> Any:
+        """Calls `callback` at the time `when` and returns a handle with `cancel()`."""
 
 
 class Counter(Protocol):
+    """Client of the shared quota counter service."""
+
     def add(self, name: int, amount: float, ttl: float, number: int = 0) -> None:
-        """`number` is told again with a Total."""
+        """Adds `amount` to the counter `name`, which expires after `ttl` seconds.
+
+        `number` identifies the call; it is returned with a Total.
+        """
 
 
 class Plans(Protocol):
-    def plan_of(self, customer: int, told: str) -> tuple[str, int]:
-        """The plan that the book has a customer on now, and the book's revision that says so."""
+    """The plan book."""
+
+    def plan_of(self, firm: int, requested_plan: str) -> tuple[str, int]:
+        """Returns the current plan of a firm, and the revision of the book that set it.
+
+        `requested_plan` is the plan that the client named.
+        """
 
 
 class Ledger(Protocol):
+    """The ledger of charges."""
+
     @property
     def refuses(self) -> bool:
-        """Nothing can be stored, and the operator wants nothing served then."""
+        """Whether messages must be refused: nothing can be stored, and the operator configured to refuse then."""
 
-    def charge(self, a: i.Charge) -> None: ...
+    def charge(self, action: interface.Charge) -> None:
+        """Records the units that a message or a reservation used."""
+        ...
 
     def answer(self, reply: Callable[[Answer], None], answer: Answer) -> None:
-        """`reply` is called with the answer in this turn, once the use of the turn is stored."""
+        """Calls `reply` with the answer in this turn of the loop, after the charges of the turn are stored."""
 
 
-class Holds(Protocol):
-    """Explicit reservations."""
+class Reservations(Protocol):
+    """Reservations that firms made for later messages."""
 
     def pays(self, message: Message) -> float:
-        """Units that the reservation it names holds for this message; 0 = none."""
+        """Returns the units that the message's reservation holds for it, or 0."""
 
     def used(self, message: Message) -> None:
-        """The message was sent on and takes the reservation's units over."""
+        """Marks the message's reservation as used: the message was relayed and takes over its units."""
 
     def granted(self, message: Message) -> bool:
-        """The message runs where its end is not seen; False where its units are not held from here on."""
+        """Holds the units of a message that runs where this ingress does not see its end.
+
+        Returns False if the units cannot be held.
+        """
 
 
 class Leases(Protocol):
-    def ask(self, message: Message, done: Callable[[], None]) -> Asking | None:
-        """None where the module can decide now; else `done` is called once, unless it is dropped."""
+    """Leases of quota from the shared counter."""
+
+    def ask(self, message: Message, on_done: Callable[[], None]) -> PendingCall | None:
+        """Makes sure that the firm of the message has a lease.
+
+        Returns None if the decision module can decide now. Otherwise `on_done` is called once, unless the returned
+        call is dropped.
+        """
+
+    def counted(self, event: interface.Counted) -> None:
+        """Processes an answer of the counter."""
+        ...
 
-    def counted(self, event: i.Counted) -> None: ...
+    def settled(self, firm: int) -> None:
+        """Processes a true cost of a firm, after which its token bucket may be negative."""
 
-    def settled(self, customer: int) -> None:
-        """True costs are in: the customer's store may be below nothing."""
+    def moved(self, firms: Iterable[int]) -> None:
+        """Processes a change of the plans of firms, or of the figures of their plans."""
 
-    def moved(self, customers: Iterable[int]) -> None:
-        """Their plans, or the figures of these, have changed."""
 
+class LoadObserver(Protocol):
+    """Receives the load that sim servers report."""
 
-class Crowd(Protocol):
     def reported(self, server: str, load: list[float]) -> None:
-        """What a server said of itself with an answer."""
+        """Processes the load that a sim server reported with an answer."""
 
 
 class Log(Protocol):
-    def info(self, event: str, **more: Any) -> Any: ...
-    def exception(self, event: str, **more: Any) -> Any: ...
+    """A structured logger."""
+
+    def info(self, event: str, **more: Any) -> Any:
+        """Logs an event."""
+        ...
+
+    def exception(self, event: str, **more: Any) -> Any:
+        """Logs an event with the exception that is being handled."""
+        ...
 
 
 class Ingress:
-    """Owns every exchange from `take` until it is over and no relay of it is out."""
+    """Owns each exchange from `accept` until it is finished and has no relay in flight."""
 
     def __init__(
-        self, gateway: Gateway, clock: Callable[[], float], timers: Timers, counter: Counter, metrics: Metrics, log: Log
+        self,
+        decision_module: Gateway,
+        clock: Callable[[], float],
+        timers: Timers,
+        counter: Counter,
+        metrics: Metrics,
+        log: Log,
     ) -> None:
-        self.gateway, self.clock, self.timers, self.counter = gateway, clock, timers, counter
+        self.decision_module, self.clock, self.timers, self.counter = decision_module, clock, timers, counter
         self.metrics, self.log = metrics, log
-        self.held: dict[str, Exchange] = {}
-        self.listed = False
+        self.exchanges: dict[str, Exchange] = {}
+        self.has_server_list = False
         self.authoriser: Authoriser | None = None
-        self.fail_open = False  # without a verdict the module decides; else the message is turned away
+        self.fail_open = False  # whether a message without a verdict is allowed; otherwise it gets a 503
         self.plans: Plans | None = None
         self.ledger: Ledger | None = None
-        self.holds: Holds | None = None
+        self.reservations: Reservations | None = None
         self.leases: Leases | None = None
-        self.crowd: Crowd | None = None
-        self._reserving: i.Reserved | i.Refuse | None = None  # what the module says to the reservation just asked for
-        self.watch: Callable[[], None] = lambda: None  # the inventory watches by itself where changes are pushed
-        self._events: deque[i.Event] = deque()
-        self._busy = False
-        self._does: dict[type, Callable[[Any], None]] = {
-            i.Send: self._send,
-            i.Refuse: self._refuse,
-            i.Fail: self._fail,
-            i.Cancel: self._cancel,
-            i.Count: self._count,
-            i.SetTimer: self._timer,
-            i.Watch: lambda a: self.watch(),
-            i.Fetch: lambda a: self.watch(),
-            i.Log: lambda a: self.log.info("module", text=a.text),
-            i.Charge: self._charge,
-            i.Reserved: self._reserved,
+        self.load_observer: LoadObserver | None = None
+        # The decision module's answer to the reservation that `reserve` is requesting.
+        self._reservation_result: interface.Reserved | interface.Refuse | None = None
+        # Requests the list of sim servers. Does nothing where discovery pushes changes.
+        self.watch_inventory: Callable[[], None] = lambda: None
+        self._events: deque[interface.Event] = deque()
+        self._is_handling = False
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
+            interface.Send: self._handle_send,
+            interface.Refuse: self._handle_refuse,
+            interface.Fail: self._handle_fail,
+            interface.Cancel: self._handle_cancel,
+            interface.Count: self._handle_count,
+            interface.SetTimer: self._handle_set_timer,
+            interface.Watch: lambda action: self.watch_inventory(),
+            interface.Fetch: lambda action: self.watch_inventory(),
+            interface.Log: lambda action: self.log.info("module", text=action.text),
+            interface.Charge: self._handle_charge,
+            interface.Reserved: self._handle_reserved,
         }
 
-    def take(
-        self, message: Message, reply: Callable[[Answer], None], south: South, opened: bool = True
+    def accept(
+        self, message: Message, reply: Callable[[Answer], None], south: South, is_serving: bool = True
     ) -> Exchange | None:
-        """A message was taken in; None (and nothing owed) if its id is in hand already. Raises MessageError.
+        """Starts the exchange of a message; `reply` gets its final answer. Raises MessageError.
 
-        `opened`: whether it is tried; else it is refused at once (see policy/drain)."""
+        Returns None, and never calls `reply`, if a message with the same id is in progress. A message that arrives
+        while `is_serving` is false is refused at once (see policy/drain).
+        """
         if self.plans is not None:
-            message.plan, message.revision = self.plans.plan_of(message.customer, message.told)
-        check(message, self.gateway.s, self.gateway.plans)
-        if message.id in self.held:
+            message.plan, message.revision = self.plans.plan_of(message.firm, message.requested_plan)
+        check_message(message, self.decision_module.s, self.decision_module.plans)
+        if message.id in self.exchanges:
             return None
         self.metrics.add("messages")
-        metrics, cls = self.metrics, message.cls
+        metrics, priority_class = self.metrics, message.priority_class
 
-        def counted(answer: Answer) -> None:  # the final answer, counted once, here or where it stops flowing
-            if not answer.flows:
-                metrics.of(OUTCOMES[answer.kind], cls)
+        # Counts the final answer once; `_count_streamed` counts a streamed one when it ends.
+        def reply_counted(answer: Answer) -> None:
+            if not answer.is_streaming:
+                metrics.of(OUTCOMES[answer.kind], priority_class)
             reply(answer)
 
-        final = counted
+        send_answer = reply_counted
         if (ledger := self.ledger) is not None:
 
-            def stored(answer: Answer) -> None:
-                ledger.answer(counted, answer)
+            def reply_stored(answer: Answer) -> None:
+                ledger.answer(reply_counted, answer)
 
-            final = stored
+            send_answer = reply_stored
 
-        exchange = Exchange(message, inf if message.coming else self.clock() + message.left, final, south)
-        self.held[message.id] = exchange
-        if not opened:
+        exchange = Exchange(
+            message, inf if message.is_body_pending else self.clock() + message.timeout, send_answer, south
+        )
+        self.exchanges[message.id] = exchange
+        if not is_serving:
             self.metrics.add("refused_unopened")
-            self._finish(exchange, Answer("back-off", 429, UNOPENED if self.gateway.s.retry_after else 0.0))
+            self._finish(
+                exchange,
+                Answer("back-off", 429, NOT_READY_RETRY_AFTER_SECONDS if self.decision_module.s.retry_after else 0.0),
+            )
         elif ledger is not None and ledger.refuses:
             self.metrics.add("refused_unstored")
-            self._finish(exchange, Answer("back-off", 503, UNSTORED if self.gateway.s.retry_after else 0.0))
+            self._finish(
+                exchange,
+                Answer("back-off", 503, UNSTORED_RETRY_AFTER_SECONDS if self.decision_module.s.retry_after else 0.0),
+            )
         elif self.authoriser is None:
             self._admit(exchange)
         else:
-            exchange.asking = self.authoriser.ask(message, message.left, lambda verdict: self._heard(exchange, verdict))
+            exchange.pending_call = self.authoriser.ask(
+                message, message.timeout, lambda verdict: self._handle_verdict(exchange, verdict)
+            )
         return exchange
 
     def _admit(self, exchange: Exchange) -> None:
-        """The module decides, with the time that remains; where allowance is leased, once some is there."""
+        """Has the decision module decide; where quota is leased, after the firm has a lease."""
         if self.leases is not None:
-            exchange.asking = self.leases.ask(exchange.message, lambda: self._decide(exchange))
-            if exchange.asking is not None:
+            exchange.pending_call = self.leases.ask(exchange.message, lambda: self._decide(exchange))
+            if exchange.pending_call is not None:
                 return
         self._decide(exchange)
 
     def _decide(self, exchange: Exchange) -> None:
-        exchange.asking = None
-        m = exchange.message
-        left = m.left if exchange.until == inf else max(0.0, exchange.until - self.clock())
-        event = i.Request(m.id, m.cls, m.plan, m.customer, left, m.units, m.spread, m.first, m.retry)
-        event.coming = exchange.until == inf
-        if self.plans is not None:  # it may have waited for a verdict over the instant of a change
-            event.plan, event.revision = m.plan, m.revision = self.plans.plan_of(m.customer, m.told)
-        if self.holds is not None and m.reservation:
-            event.held = self.holds.pays(m)
-        self._put(event)
-
-    def _heard(self, exchange: Exchange, verdict: Verdict) -> None:
-        exchange.asking = None
+        exchange.pending_call = None
+        message = exchange.message
+        timeout = message.timeout if exchange.deadline == inf else max(0.0, exchange.deadline - self.clock())
+        event = interface.Request(
+            message.id,
+            message.priority_class,
+            message.plan,
+            message.firm,
+            timeout,
+            message.units,
+            message.spread,
+            message.first,
+            message.is_retry,
+        )
+        event.coming = exchange.deadline == inf
+        if self.plans is not None:  # the plan may have changed while the message waited for a verdict
+            event.plan, event.revision = message.plan, message.revision = self.plans.plan_of(
+                message.firm, message.requested_plan
+            )
+        if self.reservations is not None and message.reservation:
+            event.held = self.reservations.pays(message)
+        self._enqueue(event)
+
+    def _handle_verdict(self, exchange: Exchange, verdict: Verdict) -> None:
+        exchange.pending_call = None
         self.metrics.add("verdict_" + verdict.kind)
-        if verdict.kind == "deny":  # final, and it takes no quota: the module never hears of the message
+        if verdict.kind == "deny":  # final and free of charge: the decision module never sees the message
             self._finish(exchange, Answer("denied", verdict.status, 0.0, verdict.payload))
         elif verdict.kind == "allow" or self.fail_open:
-            if verdict.amend is not None:
-                exchange.message.payload = verdict.amend(exchange.message.payload)
+            if verdict.amend_payload is not None:
+                exchange.message.payload = verdict.amend_payload(exchange.message.payload)
             self._admit(exchange)
         else:
             self._finish(exchange, Answer("failed", 503))
 
-    def whole(self, exchange: Exchange) -> None:
-        """The last byte of its long body came: from here on its time runs."""
-        if exchange.over:
+    def complete_body(self, exchange: Exchange) -> None:
+        """Processes the end of a message's long body. The message's timeout starts now."""
+        if exchange.is_finished:
             return
-        exchange.until = self.clock() + exchange.message.left
-        if exchange.out:
-            exchange.timer = self.timers.call_at(exchange.until, lambda: self._expired(exchange))
-        self._put(i.Whole(exchange.message.id))
-
-    def leave(self, exchange: Exchange) -> None:
-        """The client is gone."""
-        if exchange.flowing:  # nobody takes the rest: that speaks against no server
+        exchange.deadline = self.clock() + exchange.message.timeout
+        if exchange.has_relay:
+            exchange.timer = self.timers.call_at(exchange.deadline, lambda: self._handle_timeout(exchange))
+        self._enqueue(interface.Whole(exchange.message.id))
+
+    def disconnect(self, exchange: Exchange) -> None:
+        """Ends the exchange of a client that has disconnected."""
+        if exchange.is_streaming:  # the rest of the answer has no reader; this is no failure of the sim server
             exchange.drop()
-            exchange.gone = True
-            self._ended(exchange, exchange.attempt, RelayEnd("cancelled"))
-        if exchange.over:
+            exchange.is_client_gone = True
+            self._handle_result(exchange, exchange.attempt, RelayResult("cancelled"))
+        if exchange.is_finished:
             return
         self.metrics.add("gone")
-        exchange.gone = True
-        if exchange.asking is not None:
-            exchange.asking.drop()
-            exchange.asking = None
+        exchange.is_client_gone = True
+        if exchange.pending_call is not None:
+            exchange.pending_call.drop()
+            exchange.pending_call = None
             self._release(exchange)
             return
-        self._put(i.Gone(exchange.message.id))
-        if exchange.out and exchange.recall():  # where attempts may not be cancelled: this one has not begun
-            self._ended(exchange, exchange.attempt, RelayEnd("moot"))
+        self._enqueue(interface.Gone(exchange.message.id))
+        if exchange.has_relay and exchange.recall():  # even where attempts must not be cancelled: this one was not sent
+            self._handle_result(exchange, exchange.attempt, RelayResult("moot"))
         self._release(exchange)
 
-    def members(self, change: i.ServerList) -> None:
-        self.listed = self.listed or bool(change.entries)
-        self._put(change)
+    def update_servers(self, change: interface.ServerList) -> None:
+        """Passes a new or changed list of sim servers to the decision module."""
+        self.has_server_list = self.has_server_list or bool(change.entries)
+        self._enqueue(change)
 
-    def counted(self, event: i.Counted | i.Total) -> None:
+    def handle_counter_answer(self, event: interface.Counted | interface.Total) -> None:
+        """Passes an answer of the counter to the leases, or to the decision module where quota is not leased."""
         if self.leases is None:
-            self._put(event)
-        elif isinstance(event, i.Counted):  # a lease that was given up on stays so, whatever is heard of it later
+            self._enqueue(event)
+        elif isinstance(event, interface.Counted):  # not a late Total: a lease call that timed out stays failed
             self.leases.counted(event)
 
-    def tell(self, event: i.PlanFigures | i.Moved | i.Settle | i.Allow | i.Gateways | i.Shares) -> None:
-        """What the plan book, a reservation's end, a lease or the fleet has for the module."""
-        self._put(event)
+    def notify(
+        self,
+        event: interface.PlanFigures
+        | interface.Moved
+        | interface.Settle
+        | interface.Allow
+        | interface.Gateways
+        | interface.Shares,
+    ) -> None:
+        """Passes an event of the plan book, a reservation, a lease or the fleet to the decision module."""
+        self._enqueue(event)
+
+    def reserve(self, event: interface.Reserve) -> interface.Reserved | interface.Refuse:
+        """Requests the decision module to hold units.
 
-    def reserve(self, event: i.Reserve) -> i.Reserved | i.Refuse:
-        """Ask the module to hold units. Never called from within the module's actions."""
-        self._reserving = None
-        self._put(event)
-        return self._reserving or i.Refuse(event.id)
+        Must not be called while an action of the decision module is carried out.
+        """
+        self._reservation_result = None
+        self._enqueue(event)
+        return self._reservation_result or interface.Refuse(event.id)
 
-    def _reserved(self, a: i.Reserved) -> None:
-        self._reserving = a
+    def _handle_reserved(self, action: interface.Reserved) -> None:
+        self._reservation_result = action
 
-    def _charge(self, a: i.Charge) -> None:
+    def _handle_charge(self, action: interface.Charge) -> None:
         if self.ledger is not None:
-            self.ledger.charge(a)
+            self.ledger.charge(action)
 
-    def _put(self, event: i.Event) -> None:
-        """Events that arise while the module's actions are carried out wait until these are done."""
+    def _enqueue(self, event: interface.Event) -> None:
+        """Passes an event to the decision module, after the actions of the event being handled."""
         self._events.append(event)
-        if self._busy:
+        if self._is_handling:
             return
-        self._busy = True
+        self._is_handling = True
         try:
             while self._events:
-                self._step(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
-            self._busy = False
+            self._is_handling = False
 
-    def _step(self, event: i.Event) -> None:
+    def _handle_event(self, event: interface.Event) -> None:
         try:
-            for action in self.gateway.handle(self.clock(), event):
-                self._does[type(action)](action)
-        except Exception:  # one bad event must not end the ingress; what it concerned is still answered
+            for action in self.decision_module.handle(self.clock(), event):
+                self._action_handlers[type(action)](action)
+        except Exception:  # one faulty event must not end the ingress; its message still gets an answer
             self.metrics.add("faults")
             self.log.exception("fault", during=type(event).__name__)
-        if isinstance(event, i.Request | i.Outcome) and not self._events:
-            exchange = self.held.get(event.id)
-            if exchange and exchange.owed:  # nothing was decided: the answer is owed now
+        if isinstance(event, interface.Request | interface.Outcome) and not self._events:
+            exchange = self.exchanges.get(event.id)
+            if exchange and exchange.is_answer_due:  # the decision module left the message without an answer or a relay
                 self.metrics.add("undecided")
                 self._finish(exchange, Answer("failed", 500))
 
-    def _send(self, a: i.Send) -> None:
-        exchange = self.held[a.id]
+    def _handle_send(self, action: interface.Send) -> None:
+        exchange = self.exchanges[action.id]
         now = self.clock()
-        until = min(exchange.until, now + a.timeout) if a.timeout > 0 else exchange.until
-        left, exchange.message.before = exchange.message.left, a.before or inf
-        if until < inf:
-            left = until - now
-            exchange.timer = self.timers.call_at(until, lambda: self._expired(exchange))
-        self.metrics.at("relays", a.server)
-        if self.holds is not None and exchange.attempt < 0 and exchange.message.reservation:
-            self.holds.used(exchange.message)
-        exchange.relay(a.server, now, left, self._ended, self._began)
-
-    def _began(self, exchange: Exchange, attempt: int, end: RelayEnd) -> None:
-        """A long answer begins to flow: it is the final one from here on, and no time-out ends it any more."""
+        deadline = min(exchange.deadline, now + action.timeout) if action.timeout > 0 else exchange.deadline
+        timeout, exchange.message.write_deadline = exchange.message.timeout, action.before or inf
+        if deadline < inf:
+            timeout = deadline - now
+            exchange.timer = self.timers.call_at(deadline, lambda: self._handle_timeout(exchange))
+        self.metrics.at("relays", action.server)
+        if self.reservations is not None and exchange.attempt < 0 and exchange.message.reservation:
+            self.reservations.used(exchange.message)
+        exchange.relay(action.server, now, timeout, self._handle_result, self._start_streaming)
+
+    def _start_streaming(self, exchange: Exchange, attempt: int, result: RelayResult) -> None:
+        """Starts to stream a long answer. It is the final answer, and no timeout ends it any more."""
         if exchange.timer is not None:
             exchange.timer.cancel()
-        if exchange.over:
+        if exchange.is_finished:
             exchange.drop()
-            self._ended(exchange, attempt, RelayEnd("cancelled"))
+            self._handle_result(exchange, attempt, RelayResult("cancelled"))
             return
         self.metrics.add("served")
         self.metrics.add("flowed")
-        exchange.flowing = True
-        exchange.answer(Answer("served", 200, 0.0, end.payload, exchange.server, flows=True))
-        self._put(
-            i.Started(
+        exchange.is_streaming = True
+        exchange.answer(Answer("served", 200, 0.0, result.payload, exchange.server, is_streaming=True))
+        self._enqueue(
+            interface.Started(
                 exchange.message.id,
                 exchange.server,
                 attempt,
-                self.clock() - (end.since or exchange.sent),
+                self.clock() - (result.written_at or exchange.sent_at),
                 work_done=True,
             )
         )
 
-    def _flowed(self, exchange: Exchange, status: str) -> None:
-        if not exchange.gone:
-            self.metrics.of("ok" if status == "ok" else "errors", exchange.message.cls)
+    def _count_streamed(self, exchange: Exchange, status: str) -> None:
+        if not exchange.is_client_gone:
+            self.metrics.of("ok" if status == "ok" else "errors", exchange.message.priority_class)
         if status != "ok":
             self.metrics.add("cut_off")
 
-    def _ended(self, exchange: Exchange, attempt: int, end: RelayEnd) -> None:
-        """A relay is over: a served one goes to the client by itself, and the module hears of each."""
-        now, m = self.clock(), exchange.message
+    def _handle_result(self, exchange: Exchange, attempt: int, result: RelayResult) -> None:
+        """Ends a relay: sends a served answer to the client and reports the outcome to the decision module."""
+        now, message = self.clock(), exchange.message
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
-        self.metrics.at("relay_" + end.status, exchange.server)
-        last = end.last or end.status != "ok" and not m.again()
-        event = i.Outcome(
-            m.id,
+        self.metrics.at("relay_" + result.status, exchange.server)
+        last = result.is_permanent or result.status != "ok" and not message.can_resend()
+        event = interface.Outcome(
+            message.id,
             exchange.server,
             attempt,
-            end.status,
-            now - (end.since or exchange.sent),
-            exchange.over,
-            end.used,
-            end.cost,
-            end.load,
+            result.status,
+            now - (result.written_at or exchange.sent_at),
+            exchange.is_finished,
+            result.used,
+            result.cost,
+            result.load,
             last=last,
         )
-        if exchange.flowing:
-            self._flowed(exchange, end.status)
-        if end.status == "ok" and not exchange.over:
+        if exchange.is_streaming:
+            self._count_streamed(exchange, result.status)
+        if result.status == "ok" and not exchange.is_finished:
             event.closed = True
             self.metrics.add("served")
-            exchange.answer(Answer("served", 200, 0.0, end.payload, exchange.server))
-        elif end.status == "granted":
-            # The attempt runs where this ingress cannot see it. "cancelled" is the one outcome that the module takes
-            # without judging the server or learning a latency; the units stay taken as guessed.
+            exchange.answer(Answer("served", 200, 0.0, result.payload, exchange.server))
+        elif result.status == "granted":
+            # The attempt runs where this ingress cannot see it. "cancelled" is the one outcome for which the decision
+            # module neither judges the sim server nor learns a latency. The units stay charged as estimated.
             event.status, event.closed = "cancelled", True
-            event.pending = self.holds is not None and self.holds.granted(m)
-            if not exchange.over:
+            event.pending = self.reservations is not None and self.reservations.granted(message)
+            if not exchange.is_finished:
                 self.metrics.add("granted")
                 exchange.answer(Answer("granted", 200, server=exchange.server))
         exchange.settle()
         self._release(exchange)
-        if self.crowd is not None and end.load:
-            self.crowd.reported(exchange.server, end.load)
-        self._put(event)
-        if self.leases is not None and end.cost:
-            self.leases.settled(m.customer)
-
-    def _expired(self, exchange: Exchange) -> None:
-        # A connection that never came up, or took only a part, proves that the attempt never ran.
+        if self.load_observer is not None and result.load:
+            self.load_observer.reported(exchange.server, result.load)
+        self._enqueue(event)
+        if self.leases is not None and result.cost:
+            self.leases.settled(message.firm)
+
+    def _handle_timeout(self, exchange: Exchange) -> None:
+        # The sim server cannot have run an attempt that was not completely written to a connection.
         status = "timeout" if exchange.drop() else "connect_failed"
-        self._ended(exchange, exchange.attempt, RelayEnd(status))
+        self._handle_result(exchange, exchange.attempt, RelayResult(status))
 
-    def _cancel(self, a: i.Cancel) -> None:
-        exchange = self.held.get(a.id)
-        if exchange and exchange.out and exchange.attempt == a.attempt:
+    def _handle_cancel(self, action: interface.Cancel) -> None:
+        exchange = self.exchanges.get(action.id)
+        if exchange and exchange.has_relay and exchange.attempt == action.attempt:
             status = "cancelled" if exchange.drop() else "moot"
-            self._ended(exchange, a.attempt, RelayEnd(status))
+            self._handle_result(exchange, action.attempt, RelayResult(status))
 
-    def _refuse(self, a: i.Refuse) -> None:
-        if exchange := self.held.get(a.id):
-            if a.why:
-                self.metrics.add("refused_" + a.why)
-            self._finish(exchange, Answer("back-off", 503 if exchange.attempt >= 0 else 429, a.after))
+    def _handle_refuse(self, action: interface.Refuse) -> None:
+        if exchange := self.exchanges.get(action.id):
+            if action.why:
+                self.metrics.add("refused_" + action.why)
+            self._finish(exchange, Answer("back-off", 503 if exchange.attempt >= 0 else 429, action.after))
         else:
-            self._reserving = a
+            self._reservation_result = action
 
-    def _fail(self, a: i.Fail) -> None:
-        if exchange := self.held.get(a.id):
+    def _handle_fail(self, action: interface.Fail) -> None:
+        if exchange := self.exchanges.get(action.id):
             self._finish(exchange, Answer("failed", 502))
 
     def _finish(self, exchange: Exchange, answer: Answer) -> None:
-        if not exchange.over:
+        if not exchange.is_finished:
             self.metrics.add(answer.kind)
             exchange.answer(answer)
         self._release(exchange)
 
     def _release(self, exchange: Exchange) -> None:
-        if exchange.over and not exchange.out:
-            self.held.pop(exchange.message.id, None)
+        if exchange.is_finished and not exchange.has_relay:
+            self.exchanges.pop(exchange.message.id, None)
 
-    def _count(self, a: i.Count) -> None:
+    def _handle_count(self, action: interface.Count) -> None:
         self.metrics.add("counts")
-        self.counter.add(a.name, a.amount, a.ttl, a.call)
+        self.counter.add(action.name, action.amount, action.ttl, action.call)
 
-    def _timer(self, a: i.SetTimer) -> None:
-        self.timers.call_at(self.clock() + a.delay, lambda: self._put(i.Timer(a.token)))
+    def _handle_set_timer(self, action: interface.SetTimer) -> None:
+        self.timers.call_at(self.clock() + action.delay, lambda: self._enqueue(interface.Timer(action.token)))
--- a/brackenpulley/core/message.py
+++ b/brackenpulley/core/message.py
@@ -1,4 +1,4 @@
-"""A message (one client request) and its decoding from headers, the same for every front."""
+"""Defines a message (one client request) and decodes it from headers, in the same way for every front."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 from ..policy.interface import Settings
 
-MARGIN = 0.03  # s kept back of a client's time: it counts from its sending, and our answer has a way to go
-UNITS = {"m": 1e-3, "u": 1e-6, "S": 1.0, "M": 60.0, "H": 3600.0, "n": 1e-9}  # gRPC's letters, of which we use m and u
-LONGEST = 3600.0
-SHORT = 64  # characters of a header whose reading is remembered
-HEX = frozenset("0123456789abcdefABCDEF")
-CONTROL = frozenset(("x-request-id", "x-priority-class", "x-tariff", "x-timeout", "x-weight", "idempotency-key"))
+# Subtracted from a client's timeout: it runs from the client's sending, and the answer needs time to reach the client.
+ANSWER_MARGIN_SECONDS = 0.03
+SECONDS_PER_UNIT = {"m": 1e-3, "u": 1e-6, "S": 1.0, "M": 60.0, "H": 3600.0, "n": 1e-9}  # the units of grpc-timeout
+MAX_TIMEOUT_SECONDS = 3600.0
+MAX_CACHED_WEIGHT_CHARACTERS = 64  # a longer x-weight header is parsed without the cache
+HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
+CONTROL_HEADERS = frozenset(
+    ("x-request-id", "x-priority-class", "x-tariff", "x-timeout", "x-weight", "idempotency-key")
+)
 
 
 class MessageError(ValueError):
-    """The message is malformed; the text names the header."""
+    """A malformed message. The text names the header that is wrong."""
 
 
 def _always() -> bool:
@@ -28,38 +31,47 @@
 
 @dataclass(slots=True)
 class Message:
+    """One client request as the core and the decision module see it."""
+
     id: str
-    cls: str
+    priority_class: str
     plan: str
-    customer: int
-    left: float  # s within which the answer must have left
+    firm: int
+    timeout: float  # seconds within which the answer must be sent
     units: float
     spread: int
     first: int
-    retry: bool
-    payload: Any = None  # what a relay passes on; the core does not look inside
-    reservation: str = ""  # whose units pay for it
-    revision: int = 0  # of the plan book, when it was decided on
-    told: str = ""  # the plan as the client named it
-    coming: bool = False  # its body is long and still comes: its time begins with the last byte
-    again: Callable[[], bool] = _always  # whether its body can be sent once more
-    before: float = inf  # the attempt that goes out next must be written whole by then, or is none: a repeat's window
-
-
-def duration(text: str, name: str = "x-timeout") -> float:
-    """'480m' or '2500u' in seconds."""
+    is_retry: bool
+    payload: Any = None  # what a relay forwards; the core does not inspect it
+    reservation: str = ""  # id of the reservation whose units pay for the message
+    revision: int = 0  # of the plan book, when the message was decided on
+    requested_plan: str = ""  # the plan that the client named
+    is_body_pending: bool = False  # a long body is still being received; the timeout runs from its last byte
+    can_resend: Callable[[], bool] = _always  # whether the body can be sent once more
+    # When the next attempt must be completely written, or it counts as not made: the end of the window for a repeat.
+    write_deadline: float = inf
+
+
+def parse_duration(text: str, name: str = "x-timeout") -> float:
+    """Converts a duration such as "480m" or "2500u" to seconds, at most `MAX_TIMEOUT_SECONDS`.
+
+    Raises MessageError, which names the header `name`.
+    """
     digits, unit = text[:-1], text[-1:]
-    if not (digits.isascii() and digits.isdigit() and len(digits) <= 12 and unit in UNITS):
+    if not (digits.isascii() and digits.isdigit() and len(digits) <= 12 and unit in SECONDS_PER_UNIT):
         raise MessageError(f"{name}: {text[:40]!r} is no duration")
-    return min(LONGEST, int(digits) * UNITS[unit])
+    return min(MAX_TIMEOUT_SECONDS, int(digits) * SECONDS_PER_UNIT[unit])
+
 
+def parse_weight(text: str) -> tuple[float, int, int]:
+    """Parses a header such as "units=2,spread=3,first=1" to units, spread and first.
 
-def weight(text: str) -> tuple[float, int, int]:
-    """'units=2,spread=3,first=1'; what is not named keeps its usual value."""
-    return _usual(text) if len(text) <= SHORT else _weight(text)
+    A field that is missing has its default (1, 1, 0). Unknown fields are ignored. Raises MessageError.
+    """
+    return _cached_weight(text) if len(text) <= MAX_CACHED_WEIGHT_CHARACTERS else _parse_weight(text)
 
 
-def _weight(text: str) -> tuple[float, int, int]:
+def _parse_weight(text: str) -> tuple[float, int, int]:
     found: dict[str, int] = {}
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
@@ -70,51 +82,57 @@
     return float(found.get("units", 1)), found.get("spread", 1), found.get("first", 0)
 
 
-_usual = lru_cache(1024)(_weight)  # clients say few different things
+_cached_weight = lru_cache(1024)(_parse_weight)  # clients send few different weights
 
 
-def check(m: Message, s: Settings, plans: Container[str]) -> None:
-    """What the settings leave no room for never reaches the module: it would spoil a customer's quota and estimates."""
-    for c in s.classes:
-        if c.name == m.cls:
+def check_message(message: Message, settings: Settings, plans: Container[str]) -> None:
+    """Raises MessageError for a message that the settings do not allow.
+
+    Such a message must not reach the decision module, where it would distort a firm's quota and the estimates.
+    """
+    for known_class in settings.classes:
+        if known_class.name == message.priority_class:
             break
     else:
-        raise MessageError(f"x-priority-class: no class {m.cls[:40]!r}")
-    if s.plans and m.plan not in plans:
-        raise MessageError(f"x-tariff: no plan {m.plan[:40]!r}")
-    if not 1 <= m.units <= s.most_units:
-        raise MessageError(f"x-weight: units is {m.units:g}, not from 1 to {s.most_units:g}")
-    if not 1 <= m.spread <= s.places or not 0 <= m.first < s.places:
-        raise MessageError(f"x-weight: {m.spread} from {m.first} is no set of {s.places}")
+        raise MessageError(f"x-priority-class: no class {message.priority_class[:40]!r}")
+    if settings.plans and message.plan not in plans:
+        raise MessageError(f"x-tariff: no plan {message.plan[:40]!r}")
+    if not 1 <= message.units <= settings.most_units:
+        raise MessageError(f"x-weight: units is {message.units:g}, not from 1 to {settings.most_units:g}")
+    if not 1 <= message.spread <= settings.places or not 0 <= message.first < settings.places:
+        raise MessageError(f"x-weight: {message.spread} from {message.first} is no set of {settings.places}")
 
 
 def decode(headers: Mapping[str, str], path: str, payload: Any = None) -> Message:
-    """Headers by lower-case name, and the path with or without its query."""
+    """Builds a message from headers, keyed by lower-case name, and the path, whose query is ignored.
+
+    Raises MessageError.
+    """
     parts = path.partition("?")[0].strip("/").split("/")
-    ident, cls = headers.get("x-request-id", ""), headers.get("x-priority-class") or parts[0]
-    if cls != parts[0]:  # it would be decided on as the one and run as the other
+    ident, priority_class = headers.get("x-request-id", ""), headers.get("x-priority-class") or parts[0]
+    if priority_class != parts[0]:  # the message would be decided on as one class and run as another
         raise MessageError("x-priority-class: not the path's class")
     if not 0 < len(ident) <= 64 or not ident.isascii() or not ident.isprintable() or " " in ident:
         raise MessageError("x-request-id: missing or not usable")
-    customer = int(parts[-1], 16) if 0 < len(parts[-1]) <= 16 and HEX.issuperset(parts[-1]) else -1
-    if not 0 <= customer < 1 << 33:
+    firm = int(parts[-1], 16) if 0 < len(parts[-1]) <= 16 and HEX_DIGITS.issuperset(parts[-1]) else -1
+    if not 0 <= firm < 1 << 33:
         raise MessageError("path: the last part names no customer")
     if "x-timeout" not in headers:
         raise MessageError("x-timeout: missing")
-    units, spread, first = weight(headers.get("x-weight", ""))
-    left = max(0.0, duration(headers["x-timeout"]) - MARGIN)
-    retry = headers.get("x-retried") == "1"
+    units, spread, first = parse_weight(headers.get("x-weight", ""))
+    timeout = max(0.0, parse_duration(headers["x-timeout"]) - ANSWER_MARGIN_SECONDS)
+    is_retry = headers.get("x-retried") == "1"
     return Message(
         ident,
-        cls,
+        priority_class,
         headers.get("x-tariff", ""),
-        customer,
-        left,
+        firm,
+        timeout,
         units,
         spread,
         first,
-        retry,
+        is_retry,
         payload,
         headers.get("x-reservation", ""),
-        told=headers.get("x-tariff", ""),
+        requested_plan=headers.get("x-tariff", ""),
     )
--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -37,7 +37,7 @@
 
     def caps(self, caps: dict[str, int]) -> None:
         self.daemon.south.caps = caps
-        self.daemon.ingress.tell(i.Shares(caps))
+        self.daemon.ingress.notify(i.Shares(caps))
 
     def servers(self) -> dict[str, int]:
         return {entry.server: self.told.limit for entry in self.daemon.inventory.listed()}
--- a/brackenpulley/extras.py
+++ b/brackenpulley/extras.py
@@ -51,7 +51,7 @@
     if (told := d.config.operator.reservations) is not None:
         from .plans.service import ReservationService
 
-        d.reservations = d.ingress.holds = ReservationService(d.loop, d.ingress, told, d.metrics)
+        d.reservations = d.ingress.reservations = ReservationService(d.loop, d.ingress, told, d.metrics)
 
 
 def leases(d: Daemon) -> None:
@@ -87,7 +87,7 @@
     if d.config.operator.seconds:
         from .growth.tally import Tally
 
-        d.tally = Tally(d.loop, d.metrics, d.ingress.gateway, d.log)
+        d.tally = Tally(d.loop, d.metrics, d.ingress.decision_module, d.log)
 
 
 def health(d: Daemon) -> None:
--- a/brackenpulley/fleet/gateways.py
+++ b/brackenpulley/fleet/gateways.py
@@ -27,7 +27,7 @@
         self.members = 0  # seen alive, the suspected too
         self.now = (floor, 0)  # as the module knows it
         self.crowd = Crowd(loop.clock(), bound)
-        ingress.crowd = self
+        ingress.load_observer = self
         self._timer: Timer | None = None
 
     def hear(self, serial: int, count: int, until: float, part: float) -> bool:
@@ -60,7 +60,7 @@
         now = (count, self.crowd.count(self.loop.clock(), count))
         if now != self.now:
             self.now = now
-            self.ingress.tell(i.Gateways(*now))
+            self.ingress.notify(i.Gateways(*now))
 
     def start(self) -> None:
         """Reports and youth end by themselves."""
@@ -69,8 +69,8 @@
 
     def reported(self, server: str, load: list[float]) -> None:
         """A server's own words, for as long as it is cold."""
-        settings = self.ingress.gateway.s
-        known = self.ingress.gateway.servers.get(server)
+        settings = self.ingress.decision_module.s
+        known = self.ingress.decision_module.servers.get(server)
         now = self.loop.clock()
         if known is not None and known.warmth(now, settings) < 1:
             for name, value in zip(settings.report_fields, load, strict=False):
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -47,7 +47,7 @@
         self.daemon.log.info("maintenance", away=",".join(sorted(servers)) or "none")
 
     def attempts(self, servers: list[str]) -> int:
-        known = self.daemon.ingress.gateway.servers
+        known = self.daemon.ingress.decision_module.servers
         return sum(len(known[name].out) for name in servers if name in known)
 
     def drain(self, on: bool) -> None:
@@ -57,10 +57,10 @@
         self.daemon.log.info("maintenance", drains=on)
 
     def held(self) -> int:
-        return len(self.daemon.ingress.held)
+        return len(self.daemon.ingress.exchanges)
 
     def look(self) -> None:
-        busy = sum(len(server.out) for server in self.daemon.ingress.gateway.servers.busy.values())
+        busy = sum(len(server.out) for server in self.daemon.ingress.decision_module.servers.busy.values())
         self.smoothed += 0.2 * (busy - self.smoothed)
 
     def holds(self) -> Holds:
@@ -92,7 +92,7 @@
         return frozenset(found)
 
     def facts(self) -> Facts:
-        daemon, apart = self.daemon, self.daemon.ingress.gateway.servers.apart
+        daemon, apart = self.daemon, self.daemon.ingress.decision_module.servers.apart
         entries = daemon.inventory.listed()
         away = daemon.inventory.taken_out
         servers = {e.server: Server(e.zone, e.kind, e.size, e.state == "up" and e.server not in apart) for e in entries}
@@ -123,7 +123,7 @@
     def carries(self, servers: list[str], ingress: str) -> bool:
         if ingress:
             return any(row.name == ingress and row.ready for row in self.others())
-        known = self.daemon.ingress.gateway.servers
+        known = self.daemon.ingress.decision_module.servers
         return all(self.daemon.inventory.usable(name) and name in known and not known[name].aside for name in servers)
 
 
--- a/brackenpulley/net/answers.py
+++ b/brackenpulley/net/answers.py
@@ -7,7 +7,7 @@
 import httptools
 
 from ..bodies.body import Body
-from ..core.exchange import RelayEnd
+from ..core.exchange import RelayResult
 from .http import BODY, HEAD, HOP
 
 INTERIM = 16  # 1xx answers in front of one answer at most
@@ -182,9 +182,9 @@
             self._complete()
 
 
-def outcome(reply: Reply, fields: Sequence[str]) -> RelayEnd:
+def outcome(reply: Reply, fields: Sequence[str]) -> RelayResult:
     """An answer in the module's words. What cannot be read in a header is passed over."""
-    end = RelayEnd("error")
+    end = RelayResult("error")
     passed: list[tuple[bytes, bytes]] = []
     not_run = False
     for name, value in reply.headers:
--- a/brackenpulley/net/http.py
+++ b/brackenpulley/net/http.py
@@ -35,7 +35,7 @@
     out.extend(slices)
     if slices and chunked:
         out.append(b"\r\n")
-    if body.whole and chunked:
+    if body.is_complete and chunked:
         out.append(b"0\r\n\r\n")
     return bool(out)
 
--- a/brackenpulley/net/north.py
+++ b/brackenpulley/net/north.py
@@ -9,8 +9,8 @@
 
 from ..address import Address
 from ..bodies.body import Body, State
+from ..bodies.memory import BodyMemory
 from ..bodies.pace import Pace
-from ..bodies.shares import Shares
 from ..core.exchange import Answer, Exchange, South
 from ..core.ingress import Ingress
 from ..core.message import MessageError
@@ -115,7 +115,7 @@
         most: int,
         ready: Callable[[], bool],
         drain: Drain,
-        shares: Shares,
+        shares: BodyMemory,
         longest: int = LONGEST,
     ) -> None:
         self.loop, self.pool, self.ingress, self.south = loop, pool, ingress, south
@@ -247,8 +247,8 @@
         """Bytes of it that may be read now: a long body is taken no faster than its server takes it."""
         if client.raw:
             return SIZE
-        if not (room := coming.space()):
-            client.pace.hold(self.loop.clock(), True)
+        if not (room := coming.available_space()):
+            client.pace.set_paused(self.loop.clock(), True)
         return min(SIZE, room)
 
     def _readable(self, client: Client) -> None:
@@ -293,9 +293,9 @@
         if client.serial and (not reader.partial or not partial):
             # A message has its time from its first byte, the first one from connecting, however it drips in.
             client.since = self.loop.clock()
-            client.pace.begin(client.since)
+            client.pace.begin_message(client.since)
         if reader.partial and reader.headed:
-            client.pace.body(self.loop.clock())
+            client.pace.receive_body(self.loop.clock())
         if client.upload is not None and reader.coming is not client.upload:
             self._taken(client)
         if client.busy:
@@ -323,9 +323,9 @@
     def _taken(self, client: Client) -> None:
         """The long body of the message in hand is all there."""
         if client.exchange is not None:
-            if client.exchange.message.coming:
-                client.exchange.message.coming = False
-                self.ingress.whole(client.exchange)
+            if client.exchange.message.is_body_pending:
+                client.exchange.message.is_body_pending = False
+                self.ingress.complete_body(client.exchange)
             return
         client.upload = None  # it was let go when its message was answered
         if client.shed_by:
@@ -337,7 +337,7 @@
         self.metrics.add("malformed")
         # Where what has an error ends cannot be told any more: it is read on, and lost.
         client.raw, client.keep = True, False
-        if client.upload is not None and client.exchange is not None and client.exchange.message.coming:
+        if client.upload is not None and client.exchange is not None and client.exchange.message.is_body_pending:
             self._give_up(client, status)
         elif client.busy:  # the answer to the message before it goes first, then the connection ends
             client.closing = True
@@ -350,7 +350,7 @@
         """The body of the message in hand will never be whole: nothing has run, and nothing will."""
         exchange, client.exchange = client.exchange, None
         if exchange is not None:
-            self.ingress.leave(exchange)
+            self.ingress.disconnect(exchange)
         self._reply(client, status)
 
     def _let_go(self, client: Client) -> None:
@@ -370,7 +370,7 @@
         client.busy, client.old = True, payload.old
         if (stream := payload.stream) is not None:
             client.upload = stream
-            stream.eased = lambda: self._eased(client)
+            stream.on_space = lambda: self._eased(client)
         client.serial += 1
         self.strangers.pop(client, None)
         client.keep = client.keep and keep
@@ -385,8 +385,8 @@
                 raise MessageError(f"more than {PIPELINED} messages at a time on a connection")
             asked = message(payload)
             if stream is not None:
-                asked.coming, asked.again = stream.coming, stream.again
-            exchange = self.ingress.take(
+                asked.is_body_pending, asked.can_resend = stream.is_open, stream.can_restart
+            exchange = self.ingress.accept(
                 asked, lambda answer: self._answer(client, serial, answer), self.south, self.drain.tries(self.ready)
             )
         except MessageError as error:
@@ -396,28 +396,28 @@
             return
         if exchange is None:
             self._reply(client, 409, b"x-request-id: in hand already")
-        elif client.busy and client.serial == serial and not exchange.over:
+        elif client.busy and client.serial == serial and not exchange.is_finished:
             client.exchange = exchange
-            if payload.expects and stream is not None and stream.coming and not stream.size:
+            if payload.expects and stream is not None and stream.is_open and not stream.size:
                 self._write(client, CONTINUE)
 
     def _eased(self, client: Client) -> None:
         """There is room in its long body again, or nobody wants it any more."""
         if client in self.clients:
-            client.pace.hold(self.loop.clock(), False)
+            client.pace.set_paused(self.loop.clock(), False)
             self._interest(client)
 
     def _answer(self, client: Client, serial: int, answer: Answer) -> None:
         if not (client in self.clients and client.busy and client.serial == serial):
-            if answer.flows:
+            if answer.is_streaming:
                 answer.payload[0].drop()
             return
-        if answer.flows:
+        if answer.is_streaming:
             self._flow(client, answer.status, *answer.payload)
             return
         body, headers = answer.payload or (b"", None)
         client.exchange = None
-        self._reply(client, answer.status, body, answer.after, headers)
+        self._reply(client, answer.status, body, answer.retry_after, headers)
 
     def _flow(self, client: Client, status: int, body: Body, headers: list[tuple[bytes, bytes]]) -> None:
         """A long answer: its head now, the rest as it comes and as the client takes it."""
@@ -431,7 +431,7 @@
         client.since = self.loop.clock()
 
         body.begin()
-        body.changed = self.loop.once_a_turn(lambda: self._woken(client, body))
+        body.on_change = self.loop.once_a_turn(lambda: self._woken(client, body))
         self._write(client, begin(status, framing, client.keep, 0.0, headers))
 
     def _woken(self, client: Client, body: Body) -> None:
@@ -443,9 +443,9 @@
         body = client.flow
         assert body is not None
         more = pass_on(body, client.out, client.chunked)
-        if body.whole:
+        if body.is_complete:
             self._flowed(client)
-        elif not more and body.state is State.CUT:
+        elif not more and body.state is State.ABORTED:
             if not client.chunked and body.length < 0:  # it ends with its connection: only a reset tells that it broke
                 sockets.reset(client.sock)
             self.close(client)
@@ -601,7 +601,7 @@
         self.metrics.add("closed")
         if client.exchange is not None:
             exchange, client.exchange = client.exchange, None
-            self.ingress.leave(exchange)
+            self.ingress.disconnect(exchange)
         self._flowed(client)
         client.reader.close()
         self._let_go(client)
@@ -615,19 +615,19 @@
         for client in list(self.clients):
             still = now - client.since
             if client.shed_by:
-                if now > client.shed_by or not client.raw and client.pace.stands(now, client.reader.size):
+                if now > client.shed_by or not client.raw and client.pace.has_timed_out(now, client.reader.size):
                     self.close(client)
             elif client.out:
                 if still > untaken:
                     self.close(client)
-            elif not client.busy and client.reader.partial and client.pace.stands(now, client.reader.size):
+            elif not client.busy and client.reader.partial and client.pace.has_timed_out(now, client.reader.size):
                 client.busy, client.keep = True, False
                 self._reply(client, 408)
             elif (
                 client.busy
                 and client.exchange is not None
-                and client.exchange.message.coming
-                and (client.pace.stands(now, client.reader.size))
+                and client.exchange.message.is_body_pending
+                and (client.pace.has_timed_out(now, client.reader.size))
             ):
                 client.keep = False
                 self._give_up(client, 408)
--- a/brackenpulley/net/requests.py
+++ b/brackenpulley/net/requests.py
@@ -7,14 +7,16 @@
 import httptools
 
 from ..bodies.body import Body
-from ..bodies.shares import Shares
-from ..core.message import CONTROL, Message, MessageError, decode
+from ..bodies.memory import BodyMemory
+from ..core.message import CONTROL_HEADERS, Message, MessageError, decode
 from .http import BODY, HEAD, HOP, KEPT, LONGEST, Payload
 
 TARGET = 8192  # most bytes of a message's target
 WIRE = 8 * BODY  # and of all it takes on the wire, however it is cut into chunks
 NOTED = frozenset((b"content-length", b"transfer-encoding", b"connection", b"expect"))  # what is read before its body
-READ = {name.encode(): name for name in (*CONTROL, "x-retried", "x-reservation", "connection")}  # the rest passes by
+READ = {
+    name.encode(): name for name in (*CONTROL_HEADERS, "x-retried", "x-reservation", "connection")
+}  # the rest passes by
 REASON = {
     200: b"OK",
     400: b"Bad Request",
@@ -47,7 +49,7 @@
     A message stands in `whole` once it is there, or, where its body is longer than `BODY` and there are `shares` for
     it, once it is plain that it is; its body then comes through its `stream`, which is also `coming` until its end."""
 
-    def __init__(self, shares: Shares | None = None, longest: int = LONGEST) -> None:
+    def __init__(self, shares: BodyMemory | None = None, longest: int = LONGEST) -> None:
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.whole: deque[tuple[Payload, bool]] = deque()  # and whether the connection is kept after it
         self.coming: Body | None = None
@@ -93,7 +95,7 @@
         """The parser holds this object: together they would wait for the garbage collector."""
         self._parser = None
         if self.coming is not None:
-            self.coming.cut()
+            self.coming.abort()
             self.coming = None
         for payload, _ in self.whole:
             if payload.stream is not None:
@@ -191,7 +193,7 @@
             raise MessageError("headers: not ASCII")
         if field in READ:
             name = READ[field]
-            if name in named and name in CONTROL:  # two readers of it could take two different ones
+            if name in named and name in CONTROL_HEADERS:  # two readers of it could take two different ones
                 raise MessageError(f"{name}: twice")
             named[name] = value.decode("ascii")
         if field not in HOP:
--- a/brackenpulley/net/south.py
+++ b/brackenpulley/net/south.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Sequence
 
 from ..address import Address
-from ..bodies.body import Body, Hole, State
-from ..bodies.shares import Shares
-from ..core.exchange import RelayEnd
+from ..bodies.body import Body, SpoolReadError, State
+from ..bodies.memory import BodyMemory
+from ..core.exchange import RelayResult
 from ..core.message import Message
 from ..metrics import Metrics
 from . import sockets
@@ -93,8 +93,8 @@
         message: Message,
         server: str,
         until: float,
-        done: Callable[[RelayEnd], None],
-        began: Callable[[RelayEnd], None],
+        done: Callable[[RelayResult], None],
+        began: Callable[[RelayResult], None],
     ) -> None:
         self.south, self.message, self.server, self.until, self.done = south, message, server, until, done
         self.began = began
@@ -138,7 +138,7 @@
         idle: float,
         connect: float,
         fields: Sequence[str],
-        shares: Shares,
+        shares: BodyMemory,
     ) -> None:
         self.loop, self.pool, self.inventory, self.metrics = loop, pool, inventory, metrics
         self.most, self.retire, self.connect, self.fields = most, idle * RETIRE, connect, fields
@@ -156,18 +156,18 @@
         message: Message,
         server: str,
         left: float,
-        done: Callable[[RelayEnd], None],
-        began: Callable[[RelayEnd], None],
+        done: Callable[[RelayResult], None],
+        began: Callable[[RelayResult], None],
     ) -> Attempt:
         now = self.loop.clock()
         attempt = Attempt(self, message, server, now + left, done, began)
         at = self.inventory.address(server)
         if at is None or not self.inventory.usable(server):
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._end(attempt, RelayResult("connect_failed"))
             return attempt
         conn = self._kept((server, at), now) or self._open((server, at), now)
         if conn is None:
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._end(attempt, RelayResult("connect_failed"))
             return attempt
         conn.relay, attempt.conn = attempt, conn
         if conn.up:
@@ -260,21 +260,21 @@
         if not self.inventory.usable(attempt.server) or self.inventory.address(attempt.server) != conn.key[1]:
             self.metrics.add("drained_before_send")
             self._keep(conn)
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._end(attempt, RelayResult("connect_failed"))
         else:
             self._put_out(conn, attempt)
 
     def _put_out(self, conn: Conn, attempt: Attempt) -> None:
-        if self.loop.clock() >= attempt.message.before:
+        if self.loop.clock() >= attempt.message.write_deadline:
             self.metrics.add("window_over")
             self._keep(conn)
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._end(attempt, RelayResult("connect_failed"))
             return
         payload: Payload = attempt.message.payload
         conn.reply = Reply(LONGEST, bodiless=payload.method == b"HEAD")
         if payload.stream is not None and not self._stream(conn, attempt, payload.stream):
             self._keep(conn)
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._end(attempt, RelayResult("connect_failed"))
             return
         attempt.out.append(self._encode(attempt, conn.key[1]))
         self._write(conn, attempt)
@@ -288,7 +288,7 @@
         attempt.moved = self.loop.clock()
 
         # Never from within the read that brought it: what breaks here would end that one too.
-        stream.changed = self.loop.once_a_turn(lambda: self._woken(conn, attempt))
+        stream.on_change = self.loop.once_a_turn(lambda: self._woken(conn, attempt))
         attempt.timer = self.loop.call_in(STALLED, lambda: self._unsent(conn, attempt))
         return True
 
@@ -329,7 +329,9 @@
         return b"".join(lines)
 
     def _write(self, conn: Conn, attempt: Attempt) -> None:
-        if attempt.begun and self.loop.clock() >= attempt.message.before:  # its last byte is not out: it never ran
+        if (
+            attempt.begun and self.loop.clock() >= attempt.message.write_deadline
+        ):  # its last byte is not out: it never ran
             self.metrics.add("window_over")
             self._broken(conn)
             return
@@ -341,7 +343,7 @@
                         attempt.moved = self.loop.clock()
                 if attempt.out:
                     break
-        except Hole:
+        except SpoolReadError:
             self.metrics.add("spool_holes")
             self._broken(conn)
             return
@@ -353,7 +355,7 @@
             return
         if attempt.ended and not attempt.out and not attempt.written:
             attempt.written = True
-            self.metrics.of("tries", attempt.message.cls)
+            self.metrics.of("tries", attempt.message.priority_class)
             if attempt.stream is not None:
                 attempt.since = self.loop.clock()
                 if attempt.timer is not None:
@@ -364,13 +366,13 @@
         """The next slice of a long body; False where there is none yet."""
         assert attempt.stream is not None
         more = pass_on(attempt.stream, attempt.out, attempt.chunked)
-        attempt.ended = attempt.stream.whole
+        attempt.ended = attempt.stream.is_complete
         return more
 
     def _readable(self, conn: Conn) -> None:
         attempt, reply = conn.relay, conn.reply
         flow = attempt.flow if attempt is not None else None
-        room = SIZE if flow is None else min(SIZE, flow.space())
+        room = SIZE if flow is None else min(SIZE, flow.available_space())
         if not room:  # its client does not take what is there already
             self.loop.want(conn.sock, 0, lambda events: None)
             return
@@ -427,12 +429,12 @@
     def _fits(self, conn: Conn, reply: Reply) -> bool:
         """What is held of an answer that is not whole yet is counted; False where all such are too much together."""
         change, conn.held = reply.gathered - conn.held, reply.gathered
-        return not change or self.shares.gathered(change)
+        return not change or self.shares.adjust_answer_bytes(change)
 
     def _answered(self, conn: Conn, attempt: Attempt, reply: Reply, open_still: bool) -> None:
         end = outcome(reply, self.fields)
         if not attempt.written and end.status != "full":
-            end = RelayEnd("connect_failed")  # a server begins at the last byte: this is no answer to the message
+            end = RelayResult("connect_failed")  # a server begins at the last byte: this is no answer to the message
         if open_still and attempt.written and reply.keep:
             self._keep(conn)
         else:
@@ -451,16 +453,16 @@
                 attempt.moved = self.loop.clock()
                 self.loop.want(conn.sock, READ, lambda events: self._event(conn, events))
 
-        flow.eased = eased
+        flow.on_space = eased
         reply.flow(flow)
         self._fits(conn, reply)
         end = outcome(reply, self.fields)
-        end.since = attempt.since
+        end.written_at = attempt.since
         attempt.began(end)
 
     def _stalled(self, conn: Conn) -> None:
         attempt = conn.relay
-        if attempt is not None and attempt.flow is not None and attempt.flow.full:
+        if attempt is not None and attempt.flow is not None and attempt.flow.is_writer_blocked:
             attempt.moved = self.loop.clock()  # we do not read: that is its client's pace
         longest = STALLED if attempt is None or attempt.flow is None else FLOW_STALLED
         if attempt is not None and (still := self.loop.clock() - attempt.moved) < longest:
@@ -485,16 +487,16 @@
         if attempt is not None:
             attempt.conn = conn.relay = None
             if attempt.flow is not None:
-                attempt.flow.cut()
+                attempt.flow.abort()
         self.close(conn)
         if attempt is not None:  # the last byte written or not is what tells whether it may have run
             status = "cancelled" if ours else "reset" if attempt.written else "connect_failed"
-            self._end(attempt, RelayEnd(status, last=ours))
+            self._end(attempt, RelayResult(status, is_permanent=ours))
 
-    def _end(self, attempt: Attempt, end: RelayEnd) -> None:
+    def _end(self, attempt: Attempt, end: RelayResult) -> None:
         if attempt.timer is not None:
             attempt.timer.cancel()
-        end.since = attempt.since
+        end.written_at = attempt.since
         attempt.done(end)
 
     def close(self, conn: Conn) -> None:
@@ -515,7 +517,7 @@
     def _forget(self, conn: Conn) -> None:
         """The one place where an answer's bytes are given back."""
         if conn.held:
-            self.shares.gathered(-conn.held)
+            self.shares.adjust_answer_bytes(-conn.held)
         conn.reply, conn.held = None, 0
 
     def stop(self) -> None:
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -51,18 +51,25 @@
         return found[1].burst if found else 0.0
 
     def level(self, firm: int) -> float:
-        record = self.ingress.gateway.customers.get(firm)
+        record = self.ingress.decision_module.customers.get(firm)
         return record.level if record is not None else 0.0
 
     def ask(self, message: Message, done: Callable[[], None]) -> Waiting | None:
-        now, firm = self.loop.clock(), message.customer
-        plan = self.ingress.gateway.plans.get(message.plan)
+        now, firm = self.loop.clock(), message.firm
+        plan = self.ingress.decision_module.plans.get(message.plan)
         if plan is None or not plan.rate:
             return None
         if self.lost and self.part.share_when_lost:
             self._share(now, message, plan)
         waits, effects = self.keeper.need(
-            now, firm, message.plan, message.units, message.spread, message.first, self.level(firm), message.told
+            now,
+            firm,
+            message.plan,
+            message.units,
+            message.spread,
+            message.first,
+            self.level(firm),
+            message.requested_plan,
         )
         waiting = Waiting(self, firm, done) if waits else None
         if waiting is not None:
@@ -73,13 +80,13 @@
 
     def _share(self, now: float, message: Message, plan: i.PlanSpec) -> None:
         """The counter is lost: each ingress of the firm's set lets in its even part of the rate, a second's at once."""
-        since = self._shared.get(message.customer, now - 1.0)
+        since = self._shared.get(message.firm, now - 1.0)
         units = min(1.0, now - since) * plan.rate / message.spread
-        most = max(plan.rate / message.spread, message.units) - self.level(message.customer)
+        most = max(plan.rate / message.spread, message.units) - self.level(message.firm)
         if (units := min(units, most)) > 0:
-            self._shared[message.customer] = now
+            self._shared[message.firm] = now
             self.metrics.add("lease_shares")
-            self.ingress.tell(i.Allow(message.customer, message.plan, units, message.spread, message.first))
+            self.ingress.notify(i.Allow(message.firm, message.plan, units, message.spread, message.first))
 
     def counted(self, event: i.Counted) -> None:
         now = self.loop.clock()
@@ -111,7 +118,7 @@
                 self.asked = self.asked or self.loop.clock()
                 self.counter.add(effect.name, effect.amount, effect.ttl)
             elif isinstance(effect, Grant):
-                self.ingress.tell(i.Allow(effect.firm, effect.plan, effect.units, effect.spread, effect.first))
+                self.ingress.notify(i.Allow(effect.firm, effect.plan, effect.units, effect.spread, effect.first))
             elif isinstance(effect, Free):
                 for waiting in list(self.waiting.pop(effect.firm, {})):
                     waiting.done()
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -90,13 +90,13 @@
         changed: list[int] = []
         if found:
             names = {plan.name for plan in found}
-            changed += [key for key, c in self.ingress.gateway.customers.items() if c.plan.name in names]
-            self.ingress.tell(i.PlanFigures(found))
+            changed += [key for key, c in self.ingress.decision_module.customers.items() if c.plan.name in names]
+            self.ingress.notify(i.PlanFigures(found))
         for firm in {firm_of(change.firm): None for change in changes if change.kind == "move"}:
             name, _ = self.book.plan_of(firm, now)
             if name:
                 changed.append(firm)
-                self.ingress.tell(i.Moved(firm, name))
+                self.ingress.notify(i.Moved(firm, name))
         if self.ingress.leases is not None:
             self.ingress.leases.moved(changed)
 
@@ -129,14 +129,14 @@
         old = self.table.check(ident, firm, units, lifetime, now)
         if old is not None:
             return old, 0.0
-        settings, revision = self.ingress.gateway.s, 0
+        settings, revision = self.ingress.decision_module.s, 0
         if units > settings.most_units:
             raise ReservationError(400, "units", f"{units:g} is more than the {settings.most_units:g} of one request")
         if not 1 <= spread <= settings.places or not 0 <= first < settings.places:
             raise ReservationError(400, "spread", f"{spread} from {first} is no set of {settings.places}")
         if self.ingress.plans is not None:
             plan, revision = self.ingress.plans.plan_of(firm, plan)
-        if plan not in self.ingress.gateway.plans:
+        if plan not in self.ingress.decision_module.plans:
             raise ReservationError(400, "plan", f"no plan {plan[:40]!r}")
         answer = self.ingress.reserve(i.Reserve(ident, firm, plan, units, spread, first))
         if isinstance(answer, i.Refuse):
@@ -172,7 +172,7 @@
     def _settle(self, one: Reservation, units: float, how: str) -> None:
         self.metrics.add("reservations_" + how)
         one.settled = units
-        self.ingress.tell(i.Settle(one.id, one.firm, one.plan, one.revision, one.units, units, one.made))
+        self.ingress.notify(i.Settle(one.id, one.firm, one.plan, one.revision, one.units, units, one.made))
         if self.ingress.leases is not None:
             self.ingress.leases.settled(one.firm)
 
@@ -195,7 +195,7 @@
     # What the core asks.
 
     def pays(self, message: Message) -> float:
-        one = self.table.use(message.reservation, message.customer, self.loop.clock())
+        one = self.table.use(message.reservation, message.firm, self.loop.clock())
         return one.units if one is not None else 0.0
 
     def used(self, message: Message) -> None:
@@ -210,7 +210,7 @@
         self._hold(
             Reservation(
                 message.id,
-                message.customer,
+                message.firm,
                 message.plan,
                 message.revision,
                 message.units,
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -17,7 +17,7 @@
 import structlog
 
 from .address import Address, ConfigError
-from .bodies.shares import Shares
+from .bodies.memory import BodyMemory
 from .config import Config, reload
 from .core.ingress import Ingress
 from .metrics import Metrics, exposition
@@ -78,19 +78,21 @@
                 config.counter,
                 config.settings.counter_timeout,
                 self.metrics,
-                lambda event: self.ingress.counted(event),
+                lambda event: self.ingress.handle_counter_answer(event),
             )
         self.ingress = Ingress(gateway, self.clock, self.loop, self.counter or NoCounter(), self.metrics, log)
-        self.inventory = Inventory(self.ingress.members)
+        self.inventory = Inventory(self.ingress.update_servers)
         sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         sockets -= min(SPARE, max(16, sockets // SPARE_PART))
         clients = min(sockets * 3 // 5, config.memory_mb * 1024 // MEMORY_PART // CLIENT_KB)
         folder = None
         if told.bodies.spool:
-            from .bodies.spool import Folder
+            from .bodies.spool import SpoolFolder
 
-            folder = Folder(told.bodies.spool, told.bodies.spool_size, lambda error: log.error("spool", error=error))
-        self.shares = Shares((config.memory_mb << 20) // MEMORY_PART, folder)
+            folder = SpoolFolder(
+                told.bodies.spool, told.bodies.spool_size, lambda error: log.error("spool", error=error)
+            )
+        self.shares = BodyMemory((config.memory_mb << 20) // MEMORY_PART, folder)
         self.south = Southside(
             self.loop,
             self.pool,
@@ -165,7 +167,7 @@
         told = told and all(
             part is None or part.knows() for part in (self.maintenance, self.drains, self.configuration)
         )
-        return told and self.ingress.listed and len(self.inventory) > 0
+        return told and self.ingress.has_server_list and len(self.inventory) > 0
 
     def start(self, signals: bool = True) -> None:
         if self.config.known:
@@ -245,8 +247,8 @@
         }
 
     def gauges(self) -> dict[str, int]:
-        apart = self.ingress.gateway.servers.apart
-        asked = sum(not exchange.over for exchange in self.ingress.held.values())
+        apart = self.ingress.decision_module.servers.apart
+        asked = sum(not exchange.is_finished for exchange in self.ingress.exchanges.values())
         return {
             "active": asked + self.north.flowing,
             "pool_size": len(self.inventory),
@@ -302,7 +304,7 @@
         self.north.close_unused()
         if self.clock() >= self._halves_until:
             self.north.give_up_halves()
-        if self.north.clients or self.ingress.held or self.front is not None and self.front.peers:
+        if self.north.clients or self.ingress.exchanges or self.front is not None and self.front.peers:
             self.loop.call_in(0.02, self._finish)
         else:
             if self.leases is not None:
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -19,7 +19,7 @@
 
 from ..config import decode
 from ..consensus.wire import Entry
-from ..core.exchange import Answer, RelayEnd
+from ..core.exchange import Answer, RelayResult
 from ..core.message import Message
 from ..members.protocol import Changed
 from ..members.wire import DEAD
@@ -182,10 +182,10 @@
         message: Message,
         server: str,
         left: float,
-        done: Callable[[RelayEnd], None],
-        began: Callable[[RelayEnd], None],
+        done: Callable[[RelayResult], None],
+        began: Callable[[RelayResult], None],
     ) -> Due:
-        end = RelayEnd("ok", cost=message.units)
+        end = RelayResult("ok", cost=message.units)
         return Due(self.loop.call_in(self.rng.expovariate(1 / self.mean), lambda: done(end)))
 
 
@@ -244,9 +244,9 @@
             firm.spread,
             firm.first,
             False,
-            told=firm.plan,
+            requested_plan=firm.plan,
         )
-        self.daemon.ingress.take(message, self._answered, Answers(self.daemon.loop, self.rng))
+        self.daemon.ingress.accept(message, self._answered, Answers(self.daemon.loop, self.rng))
 
     def _answered(self, answer: Answer) -> None:
         self.served += answer.kind == "served"
--- a/brackenpulley/standins/servers.py
+++ b/brackenpulley/standins/servers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..core.message import weight
+from ..core.message import parse_weight
 from ..net.http import Payload
 from ..net.loop import Loop
 from .wire import Line, Listener, header
@@ -45,7 +45,7 @@
     def _heard(self, line: Line, payload: Payload) -> None:
         ident = header(payload, b"x-request-id").decode()
         firm = int(payload.target.partition(b"?")[0].rsplit(b"/", 1)[-1], 16)
-        guess = weight(header(payload, b"x-weight").decode())[0]
+        guess = parse_weight(header(payload, b"x-weight").decode())[0]
         cost = float(max(1, min(self.most_units, guess + self.rng.choice((-1, 0, 0, 0, 1)))))
         self.hearing = ident
         said = self.script(self.rng)
--- a/brackenpulley/standins/wire.py
+++ b/brackenpulley/standins/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..bodies.shares import Shares
+from ..bodies.memory import BodyMemory
 from ..net import sockets
 from ..net.http import LONGEST, Payload
 from ..net.loop import READ, WRITE, Loop
@@ -87,7 +87,7 @@
         heard: Heard | None = None,
         host: str = "127.0.0.1",
         port: int = 0,
-        shares: Shares | None = None,
+        shares: BodyMemory | None = None,
     ) -> None:
         """`shares`: for long bodies, which are heard of while they come."""
         self.loop, self.heard, self.shares = loop, heard, shares
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -68,14 +68,14 @@
 
 def test_ok_names_the_endpoint_and_the_attempt_is_closed_neutrally() -> None:
     with rig(operator=SERVER) as r, asker(r) as stub:
-        before = r.daemon.ingress.gateway.loops["a"].mean
+        before = r.daemon.ingress.decision_module.loops["a"].mean
         reply = result(r, stub.Check.future(check(), timeout=5))
         assert reply.status.code == 0
         header = reply.ok_response.headers[0].header
         assert (header.key, header.value) == ("x-envoy-original-dst-host", r.peers["s-0"].at)
-        gateway = r.daemon.ingress.gateway
+        gateway = r.daemon.ingress.decision_module
         assert not gateway.reqs and not gateway.servers["s-0"].out and gateway.loops["a"].mean == before
-        assert not r.daemon.ingress.held and r.peers["s-0"].connected() is None
+        assert not r.daemon.ingress.exchanges and r.peers["s-0"].connected() is None
 
 
 def test_one_quota_is_spent_over_both_fronts() -> None:
@@ -158,7 +158,7 @@
         quiet = r.counter  # accepts and says nothing: the authoriser stalls
         r.daemon.authoriser.at = ("127.0.0.1", int(quiet.at.rpartition(":")[2]))
         call = stub.Check.future(check(1), timeout=8)
-        r.until(lambda: bool(r.daemon.ingress.held))
+        r.until(lambda: bool(r.daemon.ingress.exchanges))
         r.daemon.loop.running = True
         r.daemon.end()
         r.skip(0.6)
@@ -223,7 +223,7 @@
     with authorised(reply=denial(403)) as (r, stand_in):
         status, head, body = r.ask(1).answer()
         assert (status, body) == (403, b"not you") and b"x-why: because" in head
-        assert not r.daemon.ingress.gateway.customers and r.count("relays") == 0
+        assert not r.daemon.ingress.decision_module.customers and r.count("relays") == 0
         http = stand_in.seen[0].attributes.request.http
         assert (http.id, http.method, http.path) == (f"{1:016x}", "GET", f"/a/{1:016x}?q=1")
         assert http.headers["x-priority-class"] == "a"
@@ -249,7 +249,7 @@
 @pytest.mark.parametrize(("delay", "wait"), [(0.0, 2.0), (0.5, 2.0), (1.9, 2.0), (2.5, 2.0), (10.0, 2.0), (10.0, 4.0)])
 def test_however_long_the_authoriser_takes_one_answer_comes_in_time(delay: float, wait: float, on_failure: str) -> None:
     with authorised(delay, on_failure=on_failure) as (r, stand_in):
-        r.daemon.ingress.gateway.loops["a"].mean = 0.01  # the fleet is known to be quick
+        r.daemon.ingress.decision_module.loops["a"].mean = 0.01  # the fleet is known to be quick
         r.freeze()
         client = r.ask(1, timeout=f"{int(wait * 1000)}m")
         r.until(lambda: bool(stand_in.seen))
@@ -269,7 +269,7 @@
         assert r.skipped < wait and status == (200 if delay < wait else 503 if on_failure == "deny" else 429)
         stand_in.over.set()  # a late reply now comes in, and nobody hears of it
         client.send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert client.answer()[0] == 200 and client.seen == b"" and not r.daemon.ingress.held
+        assert client.answer()[0] == 200 and client.seen == b"" and not r.daemon.ingress.exchanges
 
 
 @pytest.mark.parametrize(("on_failure", "status"), [("deny", 503), ("allow", 200)])
@@ -297,7 +297,9 @@
         r.until(lambda: bool(stand_in.seen))
         client.close()
         r.until(stand_in.cancelled.is_set)
-        assert not r.daemon.ingress.held and r.count("gone") == 1 and not r.daemon.ingress.gateway.customers
+        assert (
+            not r.daemon.ingress.exchanges and r.count("gone") == 1 and not r.daemon.ingress.decision_module.customers
+        )
 
 
 def test_a_goaway_lets_what_is_out_be_finished_and_the_next_call_goes_elsewhere() -> None:
@@ -435,7 +437,7 @@
         ),
     )
     with rig(0, known={}, operator={"xds": {"path": str(path), "cluster": "sims"}}) as r:
-        servers = r.daemon.ingress.gateway.servers
+        servers = r.daemon.ingress.decision_module.servers
         assert {k: s.e.state for k, s in servers.items()} == {"127.0.0.1:1": "up", "127.0.0.1:2": "draining"}
         e = servers["127.0.0.1:1"].e
         assert (e.zone, e.size, e.started, e.cell) == ("hall-a", 4.0, 5.0, 2)
@@ -598,7 +600,7 @@
             r.until(lambda: bool(stand_in.seen))
             call.cancel()
             r.until(stand_in.cancelled.is_set)
-        assert r.count("check_cancelled") == 1 and not r.daemon.ingress.held
+        assert r.count("check_cancelled") == 1 and not r.daemon.ingress.exchanges
 
 
 def test_a_link_that_swallows_calls_is_not_given_another() -> None:
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -123,10 +123,10 @@
     told = operator(tmp_path)
     with rig(operator=told) as r:
         knows(r)
-        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "p"
+        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.customers[1].plan.name == "p"
         first: dict[str, Any] = {"plans": {"big": FIGURES, "p": {"rate": 7.0, "burst": 9.0}}, "firms": {FIRM: "big"}}
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "now"}
-        gateway = r.daemon.ingress.gateway
+        gateway = r.daemon.ingress.decision_module
         assert gateway.customers[1].plan.name == "big" and gateway.plans["p"].rate == 7.0
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "before"}
         assert change(r, tmp_path, 0, 409, plans={"big": FIGURES})["error"]["field"] == "base"
@@ -159,9 +159,9 @@
         assert change(r, tmp_path, 2, firms={FIRM: "big"}, plans={"big": FIGURES})["revision"] == 3
     with rig(operator=told) as r:  # the next life: by its own disk before anything is agreed
         assert r.daemon.configuration.force.number == 3 and r.daemon.configuration.force.source == "copy"
-        assert r.daemon.ingress.gateway.plans["big"].rate == 50.0
+        assert r.daemon.ingress.decision_module.plans["big"].rate == 50.0
         knows(r)
-        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "big"
+        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.customers[1].plan.name == "big"
         assert call(r, tmp_path, "GET", "/v1/configuration")[1]["from"] == "log"
 
 
@@ -211,7 +211,7 @@
         _, server = r.served()
         server.answer()
         change(r, tmp_path, 1, firms={FIRM: "small"}, plans={"big": {"rate": 2.0, "burst": 2.0}})
-        message = next(iter(r.daemon.ingress.held.values())).message
+        message = next(iter(r.daemon.ingress.exchanges.values())).message
         assert (message.plan, message.revision) == ("big", 1)
         server.send(ok)
         assert client.answer()[0] == 200
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -130,10 +130,10 @@
             )[0]
             == 201
         )
-        assert r.daemon.ingress.gateway.plans["new"].rate == 5.0
+        assert r.daemon.ingress.decision_module.plans["new"].rate == 5.0
     with rig(operator=operator(tmp_path)) as r:  # the next life
         assert call(r, tmp_path, "GET", "/v1/plans")[1]["revision"] == 2
-        assert r.daemon.ingress.gateway.plans["new"].rate == 5.0
+        assert r.daemon.ingress.decision_module.plans["new"].rate == 5.0
         assert call(r, tmp_path, "GET", f"/v1/firms/{FIRM}")[1] == {"firm": FIRM, "plan": "p", "revision": 1}
 
 
@@ -158,9 +158,9 @@
         figures = {"rate": 50.0, "burst": 50.0}
         call(r, tmp_path, "POST", "/v1/changes", change(r, kind="set", firm="", plan="big", figures=figures))
         call(r, tmp_path, "POST", "/v1/changes", change(r, revision=2, plan="big", since=now + 60))
-        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "p"
+        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.customers[1].plan.name == "p"
         r.skip(61.0)
-        assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "big"
+        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.customers[1].plan.name == "big"
         r.skip(3.0)
         r.until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
         rows = [(e.key.plan, e.key.revision, e.units) for e in r.daemon.ledger.store.entries()]
@@ -173,9 +173,9 @@
         code, told = call(r, tmp_path, "POST", "/v1/reservations", book)
         assert code == 201 and told["state"] == "held"
         assert call(r, tmp_path, "POST", "/v1/reservations", book)[1]["state"] == "held"
-        level = r.daemon.ingress.gateway.customers[1].level
+        level = r.daemon.ingress.decision_module.customers[1].level
         assert serve(r, 1, more="X-Reservation: r1\r\nX-Weight: units=4\r\n") == 200
-        assert r.daemon.ingress.gateway.customers[1].level >= level  # paid, and the true cost was 3 of the 4
+        assert r.daemon.ingress.decision_module.customers[1].level >= level  # paid, and the true cost was 3 of the 4
         assert call(r, tmp_path, "GET", "/v1/reservations/r1")[1]["state"] == "used"
         assert r.daemon.ledger.tally.heads.counted == 3_000_000
         assert call(r, tmp_path, "POST", "/v1/reservations/r1/commit", {"units": 4})[0] == 409
@@ -194,11 +194,11 @@
                 )[0]
                 == 201
             )
-        full = r.daemon.ingress.gateway.customers[1].level
+        full = r.daemon.ingress.decision_module.customers[1].level
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[1]["charged"] == 1.0
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[0] == 200
         assert call(r, tmp_path, "POST", "/v1/reservations/r1/release")[1]["state"] == "released"
-        assert r.daemon.ingress.gateway.customers[1].level >= full + 3.0
+        assert r.daemon.ingress.decision_module.customers[1].level >= full + 3.0
         r.skip(6.0)
         assert call(r, tmp_path, "POST", "/v1/reservations/r2/commit", {"units": 1.0})[0] == 410
         assert call(r, tmp_path, "GET", "/v1/reservations")[1]["held"] == 0
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without any wire: its two guards, its way with a failing module, and what it may import."""
+"""Tests the core without sockets: exchanges, a failing decision module, decoding of headers, and its imports."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 import pytest
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from brackenpulley.core.exchange import Answer, Exchange, ExchangeError, RelayEnd, Verdict
+from brackenpulley.core.exchange import Answer, Exchange, ExchangeError, RelayResult, Verdict
 from brackenpulley.core.ingress import Ingress
-from brackenpulley.core.message import Message, MessageError, decode, duration, weight
+from brackenpulley.core.message import Message, MessageError, decode, parse_duration, parse_weight
 from brackenpulley.metrics import Metrics
 from brackenpulley.policy.brain import Gateway
 from brackenpulley.policy.interface import Outcome, Request, SetTimer
@@ -26,14 +26,14 @@
 
 
 class Ports:
-    """Clock, timers, counter, log and south side in one."""
+    """A clock, timers, a counter, a log and a south side in one object."""
 
     def __init__(self) -> None:
-        self.now, self.timers, self.ends, self.answers = 1000.0, list[Any](), list[Any](), list[Answer]()
-        self.written, self.waits = True, False
+        self.now, self.timers, self.callbacks, self.answers = 1000.0, list[Any](), list[Any](), list[Answer]()
+        self.is_written, self.is_unsent = True, False
 
-    def call_at(self, when: float, call: Any) -> Any:
-        self.timers.append(call)
+    def call_at(self, when: float, callback: Any) -> Any:
+        self.timers.append(callback)
         return self
 
     def cancel(self) -> None: ...
@@ -42,26 +42,26 @@
     def exception(self, event: str, **more: Any) -> None: ...
 
     def drop(self) -> bool:
-        return self.written
+        return self.is_written
 
     def recall(self) -> bool:
-        return self.waits
+        return self.is_unsent
 
-    def start(self, message: Message, server: str, left: float, done: Any, began: Any) -> Any:
-        self.ends.append(done)
+    def start(self, message: Message, server: str, timeout: float, on_done: Any, on_streaming: Any) -> Any:
+        self.callbacks.append(on_done)
         return self
 
 
 def make(**more: Any) -> tuple[Ports, Ingress]:
     ports = Ports()
     ingress = Ingress(Gateway(settings(**more), 1, ports.now), lambda: ports.now, ports, ports, Metrics(), ports)
-    ingress.members(fleet())
+    ingress.update_servers(fleet())
     return ports, ingress
 
 
 def ask(ports: Ports, ingress: Ingress, ident: str = "1") -> Exchange:
     message = Message(ident, "check", "gold", 7, 5.0, 1.0, 1, 0, False)
-    exchange = ingress.take(message, ports.answers.append, ports)
+    exchange = ingress.accept(message, ports.answers.append, ports)
     assert exchange is not None
     return exchange
 
@@ -70,60 +70,60 @@
     ports, ingress = make()
     exchange = ask(ports, ingress)
     with pytest.raises(ExchangeError):
-        exchange.relay("s1", 0.0, 1.0, lambda e, n, end: None, lambda e, n, end: None)
-    ports.ends[0](RelayEnd("ok", (b"", [])))
+        exchange.relay("s1", 0.0, 1.0, lambda exchange, attempt, result: None, lambda exchange, attempt, result: None)
+    ports.callbacks[0](RelayResult("ok", (b"", [])))
     with pytest.raises(ExchangeError):
         exchange.answer(Answer("failed", 502))
-    ports.ends[0](RelayEnd("ok", (b"", [])))  # an end that is told twice is heard once
-    assert [a.status for a in ports.answers] == [200] and not ingress.held
+    ports.callbacks[0](RelayResult("ok", (b"", [])))  # a second result of the same relay is ignored
+    assert [a.status for a in ports.answers] == [200] and not ingress.exchanges
 
 
 def test_an_end_after_giving_up_is_not_heard() -> None:
     ports, ingress = make()
     exchange = ask(ports, ingress)
-    ingress.leave(exchange)
-    ports.ends[0](RelayEnd("ok", (b"", [])))
-    assert not ports.answers and not ingress.held and ingress.metrics.counts["relay_cancelled"] == 1
+    ingress.disconnect(exchange)
+    ports.callbacks[0](RelayResult("ok", (b"", [])))
+    assert not ports.answers and not ingress.exchanges and ingress.metrics.counts["relay_cancelled"] == 1
 
 
-@pytest.mark.parametrize(("written", "status"), [(True, "timeout"), (False, "connect_failed")])
-def test_giving_up_tells_whether_it_may_have_run(written: bool, status: str) -> None:
+@pytest.mark.parametrize(("is_written", "status"), [(True, "timeout"), (False, "connect_failed")])
+def test_giving_up_tells_whether_it_may_have_run(is_written: bool, status: str) -> None:
     ports, ingress = make()
-    ports.written = written
+    ports.is_written = is_written
     ask(ports, ingress)
     ports.now += 5.0
     ports.timers[-1]()
     assert ingress.metrics.counts["relay_" + status] == 1 and len(ports.answers) == 1
 
 
-@pytest.mark.parametrize(("written", "status"), [(True, "cancelled"), (False, "moot")])
-def test_a_client_that_leaves_tells_whether_it_may_have_run(written: bool, status: str) -> None:
+@pytest.mark.parametrize(("is_written", "status"), [(True, "cancelled"), (False, "moot")])
+def test_a_client_that_leaves_tells_whether_it_may_have_run(is_written: bool, status: str) -> None:
     ports, ingress = make()
-    ports.written = written
-    ingress.leave(ask(ports, ingress))
-    assert ingress.metrics.counts["relay_" + status] == 1 and not ports.answers and not ingress.held
+    ports.is_written = is_written
+    ingress.disconnect(ask(ports, ingress))
+    assert ingress.metrics.counts["relay_" + status] == 1 and not ports.answers and not ingress.exchanges
 
 
 @pytest.mark.parametrize("kind", [Request, Outcome])
 def test_a_module_that_fails_still_leaves_an_answer(kind: type) -> None:
     ports, ingress = make()
-    handle = ingress.gateway.handle
+    handle = ingress.decision_module.handle
 
     def failing(now: float, event: Any) -> Any:
         if isinstance(event, kind):
-            raise RuntimeError("no")
+            raise RuntimeError("planted failure")
         return handle(now, event)
 
-    ingress.gateway.handle = failing  # type: ignore[method-assign]
+    ingress.decision_module.handle = failing  # type: ignore[method-assign]
     ask(ports, ingress)
-    for done in ports.ends:
-        done(RelayEnd("error"))
-    assert [a.status for a in ports.answers] == [500] and not ingress.held
+    for report in ports.callbacks:
+        report(RelayResult("error"))
+    assert [a.status for a in ports.answers] == [500] and not ingress.exchanges
 
 
 def test_a_module_that_decides_nothing_still_leaves_an_answer() -> None:
     ports, ingress = make()
-    ingress.gateway.handle = lambda now, event: [SetTimer(1, 1.0)]  # type: ignore[method-assign, assignment]
+    ingress.decision_module.handle = lambda now, event: [SetTimer(1, 1.0)]  # type: ignore[method-assign, assignment]
     ask(ports, ingress)
     assert [a.status for a in ports.answers] == [500]
 
@@ -145,9 +145,9 @@
 def test_durations(text: str, seconds: float | None) -> None:
     if seconds is None:
         with pytest.raises(MessageError):
-            duration(text)
+            parse_duration(text)
     else:
-        assert duration(text) == pytest.approx(seconds)
+        assert parse_duration(text) == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize(
@@ -166,13 +166,13 @@
 def test_weights(text: str, found: Any) -> None:
     if found is None:
         with pytest.raises(MessageError):
-            weight(text)
+            parse_weight(text)
     else:
-        assert weight(text) == found
+        assert parse_weight(text) == found
 
 
 @pytest.mark.parametrize(
-    ("path", "customer"),
+    ("path", "firm"),
     [
         ("/check/00000000b4d65521", 0xB4D65521),
         ("/check/x/00000001ffffffff?a=/b", 0x1FFFFFFFF),
@@ -183,33 +183,36 @@
         ("/check/1_0", -1),
     ],
 )
-def test_customers(path: str, customer: int) -> None:
+def test_firms(path: str, firm: int) -> None:
     headers = {"x-request-id": "1", "x-timeout": "480m"}
-    if customer < 0:
+    if firm < 0:
         with pytest.raises(MessageError):
             decode(headers, path)
     else:
         found = decode(headers, path)
-        assert (found.customer, found.cls, found.left) == (customer, "check", pytest.approx(0.45))
+        assert (found.firm, found.priority_class, found.timeout) == (firm, "check", pytest.approx(0.45))
 
 
-class Hostile(RuleBasedStateMachine):
-    """Any order of messages, ends, leaving clients, verdicts and time: one answer each, one relay out, none kept."""
+class ArbitraryEvents(RuleBasedStateMachine):
+    """Messages, relay results, disconnecting clients, verdicts and timers in any order.
+
+    Each message gets one answer, has at most one relay in flight, and its exchange is released in the end.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.now, self.serial, self.due = 1000.0, 0, list[tuple[float, Any]]()
-        self.out: dict[str, list[Any]] = {}
-        self.answered: dict[str, list[Answer]] = {}
-        self.left: set[str] = set()
-        self.verdicts: dict[str, Any] = {}
+        self.now, self.serial, self.timers = 1000.0, 0, list[tuple[float, Any]]()
+        self.relays: dict[str, list[Any]] = {}
+        self.answers: dict[str, list[Answer]] = {}
+        self.disconnected: set[str] = set()
+        self.pending_verdicts: dict[str, Any] = {}
         self.ingress = Ingress(Gateway(settings(), 1, self.now), lambda: self.now, self, self, Metrics(), self)
-        self.ingress.members(fleet(6))
+        self.ingress.update_servers(fleet(6))
 
-    # The ports.
-    def call_at(self, when: float, call: Any) -> Any:
-        entry = [call]
-        self.due.append((when, entry))
+    # Stands in for the timers, the counter, the log, the south side and the authoriser.
+    def call_at(self, when: float, callback: Any) -> Any:
+        entry = [callback]
+        self.timers.append((when, entry))
         return Handle(entry.clear)
 
     def add(self, name: int, amount: float, ttl: float) -> None: ...
@@ -218,95 +221,99 @@
     def exception(self, event: str, **more: Any) -> None:
         raise AssertionError(event)
 
-    def start(self, message: Message, server: str, left: float, done: Any, began: Any) -> Any:
-        assert message.id not in self.out, "two relays out"
-        self.out[message.id] = [done]
-        if server == "s0":  # refused before start returns
-            del self.out[message.id]
-            done(RelayEnd("connect_failed"))
-        return Handle(lambda: self.out.pop(message.id, None))
+    def start(self, message: Message, server: str, timeout: float, on_done: Any, on_streaming: Any) -> Any:
+        assert message.id not in self.relays, "two relays in flight"
+        self.relays[message.id] = [on_done]
+        if server == "s0":  # fails before start returns
+            del self.relays[message.id]
+            on_done(RelayResult("connect_failed"))
+        return Handle(lambda: self.relays.pop(message.id, None))
 
-    def ask(self, message: Message, left: float, done: Any) -> Any:
-        self.verdicts[message.id] = done
-        return Handle(lambda: self.verdicts.pop(message.id, None))
+    def ask(self, message: Message, timeout: float, on_done: Any) -> Any:
+        self.pending_verdicts[message.id] = on_done
+        return Handle(lambda: self.pending_verdicts.pop(message.id, None))
 
-    # What happens.
+    # The events.
     @rule(
-        cls=st.sampled_from(["check", "push", "blast"]),
-        left=st.sampled_from([0.0, 3.0, 9.0, 9.0]),
-        asked=st.booleans(),
+        priority_class=st.sampled_from(["check", "push", "blast"]),
+        timeout=st.sampled_from([0.0, 3.0, 9.0, 9.0]),
+        is_authorised=st.booleans(),
         units=st.integers(1, 3),
     )
-    def message(self, cls: str, left: float, asked: bool, units: int) -> None:
+    def message(self, priority_class: str, timeout: float, is_authorised: bool, units: int) -> None:
         self.serial += 1
-        rid = str(self.serial)
-        self.ingress.authoriser = self if asked else None
-        self.answered[rid] = []
-        message = Message(rid, cls, "gold", self.serial % 20, left, units, 1, 0, False)
-        exchange = self.ingress.take(message, self.answered[rid].append, self)
+        ident = str(self.serial)
+        self.ingress.authoriser = self if is_authorised else None
+        self.answers[ident] = []
+        message = Message(ident, priority_class, "gold", self.serial % 20, timeout, units, 1, 0, False)
+        exchange = self.ingress.accept(message, self.answers[ident].append, self)
         assert exchange is not None
-        if rid in self.ingress.held:
-            assert self.ingress.take(message, self.answered[rid].append, self) is None
+        if ident in self.ingress.exchanges:
+            assert self.ingress.accept(message, self.answers[ident].append, self) is None
 
-    @rule(pick=st.integers(0, 99), kind=st.sampled_from(["allow", "deny", "unknown"]), open_=st.booleans())
-    def verdict(self, pick: int, kind: str, open_: bool) -> None:
-        if self.verdicts:
-            self.ingress.fail_open = open_
-            self.verdicts.pop(sorted(self.verdicts)[pick % len(self.verdicts)])(Verdict(kind, 403))
+    @rule(pick=st.integers(0, 99), kind=st.sampled_from(["allow", "deny", "unknown"]), fail_open=st.booleans())
+    def verdict(self, pick: int, kind: str, fail_open: bool) -> None:
+        if self.pending_verdicts:
+            self.ingress.fail_open = fail_open
+            self.pending_verdicts.pop(sorted(self.pending_verdicts)[pick % len(self.pending_verdicts)])(
+                Verdict(kind, 403)
+            )
 
     @rule(
         pick=st.integers(0, 99), status=st.sampled_from(["ok", "error", "full", "reset", "connect_failed", "granted"])
     )
     def end(self, pick: int, status: str) -> None:
-        if self.out:
-            (done,) = self.out.pop(sorted(self.out)[pick % len(self.out)])
-            done(RelayEnd(status, (b"", [])))
-            done(RelayEnd("ok", (b"", [])))  # told a second time: not heard
+        if self.relays:
+            (report,) = self.relays.pop(sorted(self.relays)[pick % len(self.relays)])
+            report(RelayResult(status, (b"", [])))
+            report(RelayResult("ok", (b"", [])))  # a second result is ignored
 
     @rule(pick=st.integers(0, 99))
     def leave(self, pick: int) -> None:
-        if self.ingress.held:
-            exchange = self.ingress.held[sorted(self.ingress.held)[pick % len(self.ingress.held)]]
-            self.left.add(exchange.message.id)
-            self.ingress.leave(exchange)
+        if self.ingress.exchanges:
+            exchange = self.ingress.exchanges[sorted(self.ingress.exchanges)[pick % len(self.ingress.exchanges)]]
+            self.disconnected.add(exchange.message.id)
+            self.ingress.disconnect(exchange)
 
     @rule(step=st.sampled_from([0.05, 0.5, 4.0]))
     def wait(self, step: float) -> None:
         self.now += step
-        for entry in [e for when, e in self.due if when <= self.now]:
+        for entry in [entry for when, entry in self.timers if when <= self.now]:
             if entry:
                 entry.pop()()
-        self.due = [(when, e) for when, e in self.due if e]
+        self.timers = [(when, entry) for when, entry in self.timers if entry]
 
     @invariant()
     def one_answer_each(self) -> None:
-        for rid, answers in self.answered.items():
-            waits = rid in self.out or rid in self.verdicts
-            assert len(answers) <= 1 and (answers or waits or rid in self.left), rid
-            assert waits == (rid in self.ingress.held), rid
-        assert set(self.ingress.gateway.reqs) <= set(self.out)
-        assert sum(bool(entry) for _, entry in self.due) <= len(self.out) + 1  # each relay's, and the module's own
+        for ident, answers in self.answers.items():
+            is_pending = ident in self.relays or ident in self.pending_verdicts
+            assert len(answers) <= 1 and (answers or is_pending or ident in self.disconnected), ident
+            assert is_pending == (ident in self.ingress.exchanges), ident
+        assert set(self.ingress.decision_module.reqs) <= set(self.relays)
+        assert (
+            sum(bool(entry) for _, entry in self.timers) <= len(self.relays) + 1
+        )  # one for each relay, and the timer of the decision module
 
 
 class Handle:
-    """What a port hands back: it can be cancelled, or dropped."""
+    """A timer or a call in progress, which can be cancelled or dropped."""
 
-    def __init__(self, call: Any) -> None:
-        self._call = call
+    def __init__(self, on_cancel: Any) -> None:
+        self._on_cancel = on_cancel
 
     def cancel(self) -> None:
-        self._call()
+        self._on_cancel()
 
     def drop(self) -> bool:
-        self._call()
+        self._on_cancel()
         return True
 
     def recall(self) -> bool:
         return False
 
 
-Hostile.TestCase.settings = RUN
-TestHostile = Hostile.TestCase
+ArbitraryEvents.TestCase.settings = RUN
+TestArbitraryEvents = ArbitraryEvents.TestCase
 
 
 def imports(path: Path) -> set[str]:
@@ -350,5 +357,5 @@
         "print([m for m in sys.modules if m.split('.')[0] in ('h2', 'grpc', 'google', 'envoy')"
         " or m.startswith(('brackenpulley.authz', 'brackenpulley.xds'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -435,8 +435,8 @@
 
     with rig(counter=True) as r:
         r.daemon.ingress.leases = Leases()  # type: ignore[assignment]
-        r.daemon.ingress.counted(end := Counted(5, "timeout"))
-        r.daemon.ingress.counted(Total(0, "ok", 3.0, 0.05))
+        r.daemon.ingress.handle_counter_answer(end := Counted(5, "timeout"))
+        r.daemon.ingress.handle_counter_answer(Total(0, "ok", 3.0, 0.05))
         r.daemon.ingress.leases = None
     assert heard_of == [end]
 
@@ -447,7 +447,7 @@
     told["Extra"] = {"MayCount": True, "CountWait": WAIT, "MostUnits": 8}
     with rig(counter=True, settings={**told, "NInstances": 3}) as r:
         r.freeze()
-        gateway = r.daemon.ingress.gateway
+        gateway = r.daemon.ingress.decision_module
         clients = [r.ask(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
         r.until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
         wire = r.counter.accept()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -69,7 +69,7 @@
         wire.send(GONE[how]).close()
         r.until(lambda: not r.daemon.north.clients)
         r.turn()
-        assert r.count("gone") == 1 and r.count("relays") == 1 and not r.daemon.ingress.held
+        assert r.count("gone") == 1 and r.count("relays") == 1 and not r.daemon.ingress.exchanges
         assert server.ended()
 
 
@@ -93,7 +93,7 @@
         r.until(stuck)
         wire.reset() if reset else wire.close()
         r.until(lambda: not r.daemon.north.clients)
-        assert not r.daemon.north.unread and not r.daemon.ingress.held
+        assert not r.daemon.north.unread and not r.daemon.ingress.exchanges
 
 
 def test_a_client_that_left_while_it_waited_to_be_accepted_is_not_sent_on() -> None:
@@ -554,7 +554,7 @@
 
 def test_an_attempt_that_has_not_begun_is_not_begun_for_a_client_that_left_though_none_is_cancelled() -> None:
     with rig() as r:
-        r.daemon.ingress.gateway.s.cancel = False
+        r.daemon.ingress.decision_module.s.cancel = False
         event, r.daemon.south._event = r.daemon.south._event, lambda conn, events: None  # it does not come up yet
         client = r.ask(1)
         r.until(lambda: r.count("relays") == 1)
@@ -562,12 +562,12 @@
         r.until(lambda: r.count("gone") == 1)
         r.daemon.south._event = event  # type: ignore[method-assign]
         wire = r.peers["s-0"].accept()
-        assert wire.ended() and not wire.seen and not r.daemon.ingress.held and not r.daemon.south.count
+        assert wire.ended() and not wire.seen and not r.daemon.ingress.exchanges and not r.daemon.south.count
 
 
 def test_an_attempt_that_has_begun_goes_on_where_none_is_cancelled() -> None:
     with rig() as r:
-        r.daemon.ingress.gateway.s.cancel = False
+        r.daemon.ingress.decision_module.s.cancel = False
         client = r.ask(1)
         _, server = r.served()
         server.answer()
@@ -575,7 +575,7 @@
         r.until(lambda: r.count("gone") == 1)
         assert r.daemon.south.count == 1
         server.send(OK)
-        r.until(lambda: not r.daemon.ingress.held)
+        r.until(lambda: not r.daemon.ingress.exchanges)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -14,7 +14,7 @@
 
 from benchmarks.ledger_cost import Process
 from benchmarks.plan_changes import free_ports
-from brackenpulley.core.exchange import RelayEnd
+from brackenpulley.core.exchange import RelayResult
 from brackenpulley.core.ingress import Ingress
 from brackenpulley.core.message import Message
 from brackenpulley.ledger.service import LedgerService
@@ -74,7 +74,7 @@
             self.reached.add(relay.message.id)
         if status == "ok":
             self.cost[relay.message.id] = cost
-        relay.done(RelayEnd(status, cost=cost if status == "ok" else 0.0))
+        relay.done(RelayResult(status, cost=cost if status == "ok" else 0.0))
 
     def over(self, held: Any) -> float:
         """Units of the messages that have left since: true cost, else the guess where a server had it whole."""
@@ -97,12 +97,12 @@
         self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
         self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, Silent())
         self.ingress.plans = self.plans
-        self.held = self.ingress.holds = ReservationService(
+        self.held = self.ingress.reservations = ReservationService(
             self.loop, self.ingress, ReservationsPart(100, 60.0, 3.0, True), self.loop.metrics
         )
         self.ledger.start()
         self.plans.start()
-        self.ingress.members(ServerList("full", [ServerEntry(f"s{n}") for n in range(4)]))
+        self.ingress.update_servers(ServerList("full", [ServerEntry(f"s{n}") for n in range(4)]))
         self.south = Relays()
 
     def crash(self) -> None:
@@ -153,10 +153,10 @@
                     False,
                     None,
                     name if kind == "pay" else "",
-                    told="school",
+                    requested_plan="school",
                 )
                 core.south.asked[message.id] = message
-                core.ingress.take(message, lambda answer: None, core.south)
+                core.ingress.accept(message, lambda answer: None, core.south)
             elif kind == "end" and core.south.out:
                 status = ("ok", "ok", "error", "connect_failed")[number % 4]
                 core.south.end(rng.choice(core.south.out), status, float(1 + number % 5))
@@ -188,11 +188,11 @@
                 core.now += number / 2
             elif kind == "crash":
                 core.loop.turn(0)
-                must += core.south.over(core.ingress.held)
+                must += core.south.over(core.ingress.exchanges)
                 core.crash()
                 core = Core(folder, core.now)
             core.loop.turn(0)
-            must += core.south.over(core.ingress.held)
+            must += core.south.over(core.ingress.exchanges)
             heads, store = core.ledger.tally.heads, core.ledger.store
             closed = sum(entry.units for entry in store.entries())
             assert heads.counted == must * MICRO
@@ -225,7 +225,7 @@
     with rig(operator=told) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
-        level = r.daemon.ingress.gateway.customers[7].level
+        level = r.daemon.ingress.decision_module.customers[7].level
         assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted == 0
         if end == "committed":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/commit", {"units": 1.0})[0] == 200
@@ -235,7 +235,7 @@
             r.skip(2.1)
         assert heads.counted == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO
         if end != "expired":
-            assert r.daemon.ingress.gateway.customers[7].level >= level + 3.0
+            assert r.daemon.ingress.decision_module.customers[7].level >= level + 3.0
 
 
 def test_a_daemon_killed_between_upload_and_acknowledgement_sends_the_same_again(tmp_path: Path) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -146,10 +146,10 @@
         _, server = r.served()
         server.answer()
         r.skip(5.9)
-        assert r.daemon.ingress.held
+        assert r.daemon.ingress.exchanges
         r.skip(0.08)  # 20 ms before the client's own time is up
         status, head, _ = client.answer()
-        assert status in (502, 503) and server.ended() and not r.daemon.ingress.held
+        assert status in (502, 503) and server.ended() and not r.daemon.ingress.exchanges
 
 
 def test_a_client_that_leaves_ends_its_relay() -> None:
@@ -158,7 +158,7 @@
         _, server = r.served()
         server.answer()
         client.close()
-        assert server.ended() and r.count("gone") == 1 and not r.daemon.ingress.held
+        assert server.ended() and r.count("gone") == 1 and not r.daemon.ingress.exchanges
 
 
 def test_what_drains_between_choice_and_first_byte_gets_nothing() -> None:
@@ -194,7 +194,7 @@
 def test_an_unknown_class_or_plan_is_answered(head: str) -> None:
     with rig() as r:
         client = r.client().send(f"{head}\r\nX-Request-ID: 1\r\nX-Timeout: 9000m\r\n\r\n".encode())
-        assert client.answer()[0] == 400 and client.ended() and not r.daemon.ingress.gateway.customers
+        assert client.answer()[0] == 400 and client.ended() and not r.daemon.ingress.decision_module.customers
 
 
 # Guards against bad units in a usual customer's name: the module took them for that customer's own and kept the set.
@@ -205,7 +205,7 @@
 def test_weights_that_the_settings_leave_no_room_for_touch_no_customer(weight: str) -> None:
     with rig() as r:
         assert r.ask(7, more=f"X-Weight: {weight}\r\n").answer()[0] == 400
-        assert not r.daemon.ingress.gateway.customers and not r.count("relays")
+        assert not r.daemon.ingress.decision_module.customers and not r.count("relays")
 
 
 @pytest.mark.parametrize(
@@ -795,15 +795,15 @@
         _, server = r.served()
         server.answer()
         server.send(H200 + b"Content-Length: %d\r\n\r\n" % len(body) + body)
-        assert client.answer()[2] == body and r.daemon.shares.held == 0
-        r.daemon.shares.held_most = 10_000  # as if others held the rest
+        assert client.answer()[2] == body and r.daemon.shares.answer_bytes == 0
+        r.daemon.shares.max_answer_bytes = 10_000  # as if others held the rest
         r.ask(2, wire=client)
         server.answer()
         server.send(H200 + b"Content-Length: %d\r\n\r\n" % 60_000 + body[:15_000])
         assert client.answer()[0] in (502, 503) and server.ended()
         # Our own limit: no other server is asked, and this one is not judged by it.
-        assert r.count("answers_over_memory") == 1 and r.count("relays") == 2 and r.daemon.shares.held == 0
-        assert r.daemon.ingress.gateway.servers["s-0"].err == 0
+        assert r.count("answers_over_memory") == 1 and r.count("relays") == 2 and r.daemon.shares.answer_bytes == 0
+        assert r.daemon.ingress.decision_module.servers["s-0"].err == 0
 
 
 def test_kept_connections_that_break_unheard_are_no_longer_used_when_old() -> None:
