--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -7,16 +7,7 @@
 
 import pytest
 
-from brackenpulley.policy.interface import (
-    AddToCounter,
-    CounterResult,
-    LateCounterResult,
-    Outcome,
-    PlansChanged,
-    PlanSpec,
-    Send,
-    TimerFired,
-)
+from brackenpulley.policy.interface import AddToCounter, CounterResult, LateCounterResult, Outcome, PlansChanged, PlanSpec, Send, TimerFired
 
 from .rig import Rig, rig
 from .test_link import SETTINGS
@@ -149,9 +140,7 @@
     c = d.decision_module.firms[1]
     assert second.amount >= 3
     late(d, first, first.amount, 0.005)  # while the second is out
-    assert (
-        c.others_rate == 0 and c.counter_total == first.amount and [x.serial for x in c.pending_calls] == [second.call]
-    )
+    assert c.others_rate == 0 and c.counter_total == first.amount and [x.serial for x in c.pending_calls] == [second.call]
     lost(d, second)
     late(d, second, first.amount + second.amount)
     assert c.others_rate == 0 and c.counter_total == first.amount + second.amount and not c.pending_calls
@@ -183,26 +172,12 @@
     lost(d, call)
     late(d, call, call.amount + 9.0)
     c = d.decision_module.firms[1]
-    before = (
-        c.level,
-        c.granted,
-        c.reading_at,
-        c.counter_total,
-        c.others_rate,
-        d.decision_module.counter_calls.interval,
-    )
+    before = (c.level, c.granted, c.reading_at, c.counter_total, c.others_rate, d.decision_module.counter_calls.interval)
     d.handle(LateCounterResult(call.call, "ok", call.amount + 9.0, WAIT + 0.025))
     d.handle(LateCounterResult(call.call, "ok", call.amount + 30.0, WAIT + 0.025))
     d.handle(LateCounterResult(call.call, "full", 0.0, WAIT + 0.025))
     d.handle(LateCounterResult(99, "ok", 1.0, 0.1))
-    assert (
-        c.level,
-        c.granted,
-        c.reading_at,
-        c.counter_total,
-        c.others_rate,
-        d.decision_module.counter_calls.interval,
-    ) == before
+    assert (c.level, c.granted, c.reading_at, c.counter_total, c.others_rate, d.decision_module.counter_calls.interval) == before
 
 
 def test_a_late_total_never_answers_the_call_that_is_out() -> None:
@@ -212,10 +187,7 @@
     lost(d, first)
     second = again(d, 0.2)
     late(d, first, first.amount, 0.0)
-    assert (
-        d.decision_module.counter_calls.current is not None
-        and d.decision_module.counter_calls.current.serial == second.call
-    )
+    assert d.decision_module.counter_calls.current is not None and d.decision_module.counter_calls.current.serial == second.call
     d.now += 0.001
     for customer in (2, 3):
         for _ in range(8):
@@ -395,9 +367,7 @@
     d, counter = drive(), Far(0.004)
     counter.silent = True
     days(d, counter, 400.0)
-    assert len(d.decision_module.counter_calls.timed_out) <= 256 and all(
-        len(c.pending_calls) < 100 for c in d.decision_module.firms.values()
-    )
+    assert len(d.decision_module.counter_calls.timed_out) <= 256 and all(len(c.pending_calls) < 100 for c in d.decision_module.firms.values())
 
 
 def heard(r: Rig) -> list[tuple[str, int, str, float]]:
@@ -465,8 +435,8 @@
 
     with rig(counter=True) as r:
         r.daemon.ingress.leases = Leases()  # type: ignore[assignment]
-        r.daemon.ingress.counted(end := CounterResult(5, "timeout"))
-        r.daemon.ingress.counted(LateCounterResult(0, "ok", 3.0, 0.05))
+        r.daemon.ingress.handle_counter_answer(end := CounterResult(5, "timeout"))
+        r.daemon.ingress.handle_counter_answer(LateCounterResult(0, "ok", 3.0, 0.05))
         r.daemon.ingress.leases = None
     assert heard_of == [end]
 
@@ -477,7 +447,7 @@
     told["Extra"] = {"MayCount": True, "CountWait": WAIT, "MostUnits": 8}
     with rig(counter=True, settings={**told, "NInstances": 3}) as r:
         r.freeze()
-        gateway = r.daemon.ingress.gateway
+        gateway = r.daemon.ingress.decision_module
         clients = [r.ask(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
         r.until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
         wire = r.counter.accept()
