--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -92,7 +92,7 @@
         for name, since in list(self.waits.items()):
             if self._whole(name):
                 self.listed_at.setdefault(name, now)
-            if name in self.listed_at and self.there[name].daemon.ready():
+            if name in self.listed_at and self.there[name].daemon.is_ready():
                 self.took.append([now - since, self.listed_at.pop(name) - since])
                 del self.waits[name]
         self.loop.call_in(LOOK, self._look)
--- a/brackenpulley/__init__.py
+++ b/brackenpulley/__init__.py
@@ -1,4 +1,4 @@
-"""brackenpulley: an ingress that holds customers to their quotas; the decision module can be embedded alone."""
+"""A quota-enforcing ingress; its decision module can be embedded on its own (see `examples/embed.py`)."""
 
 from .policy.brain import Gateway
 from .policy.interface import Settings
--- a/brackenpulley/address.py
+++ b/brackenpulley/address.py
@@ -1,4 +1,4 @@
-"""Addresses of sockets, and the error that names a field of a configuration."""
+"""Socket addresses, and the error that all readers of settings raise."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 class ConfigError(ValueError):
-    """The message starts with the field's name."""
+    """A wrong or missing setting; the message starts with the name of the setting."""
 
 
-def address(text: Any, name: str) -> Address:
-    """'127.0.0.4:8000' or '[::1]:8000'; names are not looked up."""
+def parse_address(text: Any, name: str) -> Address:
+    """Parse '127.0.0.4:8000' or '[::1]:8000'; host names are not resolved.
+
+    Raises ConfigError, which names the setting `name`, for anything else.
+    """
     host, _, port = str(text).rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/brackenpulley/cli.py
+++ b/brackenpulley/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line, built with Typer. Groups of commands are in `commands`, each loaded only when it is called."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
     add_completion=False,
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="An ingress that holds customers to their quotas before a shared fleet of sim servers.",
+    help="An ingress that enforces firms' quotas in front of a shared fleet of sim servers.",
 )
-Path = Annotated[str, typer.Option("--config", help="The configuration; else the file that BALANCER_CONFIG names.")]
-
-
-Extra = Annotated[
-    str, typer.Option("--operator", envvar="BALANCER_OPERATOR", help="The operator's file, for what is off by default.")
+ConfigPath = Annotated[
+    str, typer.Option("--config", help="The configuration; else the file that BALANCER_CONFIG names.")
+]
+OperatorPath = Annotated[
+    str,
+    typer.Option(
+        "--operator", envvar="BALANCER_OPERATOR", help="The operator's file, which switches on optional parts."
+    ),
 ]
 
 
 def _load(path: str, operator: str) -> Config:
     try:
-        return start.configuration(path, operator)
+        return start.load_configuration(path, operator)
     except ConfigError as error:
         raise _fail(error) from None
 
@@ -39,28 +42,28 @@
 
 
 @app.command()
-def serve(config: Path = "", operator: Extra = "") -> None:
+def serve(config: ConfigPath = "", operator: OperatorPath = "") -> None:
     """Serve in the foreground until SIGTERM."""
     raise typer.Exit(start.serve({"--config": config, "--operator": operator}))
 
 
 @app.command("check-config")
-def check_config(config: Path = "", operator: Extra = "") -> None:
-    """Read the configuration and say whether it can be used."""
-    told = _load(config, operator)
+def check_config(config: ConfigPath = "", operator: OperatorPath = "") -> None:
+    """Read the configuration and check whether it can be used."""
+    loaded = _load(config, operator)
     print(
-        f"{told.name}: {len(told.settings.classes)} classes, {len(told.settings.plans)} plans, "
-        f"listens at {told.listen[0]}:{told.listen[1]}"
+        f"{loaded.name}: {len(loaded.settings.classes)} classes, {len(loaded.settings.plans)} plans, "
+        f"listens at {loaded.listen[0]}:{loaded.listen[1]}"
     )
 
 
 @app.command()
 def demo(
-    seconds: Annotated[float, typer.Option(help="How long traffic is served.")] = 60.0,
-    seed: Annotated[int, typer.Option(help="Of the traffic.")] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="The summary as JSON.")] = False,
+    seconds: Annotated[float, typer.Option(help="Seconds for which traffic is served.")] = 60.0,
+    seed: Annotated[int, typer.Option(help="Seed of the random traffic.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the summary as JSON.")] = False,
 ) -> None:
-    """One daemon among stand-ins, with no file: traffic, a change of plan, export; exit code 0 if all agree."""
+    """Run one ingress among simulated clients and servers: traffic, a plan change, an export; exits 0 if all agree."""
     try:
         from .commands.demo import run
     except ImportError as error:
@@ -68,14 +71,14 @@
     raise typer.Exit(run(seconds, seed, as_json))
 
 
-# Of commands, in brackenpulley.commands.
-GROUPS = ("control", "fleet", "growth", "ledger", "members", "plans", "reservations")
+# Groups of commands: each one is a module of `commands`.
+COMMAND_GROUPS = ("control", "fleet", "growth", "ledger", "members", "plans", "reservations")
 
 
 def main() -> None:
-    """Loads the group that is called, or all where only help is wanted: `serve` pays for none of them."""
-    called = [word for word in sys.argv[1:2] if word in GROUPS]
-    for name in called or (GROUPS if len(sys.argv) < 2 or sys.argv[1] == "--help" else ()):
+    """Run the command line. Only the group that is called is loaded, or all of them for the help text."""
+    called = [word for word in sys.argv[1:2] if word in COMMAND_GROUPS]
+    for name in called or (COMMAND_GROUPS if len(sys.argv) < 2 or sys.argv[1] == "--help" else ()):
         try:
             app.add_typer(importlib.import_module(f".commands.{name}", __package__).app, name=name)
         except ImportError as error:
@@ -89,7 +92,7 @@
 @app.command()
 def version() -> None:
     """Print the version, and those of the libraries it runs on."""
-    from importlib import metadata  # costly to load, and no other command has a use for it
+    from importlib import metadata  # slow to import, and no other command needs it
 
     print(f"brackenpulley {__version__}")
     for name in ("httptools", "structlog", "typer"):
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -108,7 +108,7 @@
                 daemon.loop.turn(0.002)
             return True
 
-        faults = [] if turn_until(daemon.ready, 10) else ["the daemon was not ready in time"]
+        faults = [] if turn_until(daemon.is_ready, 10) else ["the daemon was not ready in time"]
         begin = clock()
         moved = firm_text(firms[0].key)
         load.start()
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -319,10 +319,10 @@
     """End what a supervisor that is gone left behind. Not while one runs."""
     spec = _spec(file)
     from ..fleet.process import search
-    from ..lock import Lock
+    from ..lock import FileLock
 
     try:
-        lock = Lock(Path(spec.fleet.run) / "lock", "fleet reap", ConfigError)
+        lock = FileLock(Path(spec.fleet.run) / "lock", "fleet reap", ConfigError)
     except ConfigError as error:
         raise fail(str(error), 1) from None
     except FileNotFoundError:
--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -154,10 +154,10 @@
 ) -> None:
     """Send a stopped daemon's entries to billing, under the ids that they have."""
     from ..ledger.push import push as send
-    from ..operator import billing_address
+    from ..operator import parse_billing_url
 
     try:
-        at, target = billing_address(url, "--url")
+        at, target = parse_billing_url(url, "--url")
     except ConfigError as error:
         raise fail(str(error)) from None
     store = _open(path, write=True)
--- a/brackenpulley/config.py
+++ b/brackenpulley/config.py
@@ -1,4 +1,7 @@
-"""The configuration of one real ingress. What is wrong with it is told in one line that names the field."""
+"""The configuration file of one ingress (JSON), with overrides from the environment.
+
+Errors are ConfigError, each one line that names the setting.
+"""
 
 from __future__ import annotations
 
@@ -8,28 +11,30 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from .address import Address, ConfigError, address
-from .operator import ControlPart, Operator, local
+from .address import Address, ConfigError, parse_address
+from .operator import ControlOptions, OperatorOptions, parse_local_address
 from .operator import load as load_operator
-from .policy import interface as i
+from .policy import interface
 from .settings import JSON, Transport, settings, transport
 
 
 @dataclass(slots=True)
 class Config:
+    """The configuration of one ingress, with its operator's file."""
+
     name: str
     listen: Address
     discovery: Address | None
     counter: Address | None
     seed: int
-    sockets: int
+    sockets: int  # descriptors that the process may use
     memory_mb: int
-    known: JSON
-    settings: i.Settings
+    initial_servers: JSON  # a list of servers to start with, in discovery's format
+    settings: interface.Settings
     transport: Transport
-    operator: Operator
-    path: str = ""  # the file it was read from
-    console: Address | None = None  # the operators' console
+    operator: OperatorOptions
+    path: str = ""  # the file that it was read from
+    console: Address | None = None  # address of the operators' console
 
 
 def _object(value: Any, name: str) -> JSON:
@@ -38,19 +43,23 @@
     return value
 
 
-def decode(raw: Any, env: Mapping[str, str], operator: Operator | None = None) -> Config:
+def decode(raw: Any, env: Mapping[str, str], operator: OperatorOptions | None = None) -> Config:
+    """Decode a parsed configuration file; variables in `env` override its names and addresses.
+
+    Raises ConfigError where a setting is missing or wrong.
+    """
     raw = _object(raw, "configuration")
 
-    def told(variable: str, key: str) -> Any:
+    def require(variable: str, key: str) -> Any:
         value = env.get(variable) or raw.get(key)
         if not value:
             raise ConfigError(f"{key}: missing")
         return value
 
-    given, limits = _object(raw.get("settings"), "settings"), _object(raw.get("limits", {}), "limits")
+    raw_settings, limits = _object(raw.get("settings"), "settings"), _object(raw.get("limits", {}), "limits")
     try:
-        rules, conns = settings(given), transport(given)
-    except i.SettingsError as error:
+        rules, transport_rules = settings(raw_settings), transport(raw_settings)
+    except interface.SettingsError as error:
         raise ConfigError(f"settings.{error}") from None
     except (TypeError, ValueError, AttributeError, KeyError) as error:
         raise ConfigError(f"settings: {type(error).__name__}: {error}") from None
@@ -58,7 +67,7 @@
     def limit(key: str, default: int, least: int) -> int:
         value = limits.get(key, default)
         if not isinstance(value, int) or isinstance(value, bool) or value < least:
-            raise ConfigError(f"limits.{key}: {value!r} is not a whole number from {least}")
+            raise ConfigError(f"limits.{key}: {value!r} is not an integer of at least {least}")
         return value
 
     sockets, memory_mb = limit("sockets", 1024, 64), limit("memory_mb", 2048, 16)
@@ -69,26 +78,28 @@
     if rules.counter and not raw.get("counter"):
         raise ConfigError("counter: missing, and the settings allow counting")
     console = env.get("BALANCER_CONSOLE") or raw.get("console")
-    operator = operator or Operator()
-    if env.get("BALANCER_CONTROL"):  # a supervisor's word goes before the file's
-        operator = replace(operator, control=ControlPart(local(env["BALANCER_CONTROL"], "BALANCER_CONTROL")))
+    operator = operator or OperatorOptions()
+    if env.get("BALANCER_CONTROL"):  # the supervisor's address overrides the file's
+        operator = replace(
+            operator, control=ControlOptions(parse_local_address(env["BALANCER_CONTROL"], "BALANCER_CONTROL"))
+        )
     return Config(
-        name=str(told("BALANCER_NAME", "name")),
-        listen=address(told("BALANCER_LISTEN", "listen"), "listen"),
-        discovery=None if operator.xds else address(told("BALANCER_DISCOVERY", "discovery"), "discovery"),
-        counter=address(raw["counter"], "counter") if raw.get("counter") else None,
+        name=str(require("BALANCER_NAME", "name")),
+        listen=parse_address(require("BALANCER_LISTEN", "listen"), "listen"),
+        discovery=None if operator.xds else parse_address(require("BALANCER_DISCOVERY", "discovery"), "discovery"),
+        counter=parse_address(raw["counter"], "counter") if raw.get("counter") else None,
         seed=seed,
         sockets=sockets,
         memory_mb=memory_mb,
-        known=_object(raw.get("known", {}), "known"),
+        initial_servers=_object(raw.get("known", {}), "known"),
         settings=rules,
-        transport=conns,
+        transport=transport_rules,
         operator=operator,
-        console=address(console, "console") if console else None,
+        console=parse_address(console, "console") if console else None,
     )
 
 
-def _read(path: str, env: Mapping[str, str], operator: Operator | None) -> Config:
+def _read(path: str, env: Mapping[str, str], operator: OperatorOptions | None) -> Config:
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
@@ -102,10 +113,17 @@
 
 
 def load(path: str, operator: str = "", env: Mapping[str, str] | None = None) -> Config:
+    """Read the configuration at `path` and the operator's file at `operator`, if one is named.
+
+    `env` replaces the process's environment. Raises ConfigError where a file cannot be read or used.
+    """
     return _read(path, os.environ if env is None else env, load_operator(operator) if operator else None)
 
 
-def reload(path: str, operator: Operator) -> Config:
-    """The file that took the old one's place. Its addresses hold, not the variables told at the start."""
-    env = {k: v for k, v in os.environ.items() if k not in ("BALANCER_DISCOVERY", "BALANCER_LISTEN")}
+def reload(path: str, operator: OperatorOptions) -> Config:
+    """Read the file at `path` again. Its addresses are used, not those that the environment gave at the start.
+
+    Raises ConfigError where the file cannot be read or used.
+    """
+    env = {name: value for name, value in os.environ.items() if name not in ("BALANCER_DISCOVERY", "BALANCER_LISTEN")}
     return _read(path, env, operator)
--- a/brackenpulley/configuration/rules.py
+++ b/brackenpulley/configuration/rules.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from ..address import ConfigError, address
+from ..address import ConfigError, parse_address
 from ..plans.book import FIRM_MOST, BookError, Figures, firm_text, spec_of
 
 ADDRESSES = ("counter", "discovery")
@@ -173,7 +173,7 @@
 
 def _check_address(name: str, at: str) -> None:
     try:
-        host, port = address(at, f"addresses.{name}")
+        host, port = parse_address(at, f"addresses.{name}")
         if not port or len(at) > NAME:
             raise ConfigError(f"addresses.{name}: {at[:NAME]!r} is no address:port")
     except ConfigError as error:
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..address import Address, address
+from ..address import Address, parse_address
 from ..consensus.service import AgreementService
 from ..core.ingress import Ingress
 from ..members.records import RATE, Table
@@ -16,7 +16,7 @@
 from ..members.wire import LEFT, Record
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
-from ..operator import ConfigurationPart
+from ..operator import ConfigurationOptions
 from ..plans.book import firm_of, firm_text, spec_of
 from ..policy import interface as i
 from . import store
@@ -48,11 +48,11 @@
 
 
 class ConfigurationService:
-    def __init__(self, daemon: Parts, told: ConfigurationPart, agreement: AgreementService) -> None:
+    def __init__(self, daemon: Parts, told: ConfigurationOptions, agreement: AgreementService) -> None:
         self.daemon, self.told, self.agreement = daemon, told, agreement
         self.loop, self.metrics, self.log = daemon.loop, daemon.metrics, daemon.log
         self.fleet = daemon.members.part.fleet
-        self.limits = Limits(told.entries, told.size, told.change)
+        self.limits = Limits(told.max_entries, told.max_snapshot_bytes, told.max_change_bytes)
         self.force = InForce(self.loop.clock())
         self.roll = RollCall()
         self._file = {plan.name: plan for plan in daemon.config.settings.plans}
@@ -89,17 +89,17 @@
         self._tick()
 
     def _own_copy(self) -> None:
-        if not self.told.path:
+        if not self.told.copy_path:
             return
         try:
-            found = store.load(self.told.path, self.fleet)
+            found = store.load(self.told.copy_path, self.fleet)
         except WireError as error:
             self.metrics.add("configuration_copy_" + error.cause)
-            self.log.error("configuration", copy=f"{self.told.path}: {error}; the start goes on without it")
+            self.log.error("configuration", copy=f"{self.told.copy_path}: {error}; the start goes on without it")
             return
         except OSError as error:
             self.metrics.add("configuration_copy_unread")
-            self.log.error("configuration", copy=f"{self.told.path}: {error.strerror}")
+            self.log.error("configuration", copy=f"{self.told.copy_path}: {error.strerror}")
             return
         if found is not None:
             kept, content = found
@@ -135,7 +135,7 @@
             firms=len(taken.firms),
             agreed_s=round(now - self.force.at, 3),
         )
-        if self.told.path and self._saving is None:
+        if self.told.copy_path and self._saving is None:
             self._saving = self.loop.call_in(SAVE + SAVE_EACH * self.force.content.entries, self._save)
 
     def _put(self, taken: Taken) -> None:
@@ -169,7 +169,7 @@
         """Those of the file, or of the revision in force where it names them."""
         self._addresses = {"discovery": discovery, "counter": counter}
         found = {
-            name: address(told, name) if (told := self.force.content.addresses.get(name)) else file
+            name: parse_address(told, name) if (told := self.force.content.addresses.get(name)) else file
             for name, file in self._addresses.items()
         }
         return found["discovery"], found["counter"]
@@ -177,10 +177,10 @@
     def _save(self) -> None:
         self._saving, force = None, self.force
         try:
-            store.save(self.told.path, self.fleet, force.number, force.at, force.mark, force.content)
+            store.save(self.told.copy_path, self.fleet, force.number, force.at, force.mark, force.content)
         except OSError as error:
             self.metrics.add("configuration_unsaved")
-            self.log.error("configuration", copy=f"{self.told.path}: {error.strerror}")
+            self.log.error("configuration", copy=f"{self.told.copy_path}: {error.strerror}")
 
     # Who has which.
 
--- a/brackenpulley/consensus/service.py
+++ b/brackenpulley/consensus/service.py
@@ -11,7 +11,7 @@
 from ..members.service import DaemonMembers
 from ..metrics import Metrics
 from ..net.loop import Loop
-from ..operator import ConsensusPart
+from ..operator import ConsensusOptions
 from .agreement import KIND, Agreement
 from .machine import Machine, Part
 from .store import LogStore, StoreError
@@ -23,7 +23,7 @@
     """`parts` are added by whoever keeps an agreed state, before `start`."""
 
     def __init__(
-        self, loop: Loop, told: ConsensusPart, name: str, members: DaemonMembers, metrics: Metrics, log: Any
+        self, loop: Loop, told: ConsensusOptions, name: str, members: DaemonMembers, metrics: Metrics, log: Any
     ) -> None:
         """Raises ConfigError."""
         self.loop, self.told, self.name, self.members = loop, told, name, members
@@ -32,10 +32,13 @@
         self.agreement: Agreement | None = None
         self.store: LogStore | None = None
         self._led = ""
-        if told.path:
+        if told.directory:
             try:
                 self.store = LogStore(
-                    told.path, told.seal or str(Path(told.path).with_suffix(".seal")), name, told.size
+                    told.directory,
+                    told.seal_path or str(Path(told.directory).with_suffix(".seal")),
+                    name,
+                    told.max_store_bytes,
                 )
             except StoreError as error:
                 raise ConfigError(f"consensus.path: {error}") from None
@@ -80,7 +83,7 @@
     def status(self) -> dict[str, Any]:
         agreement = self.agreement
         if agreement is None:
-            return {"voter": bool(self.told.path), "leader": ""}
+            return {"voter": bool(self.told.directory), "leader": ""}
         found: dict[str, Any] = {
             "voter": agreement.node is not None,
             "leader": agreement.leader,
--- a/brackenpulley/consensus/store.py
+++ b/brackenpulley/consensus/store.py
@@ -17,7 +17,7 @@
 import lmdb
 import msgspec
 
-from ..lock import Lock
+from ..lock import FileLock
 from .raft import Kept, Store
 from .wire import Entry, Snapshot
 
@@ -59,10 +59,10 @@
         self.path, self.name = Path(path), name
         self.failed = ""  # why the last step could not be stored
         self._boot = (BOOT.read_bytes() if boot is None else boot).replace(b"-", b"").strip()[:16].ljust(16, b"0")
-        self._lock: Lock | None = None
+        self._lock: FileLock | None = None
         try:
             self.path.mkdir(parents=True, exist_ok=True)
-            self._lock = Lock(self.path / "writer.lock", f"voter {name}", StoreError)
+            self._lock = FileLock(self.path / "writer.lock", f"voter {name}", StoreError)
             self._seal = self._map(Path(seal))
             self._env = lmdb.open(str(self.path), map_size=size, max_dbs=2, readahead=False, meminit=False)
             self._meta_db, self._log_db = (self._env.open_db(db) for db in (b"meta", b"log"))
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..address import ConfigError, address
+from ..address import ConfigError, parse_address
 
 T = TypeVar("T")
 At = re.compile(r" - at `\$\.?(.*)`$")
@@ -379,7 +379,7 @@
         told = decode(request.body, VoterCall)
         if told.address:
             try:
-                address(told.address, "address")
+                parse_address(told.address, "address")
             except ConfigError as error:
                 raise ApiError(400, "address", str(error)) from None
         if said := service.change(told.name, told.address):
@@ -602,7 +602,7 @@
             "leases": daemon.leases,
             "ledger": daemon.ledger,
             "health": daemon.health,
-            "gateways": daemon.gateways,
+            "gateways": daemon.ingress_count,
             "members": daemon.members,
             "agreement": daemon.agreement,
             "maintenance": daemon.maintenance,
@@ -612,8 +612,8 @@
         return {
             "name": daemon.config.name,
             "upSeconds": round(time.monotonic() - began, 3),
-            "ready": daemon.drain.ready(daemon.ready()),
-            "ending": daemon.ending,
+            "ready": daemon.drain.ready(daemon.is_ready()),
+            "ending": daemon.is_ending,
             "held": len(daemon.ingress.held),
             "clients": len(daemon.north.clients),
             "servers": len(daemon.inventory),
@@ -621,7 +621,7 @@
         }
 
     def ready(request: Request) -> Any:
-        if not daemon.ready() or daemon.north.draining:
+        if not daemon.is_ready() or daemon.north.draining:
             raise ApiError(503, "ready", "draining" if daemon.north.draining else "no list of servers")
         return {"ready": True}
 
@@ -634,4 +634,4 @@
     routes.add("GET", "/v1/ready", ready)
     routes.add("POST", "/v1/drain", drain)
     routes.add("GET", "/v1/status", status)
-    routes.add("GET", "/v1/counters", lambda request: daemon.metrics.table())
+    routes.add("GET", "/v1/counters", lambda request: daemon.metrics.as_dict())
--- a/brackenpulley/control/client.py
+++ b/brackenpulley/control/client.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..address import ConfigError
-from ..operator import local
+from ..operator import parse_local_address
 
 TIMEOUT = 5.0  # s
 
@@ -37,7 +37,7 @@
 
     def __init__(self, at: str) -> None:
         try:
-            self.at = local(at, "control")
+            self.at = parse_local_address(at, "control")
         except ConfigError as error:
             raise ControlError(0, "", str(error)) from None
         self.name = at
--- a/brackenpulley/core/ingress.py
+++ b/brackenpulley/core/ingress.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from ..metrics import OUTCOMES, Metrics
+from ..metrics import OUTCOME_COUNTERS, Metrics
 from ..policy import interface as i
 from ..policy.brain import Gateway
 from .exchange import Answer, Asking, Authoriser, Exchange, RelayEnd, South, Verdict
@@ -130,7 +130,7 @@
 
         def counted(answer: Answer) -> None:  # the final answer, counted once, here or where it stops flowing
             if not answer.flows:
-                metrics.of(OUTCOMES[answer.kind], cls)
+                metrics.add_for_class(OUTCOME_COUNTERS[answer.kind], cls)
             reply(answer)
 
         final = counted
@@ -276,7 +276,7 @@
         if until < inf:
             left = until - now
             exchange.timer = self.timers.call_at(until, lambda: self._expired(exchange))
-        self.metrics.at("relays", a.server)
+        self.metrics.add_for_server("relays", a.server)
         if self.holds is not None and exchange.attempt < 0 and exchange.message.reservation:
             self.holds.used(exchange.message)
         exchange.relay(a.server, now, left, self._ended, self._began)
@@ -305,7 +305,7 @@
 
     def _flowed(self, exchange: Exchange, status: str) -> None:
         if not exchange.gone:
-            self.metrics.of("ok" if status == "ok" else "errors", exchange.message.cls)
+            self.metrics.add_for_class("ok" if status == "ok" else "errors", exchange.message.cls)
         if status != "ok":
             self.metrics.add("cut_off")
 
@@ -315,7 +315,7 @@
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
-        self.metrics.at("relay_" + end.status, exchange.server)
+        self.metrics.add_for_server("relay_" + end.status, exchange.server)
         last = end.last or end.status != "ok" and not m.again()
         event = i.Outcome(
             m.id,
--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..consensus.service import AgreementService
-from ..operator import DrainsPart
+from ..operator import DrainsOptions
 from ..policy import interface as i
 from .holder import PART, Holder
 from .limits import Leave, Limits, encode
@@ -19,7 +19,7 @@
 
 
 class SouthPort:
-    def __init__(self, daemon: Daemon, told: DrainsPart) -> None:
+    def __init__(self, daemon: Daemon, told: DrainsOptions) -> None:
         self.daemon, self.told = daemon, told
         daemon.south.caps = {}  # nothing is opened before something is held
 
@@ -40,16 +40,16 @@
         self.daemon.ingress.tell(i.Shares(caps))
 
     def servers(self) -> dict[str, int]:
-        return {entry.server: self.told.limit for entry in self.daemon.inventory.listed()}
+        return {entry.server: self.told.connection_limit for entry in self.daemon.inventory.listed()}
 
 
 class DrainsService:
-    def __init__(self, daemon: Daemon, told: DrainsPart, agreement: AgreementService) -> None:
+    def __init__(self, daemon: Daemon, told: DrainsOptions, agreement: AgreementService) -> None:
         self.daemon, self.told, self.agreement = daemon, told, agreement
         self.loop, self.port = daemon.loop, SouthPort(daemon, told)
         self.holder: Holder | None = None
         self._ended = False
-        agreement.parts[PART] = lambda: Limits(told.reserve)
+        agreement.parts[PART] = lambda: Limits(told.startup_reserve)
 
     @property
     def limits(self) -> Limits:
@@ -78,7 +78,7 @@
     def waves(self, takes: float = 1.0) -> dict[str, Any]:
         """How a roll of all ingresses would go."""
         told, places = self.told, self.daemon.config.settings.places
-        rules = Rules(told.at_once, told.at_once, told.spread, places)
+        rules = Rules(told.max_ingresses_away, told.max_ingresses_away, told.min_spread, places)
         rows = [Ingress(place, takes=takes) for place in range(places)]
         found = waves(rows, rules)
         return {
--- a/brackenpulley/extras.py
+++ b/brackenpulley/extras.py
@@ -1,6 +1,8 @@
-"""The optional parts, a row each: what the operator's file switches on is built here and given to the daemon.
+"""Builders of the optional parts of a daemon, each switched on by its table in the operator's file.
 
-A part imports its libraries only where it is on. The order matters: the plan book stands before what asks it."""
+A builder sets the part's attribute on the daemon and imports the part's libraries only where it is on. `OPTIONAL_PARTS`
+lists them in the order in which they must run: a part comes after those that it uses.
+"""
 
 from __future__ import annotations
 
@@ -13,175 +15,218 @@
     from .serve import Daemon
 
 
-def authz_server(d: Daemon) -> None:
-    if (told := d.config.operator.server) is not None:
+def build_authz_server(daemon: Daemon) -> None:
+    """Build the server of Envoy's external authorisation API."""
+    if (options := daemon.config.operator.server) is not None:
         from .authz.front import Front
 
-        d.front = Front(d.loop, d.pool, d.ingress, d.inventory, d.metrics, told.header, told.streams)
+        daemon.authz_front = Front(
+            daemon.loop,
+            daemon.pool,
+            daemon.ingress,
+            daemon.inventory,
+            daemon.metrics,
+            options.endpoint_header,
+            options.max_streams,
+        )
 
 
-def authz_client(d: Daemon) -> None:
-    if (told := d.config.operator.client) is not None:
+def build_authz_client(daemon: Daemon) -> None:
+    """Build the client that asks an external authorisation service."""
+    if (options := daemon.config.operator.client) is not None:
         from .authz.client import AuthorisationClient
 
-        d.authoriser = AuthorisationClient(d.loop, d.pool, told.at, told.timeout, d.metrics)
-        d.ingress.authoriser, d.ingress.fail_open = d.authoriser, told.fail_open
+        daemon.authoriser = AuthorisationClient(
+            daemon.loop, daemon.pool, options.address, options.timeout_seconds, daemon.metrics
+        )
+        daemon.ingress.authoriser, daemon.ingress.fail_open = daemon.authoriser, options.fail_open
 
 
-def xds_file(d: Daemon) -> None:
-    if (told := d.config.operator.xds) is not None:
+def build_xds_file(daemon: Daemon) -> None:
+    """Build the xDS file source, which replaces the discovery client."""
+    if (options := daemon.config.operator.xds) is not None:
         from .xds.source import FileSource
 
-        d.discovery = FileSource(d.loop, d.inventory, told, d.metrics, d.log)
+        daemon.discovery = FileSource(daemon.loop, daemon.inventory, options, daemon.metrics, daemon.log)
 
 
-def plans(d: Daemon) -> None:
-    if (told := d.config.operator.plans) is not None:
+def build_plans(daemon: Daemon) -> None:
+    """Build the book of firms' plans. Raises ConfigError where its snapshot cannot be used."""
+    if (options := daemon.config.operator.plans) is not None:
         from .plans.service import PlanService
         from .plans.snapshot import SnapshotError
 
         try:
-            d.plans = PlanService(d.loop, d.ingress, d.config.settings.plans, told.snapshot, d.metrics, d.log)
+            daemon.plans = PlanService(
+                daemon.loop, daemon.ingress, daemon.config.settings.plans, options.snapshot, daemon.metrics, daemon.log
+            )
         except SnapshotError as error:
             raise ConfigError(f"plans.snapshot: {error}") from None
-        d.ingress.plans = d.plans
+        daemon.ingress.plans = daemon.plans
 
 
-def reservations(d: Daemon) -> None:
-    if (told := d.config.operator.reservations) is not None:
+def build_reservations(daemon: Daemon) -> None:
+    """Build the table of reservations."""
+    if (options := daemon.config.operator.reservations) is not None:
         from .plans.service import ReservationService
 
-        d.reservations = d.ingress.holds = ReservationService(d.loop, d.ingress, told, d.metrics)
+        daemon.reservations = daemon.ingress.holds = ReservationService(
+            daemon.loop, daemon.ingress, options, daemon.metrics
+        )
+
 
+def build_leases(daemon: Daemon) -> None:
+    """Build the lease keeper.
 
-def leases(d: Daemon) -> None:
-    if (told := d.config.operator.leases) is None:
+    Raises ConfigError without plans or a counter, or where a plan's burst is worth more seconds than an epoch has.
+    """
+    if (options := daemon.config.operator.leases) is None:
         return
     from .plans.leases import EPOCH
     from .plans.leasing import LeaseService
 
-    if d.plans is None or d.counter is None:
+    if daemon.plans is None or daemon.counter is None:
         raise ConfigError("leases: need [plans] and a counter that the settings allow")
-    for plan in d.config.settings.plans:
+    for plan in daemon.config.settings.plans:
         if plan.rate and plan.burst > EPOCH * plan.rate:
             raise ConfigError(
                 f"leases: plan {plan.name}: its burst is worth {plan.burst / plan.rate:.1f} s of its "
                 f"rate, {EPOCH:g} s at most"
             )
-    d.leases = d.ingress.leases = LeaseService(d.loop, d.ingress, d.counter, d.plans.book, told, d.metrics, d.log)
+    daemon.leases = daemon.ingress.leases = LeaseService(
+        daemon.loop, daemon.ingress, daemon.counter, daemon.plans.book, options, daemon.metrics, daemon.log
+    )
 
 
-def ledger(d: Daemon) -> None:
-    if (told := d.config.operator.ledger) is not None:
+def build_ledger(daemon: Daemon) -> None:
+    """Build the ledger of use. Raises ConfigError where its store cannot be opened."""
+    if (options := daemon.config.operator.ledger) is not None:
         from .ledger.service import LedgerService
         from .ledger.store import LedgerError
 
         try:
-            d.ledger = LedgerService(d.loop, d.pool, told, d.config.name, d.metrics, d.log)
+            daemon.ledger = LedgerService(
+                daemon.loop, daemon.pool, options, daemon.config.name, daemon.metrics, daemon.log
+            )
         except LedgerError as error:
             raise ConfigError(f"ledger.path: {error}") from None
-        d.ingress.ledger = d.ledger
+        daemon.ingress.ledger = daemon.ledger
 
 
-def seconds(d: Daemon) -> None:
-    if d.config.operator.seconds:
+def build_tally(daemon: Daemon) -> None:
+    """Build the tally that logs one line a second."""
+    if daemon.config.operator.seconds:
         from .growth.tally import Tally
 
-        d.tally = Tally(d.loop, d.metrics, d.ingress.gateway, d.log)
+        daemon.tally = Tally(daemon.loop, daemon.metrics, daemon.ingress.gateway, daemon.log)
 
 
-def health(d: Daemon) -> None:
-    if d.config.operator.control is not None or os.environ.get("NOTIFY_SOCKET"):
+def build_health(daemon: Daemon) -> None:
+    """Build the health service, for the control API or for a supervisor that is notified."""
+    if daemon.config.operator.control is not None or os.environ.get("NOTIFY_SOCKET"):
         from .health.service import HealthService
 
-        d.health = HealthService(d)
+        daemon.health = HealthService(daemon)
 
 
-def gateways(d: Daemon) -> None:
-    if d.config.operator.control is not None or d.config.operator.members is not None:
+def build_ingress_count(daemon: Daemon) -> None:
+    """Build the count of ingresses, which the supervisor and the membership feed."""
+    if daemon.config.operator.control is not None or daemon.config.operator.members is not None:
         from .fleet.gateways import GatewaysService
 
-        settings, part = d.config.settings, d.config.operator.members
-        # Firms' sets are numbered over all places, whoever runs now.
+        settings, members = daemon.config.settings, daemon.config.operator.members
+        # Firms are assigned to ingresses over all places of the fleet, whether or not a process runs there now.
         settings.places = max(settings.places, int(os.environ.get("BRACKENPULLEY_PLACES", "0")))
-        d.gateways = GatewaysService(d.loop, d.ingress, settings.gateways, part.most if part else 0, d.metrics)
+        daemon.ingress_count = GatewaysService(
+            daemon.loop, daemon.ingress, settings.gateways, members.max_instances if members else 0, daemon.metrics
+        )
 
 
-def members(d: Daemon) -> None:
-    if (told := d.config.operator.members) is not None:
+def build_members(daemon: Daemon) -> None:
+    """Build the membership service."""
+    if (options := daemon.config.operator.members) is not None:
         from .members.service import DaemonMembers
 
-        d.members = DaemonMembers(d.loop, told, d.config.name, d.gateways, d.metrics, d.log)
+        daemon.members = DaemonMembers(
+            daemon.loop, options, daemon.config.name, daemon.ingress_count, daemon.metrics, daemon.log
+        )
 
 
-def agreement(d: Daemon) -> None:
-    if (told := d.config.operator.consensus) is not None:
+def build_agreement(daemon: Daemon) -> None:
+    """Build the service that agrees on a replicated log."""
+    if (options := daemon.config.operator.consensus) is not None:
         from .consensus.service import AgreementService
 
-        d.agreement = AgreementService(d.loop, told, d.config.name, d.members, d.metrics, d.log)
+        daemon.agreement = AgreementService(
+            daemon.loop, options, daemon.config.name, daemon.members, daemon.metrics, daemon.log
+        )
 
 
-def maintenance(d: Daemon) -> None:
-    if (told := d.config.operator.maintenance) is not None:
+def build_maintenance(daemon: Daemon) -> None:
+    """Build the service that orders servers' maintenance."""
+    if (options := daemon.config.operator.maintenance) is not None:
         from .maintenance.service import MaintenanceService
 
-        d.maintenance = MaintenanceService(d, told, d.agreement)
+        daemon.maintenance = MaintenanceService(daemon, options, daemon.agreement)
 
 
-def drains(d: Daemon) -> None:
-    if (told := d.config.operator.drains) is not None:
+def build_drains(daemon: Daemon) -> None:
+    """Build the service that shares out the connections that servers allow."""
+    if (options := daemon.config.operator.drains) is not None:
         from .drains.service import DrainsService
 
-        d.drains = DrainsService(d, told, d.agreement)
+        daemon.drains = DrainsService(daemon, options, daemon.agreement)
 
 
-def configuration(d: Daemon) -> None:
-    if (told := d.config.operator.configuration) is not None:
+def build_configuration(daemon: Daemon) -> None:
+    """Build the service of configuration revisions."""
+    if (options := daemon.config.operator.configuration) is not None:
         from .configuration.service import ConfigurationService
 
-        d.configuration = d.ingress.plans = ConfigurationService(d, told, d.agreement)
+        daemon.configuration = daemon.ingress.plans = ConfigurationService(daemon, options, daemon.agreement)
 
 
-def control(d: Daemon) -> None:
-    if d.config.operator.control is None:
+def build_control(daemon: Daemon) -> None:
+    """Build the control API with the routes of all parts that are on."""
+    if daemon.config.operator.control is None:
         return
     from .control import api
     from .control.server import ControlServer
 
     routes = api.Routes()
-    rows: list[tuple[Any, Any]] = [
-        (d, api.common_routes),
-        (d.plans, api.plan_routes),
-        (d.reservations, api.reservation_routes),
-        (d.ledger, api.ledger_routes),
-        (d.gateways, api.gateway_routes),
-        (d.members, api.member_routes),
-        (d.agreement, api.agreement_routes),
-        (d.maintenance, api.work_routes),
-        (d.drains, api.limit_routes),
-        (d.configuration, api.configuration_routes),
+    parts_and_routes: list[tuple[Any, Any]] = [
+        (daemon, api.common_routes),
+        (daemon.plans, api.plan_routes),
+        (daemon.reservations, api.reservation_routes),
+        (daemon.ledger, api.ledger_routes),
+        (daemon.ingress_count, api.gateway_routes),
+        (daemon.members, api.member_routes),
+        (daemon.agreement, api.agreement_routes),
+        (daemon.maintenance, api.work_routes),
+        (daemon.drains, api.limit_routes),
+        (daemon.configuration, api.configuration_routes),
     ]
-    for part, add in rows:
+    for part, add_routes in parts_and_routes:
         if part is not None:
-            add(routes, part)
-    d.control = ControlServer(d.loop, d.pool, routes, d.metrics)
-
-
-EXTRAS = (
-    authz_server,
-    authz_client,
-    xds_file,
-    plans,
-    reservations,
-    leases,
-    ledger,
-    seconds,
-    health,
-    gateways,
-    members,
-    agreement,
-    maintenance,
-    drains,
-    configuration,
-    control,
+            add_routes(routes, part)
+    daemon.control = ControlServer(daemon.loop, daemon.pool, routes, daemon.metrics)
+
+
+OPTIONAL_PARTS = (
+    build_authz_server,
+    build_authz_client,
+    build_xds_file,
+    build_plans,
+    build_reservations,
+    build_leases,
+    build_ledger,
+    build_tally,
+    build_health,
+    build_ingress_count,
+    build_members,
+    build_agreement,
+    build_maintenance,
+    build_drains,
+    build_configuration,
+    build_control,
 )
--- a/brackenpulley/fleet/run.py
+++ b/brackenpulley/fleet/run.py
@@ -8,7 +8,7 @@
 from ..address import ConfigError
 from ..metrics import Metrics
 from ..net.loop import Loop
-from ..serve import make_log
+from ..serve import make_logger
 from .files import Base
 from .lines import Ring
 from .spec import Fleet
@@ -42,7 +42,7 @@
     except OSError as error:
         raise ConfigError(f"log.path: {spec.log.path}: {error.strerror}") from None
     ring = Ring(spec.log.keep)
-    loop.log = log = make_log(Sink(stream, ring))
+    loop.log = log = make_logger(Sink(stream, ring))
     try:
         supervisor = Supervisor(path, base, loop, log, stream, ring)
     except OSError as error:
--- a/brackenpulley/fleet/spec.py
+++ b/brackenpulley/fleet/spec.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..address import Address, ConfigError, address
+from ..address import Address, ConfigError, parse_address
 from ..control.api import fault_of
 from .backoff import Pace
 
@@ -105,11 +105,11 @@
 def _addresses(told: str | list[str], name: str) -> list[Address]:
     """'127.0.0.1:9100-9139' as forty addresses, or each of a list."""
     if isinstance(told, list):
-        return [address(one, f"{name}[{n}]") for n, one in enumerate(told)]
+        return [parse_address(one, f"{name}[{n}]") for n, one in enumerate(told)]
     head, dash, last = told.rpartition("-")
     if not dash:
-        return [address(told, name)]
-    first = address(head, name)
+        return [parse_address(told, name)]
+    first = parse_address(head, name)
     if not last.isdigit() or not first[1] <= int(last) <= 65535 or int(last) - first[1] >= MOST or not first[1]:
         raise ConfigError(f"{name}: {told!r} is no range of at most {MOST} ports")
     return [(first[0], port) for port in range(first[1], int(last) + 1)]
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -17,7 +17,7 @@
 from ..address import Address, ConfigError
 from ..control.api import Routes
 from ..control.server import ControlServer
-from ..lock import Lock
+from ..lock import FileLock
 from ..metrics import Metrics
 from ..net.loop import READ, Loop
 from ..net.pool import Pool
@@ -62,7 +62,7 @@
         self.metrics: Metrics = loop.metrics
         self.run = base.spec.run
         self.run.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.lock = Lock(self.run / "lock", f"the supervisor of fleet {base.spec.fleet.name}", ConfigError)
+        self.lock = FileLock(self.run / "lock", f"the supervisor of fleet {base.spec.fleet.name}", ConfigError)
         self.rng = random.Random()
         self.state, said = kept(self.run, base.spec.fleet.instances, time.time(), time.monotonic())
         if said:
@@ -587,5 +587,5 @@
             "reloadFailed": self.reloaded or None,
             "log": self.stream.status(),
             "clockStepSeconds": round(time.time() - time.monotonic() - self.state.clock, 3),
-            "counters": self.metrics.table(),
+            "counters": self.metrics.as_dict(),
         }
--- a/brackenpulley/growth/tally.py
+++ b/brackenpulley/growth/tally.py
@@ -18,7 +18,7 @@
     def __init__(self, loop: Loop, metrics: Metrics, gateway: Gateway, log: Any) -> None:
         self.loop, self.metrics, self.gateway, self.log = loop, metrics, gateway, log
         self.last: dict[str, int] = {}
-        metrics.servers = defaultdict(int)
+        metrics.server_counts = defaultdict(int)
         self._next()
 
     def _next(self) -> None:
@@ -28,13 +28,13 @@
 
     def _tell(self) -> None:
         at = round(self.loop.clock()) - 1
-        table = self.metrics.table()
+        table = self.metrics.as_dict()
         counts = {name: n - self.last.get(name, 0) for name, n in table.items() if name not in PEAKS}
         self.last = table
         by: dict[str, dict[str, int]] = {}
-        for (name, server), n in (self.metrics.servers or {}).items():
+        for (name, server), n in (self.metrics.server_counts or {}).items():
             by.setdefault(server, {})[name] = n
-        self.metrics.servers = defaultdict(int)
+        self.metrics.server_counts = defaultdict(int)
         self.log.info(
             "second",
             at=at,
--- a/brackenpulley/health/__init__.py
+++ b/brackenpulley/health/__init__.py
@@ -1,1 +1,1 @@
-"""How a daemon is: lag of its loop, descriptors, memory, age of its list; told to whoever watches it."""
+"""Health of a daemon: loop lag, descriptors, memory and age of its server list, reported to its supervisor."""
--- a/brackenpulley/health/service.py
+++ b/brackenpulley/health/service.py
@@ -1,5 +1,7 @@
-"""Measures a daemon on its own loop, and tells its watcher by sd_notify. The loop's own timer sends the life signs:
-where the loop stands still they stop by themselves."""
+"""Measures a daemon on its own loop and notifies its supervisor by sd_notify(3).
+
+The watchdog messages come from a timer of that loop, so they stop by themselves when the loop is blocked.
+"""
 
 from __future__ import annotations
 
@@ -10,85 +12,97 @@
 from typing import TYPE_CHECKING, Any
 
 from ..fleet.notify import Notifier, watchdog
-from .vitals import Bounds, Lag, Vitals
+from .measurements import LoopLag, Measurements, Thresholds
 
 if TYPE_CHECKING:
     from ..serve import Daemon
 
-BEAT, FIRST = 0.25, 0.02  # s between beats, and until it was ready for the first time
-LOOK = 2.0  # s between looks at descriptors and memory, and between words of them
+# Seconds between ticks once the daemon has been ready.
+TICK_SECONDS = 0.25
+# Seconds between ticks before that, so that readiness is reported at once.
+STARTUP_TICK_SECONDS = 0.02
+# Seconds between samples of descriptors and memory, and between their reports.
+SAMPLE_SECONDS = 2.0
+# Size of a memory page.
 PAGE_MB = resource.getpagesize() / (1 << 20)
 
 
 class HealthService:
+    """Samples the health of `daemon` and reports readiness, watchdog messages and status where it is watched."""
+
     def __init__(self, daemon: Daemon) -> None:
         self.daemon, self.loop = daemon, daemon.loop
         self.notifier = Notifier(os.environ)
-        patience = watchdog(os.environ)
-        self.beat = min(BEAT, patience / 4) if patience else BEAT
-        self.signs = patience > 0
-        self.lag, self.bounds = Lag(), Bounds()
-        self.ready = False  # as told last
-        self._descriptors, self._memory, self._looked = 0, 0.0, -LOOK
-        self._due = 0.0
-        self._stopped = False
+        watchdog_seconds = watchdog(os.environ)
+        self.tick_seconds = min(TICK_SECONDS, watchdog_seconds / 4) if watchdog_seconds else TICK_SECONDS
+        self.sends_watchdog = watchdog_seconds > 0
+        self.lag, self.thresholds = LoopLag(), Thresholds()
+        self.is_ready = False  # as last reported
+        self._descriptor_count, self._memory_mb, self._sampled_at = 0, 0.0, -SAMPLE_SECONDS
+        self._tick_due = 0.0
+        self._is_stopped = False
 
     def start(self) -> None:
-        self._due = self.loop.clock()
-        self._beat()
+        """Start the ticks."""
+        self._tick_due = self.loop.clock()
+        self._tick()
 
-    def _beat(self) -> None:
-        if self._stopped:
+    def _tick(self) -> None:
+        if self._is_stopped:
             return
         now = self.loop.clock()
-        self.lag.note(now, now - self._due)
-        fields: dict[str, str | int] = {"WATCHDOG": 1} if self.signs else {}
-        ready = self.daemon.ready() and not self.daemon.ending
-        if ready != self.ready:
-            self.ready = ready
-            if ready:
+        self.lag.record(now, now - self._tick_due)
+        fields: dict[str, str | int] = {"WATCHDOG": 1} if self.sends_watchdog else {}
+        is_ready = self.daemon.is_ready() and not self.daemon.is_ending
+        if is_ready != self.is_ready:
+            self.is_ready = is_ready
+            if is_ready:
                 fields["READY"] = 1
-        if now - self._looked >= LOOK:
-            self._look(now)
+        if now - self._sampled_at >= SAMPLE_SECONDS:
+            self._sample(now)
             if self.notifier.on:
-                row = self.status()
-                fields["STATUS"] = "; ".join(row["troubles"]) or "well"
-                fields["X_HEALTH"] = json.dumps(row)
+                status = self.status()
+                fields["STATUS"] = "; ".join(status["troubles"]) or "well"
+                fields["X_HEALTH"] = json.dumps(status)
         if fields:
             self.notifier.say(**fields)
-        wait = self.beat if self.ready or now - self.daemon.born > 5.0 else FIRST
-        self._due = now + wait
-        self.loop.call_in(wait, self._beat)
+        wait = self.tick_seconds if self.is_ready or now - self.daemon.started_at > 5.0 else STARTUP_TICK_SECONDS
+        self._tick_due = now + wait
+        self.loop.call_in(wait, self._tick)
 
-    def _look(self, now: float) -> None:
-        self._looked = now
-        self._descriptors = len(os.listdir("/proc/self/fd")) - 1  # less the one that lists them
-        self._memory = int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_MB
+    def _sample(self, now: float) -> None:
+        self._sampled_at = now
+        self._descriptor_count = len(os.listdir("/proc/self/fd")) - 1  # without the one open for this listing
+        self._memory_mb = int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_MB
 
-    def vitals(self) -> Vitals:
+    def measure(self) -> Measurements:
+        """Return the current lag and list age with the last sample of descriptors and memory."""
         now = self.loop.clock()
-        heard = self.daemon.discovery.heard_at if self.daemon.discovery is not None else 0.0
-        most = min(self.daemon.config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        return Vitals(
-            self.lag.worst(now),
-            self._descriptors,
-            most,
-            self._memory,
+        list_received_at = self.daemon.discovery.heard_at if self.daemon.discovery is not None else 0.0
+        max_descriptors = min(self.daemon.config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        return Measurements(
+            self.lag.max_lag(now),
+            self._descriptor_count,
+            max_descriptors,
+            self._memory_mb,
             float(self.daemon.config.memory_mb),
-            now - heard if heard else None,
+            now - list_received_at if list_received_at else None,
         )
 
     def status(self) -> dict[str, Any]:
-        return dict(self.vitals().row(self.bounds))
+        """Return the measurements as the control API shows them."""
+        return dict(self.measure().as_dict(self.thresholds))
 
-    def reloaded(self, said: str) -> None:
-        """`said` is "ok" or what went wrong."""
+    def notify_reloaded(self, outcome: str) -> None:
+        """Notify the supervisor of a reload; `outcome` is "ok" or the error."""
         self.notifier.say(RELOADING=1)
-        self.notifier.say(READY=1, X_RELOAD=said)
+        self.notifier.say(READY=1, X_RELOAD=outcome)
 
-    def ending(self) -> None:
+    def notify_stopping(self) -> None:
+        """Notify the supervisor that shutdown has begun."""
         self.notifier.say(STOPPING=1)
 
     def stop(self) -> None:
-        self._stopped = True
+        """Stop the ticks and close the notification socket."""
+        self._is_stopped = True
         self.notifier.close()
--- a/brackenpulley/ledger/push.py
+++ b/brackenpulley/ledger/push.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Iterator
 
-from ..lock import Lock
+from ..lock import FileLock
 from .store import LedgerError, Store
 from .upload import CONTENT, Rules, batch
 
@@ -19,7 +19,7 @@
 
     Takes the exporter's lock: a second one at once is told who holds it. Gives up after `patience` s without an
     entry taken. Raises LedgerError."""
-    lock = Lock(store.path / "export.lock", "ledger push", LedgerError)
+    lock = FileLock(store.path / "export.lock", "ledger push", LedgerError)
     try:
         heads, _, _, _ = store.begin()
         rules, taken, since = Rules(size, 5.0, random.Random()), 0, time.monotonic()
--- a/brackenpulley/ledger/service.py
+++ b/brackenpulley/ledger/service.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 from ..core.exchange import Answer
-from ..lock import Lock
+from ..lock import FileLock
 from ..metrics import Metrics
 from ..net import sockets
 from ..net.answers import Malformed, Reply
 from ..net.loop import READ, WRITE, Loop, Timer
 from ..net.pool import Pool
-from ..operator import ExportPart, LedgerPart
+from ..operator import ExportOptions, LedgerOptions
 from ..policy import interface as i
 from .store import LedgerError, Store, Use
 from .tally import MICRO, Entry, Sum, Tally, ms
@@ -29,16 +29,16 @@
 
 
 class LedgerService:
-    def __init__(self, loop: Loop, pool: Pool, part: LedgerPart, ingress: str, metrics: Metrics, log: Any) -> None:
+    def __init__(self, loop: Loop, pool: Pool, part: LedgerOptions, ingress: str, metrics: Metrics, log: Any) -> None:
         """Raises LedgerError."""
         self.loop, self.part, self.metrics, self.log = loop, part, metrics, log
         self.failing = ""  # why the last fold or commit failed
         self.unstored = False  # the last turn's use is in memory alone
         self.uploader: Uploader | None = None
-        self.store = Store(part.path, ingress, part.size, part.sync)
+        self.store = Store(part.path, ingress, part.max_store_bytes, part.sync_interval_seconds)
         try:
             heads, sums, turns, said = self.store.begin()
-            self.tally = Tally(heads, ms(part.period), ms(part.grace), part.backlog, sums)
+            self.tally = Tally(heads, ms(part.period_seconds), ms(part.grace_seconds), part.max_backlog, sums)
             self.uses: list[Use] = []  # counted in this turn
             self.last: list[str] = []  # ids of the last turn that is stored
             self.made: list[Entry] = []  # closed, and not stored yet
@@ -115,7 +115,7 @@
         except LedgerError as error:
             self._failed(str(error))
             return False
-        self.metrics.most("ledger_fold_us", int((time.monotonic() - began) * 1e6))
+        self.metrics.record_maximum("ledger_fold_us", int((time.monotonic() - began) * 1e6))
         if self.failing:
             self.log.info("ledger", said="the store takes entries again")
             self.failing, self.tally.stalled = "", False
@@ -136,7 +136,7 @@
     def _failed(self, why: str) -> None:
         self.metrics.add("ledger_failures")
         if not self.failing:
-            self.log.error("ledger", error=why, mode="refuse" if self.part.refuse else "serve")
+            self.log.error("ledger", error=why, mode="refuse" if self.part.refuse_on_failure else "serve")
         self.failing, self.tally.stalled = why, True
 
     def _folding(self) -> None:
@@ -146,7 +146,7 @@
     @property
     def refuses(self) -> bool:
         """The operator wants nothing served that cannot be stored."""
-        return self.unstored and self.part.refuse
+        return self.unstored and self.part.refuse_on_failure
 
     # Closing of periods.
 
@@ -161,7 +161,7 @@
 
     def _let_go(self) -> None:
         heads = self.tally.heads
-        until = heads.acked - self.part.keep
+        until = heads.acked - self.part.kept_entries
         if until >= heads.first:
             try:
                 self.store.drop(heads, min(until, heads.first + DROP_AT_ONCE - 1))
@@ -190,7 +190,7 @@
             "periodSeconds": self.tally.length() / 1000,
             "bytes": self.store.used_bytes(),
             "failing": self.failing,
-            "mode": "refuse" if self.part.refuse else "serve",
+            "mode": "refuse" if self.part.refuse_on_failure else "serve",
             "export": uploader.status() if uploader is not None else None,
         }
 
@@ -205,11 +205,11 @@
 class Uploader:
     """Sends closed entries to billing, one batch at a time. Owns its connection, closed in `_close` alone."""
 
-    def __init__(self, service: LedgerService, pool: Pool, part: ExportPart) -> None:
+    def __init__(self, service: LedgerService, pool: Pool, part: ExportOptions) -> None:
         self.service, self.pool, self.part = service, pool, part
         self.loop, self.metrics, self.log = service.loop, service.metrics, service.log
-        self.rules = Rules(part.batch, part.longest, random.Random())
-        self.lock: Lock | None = None
+        self.rules = Rules(part.batch_size, part.max_backoff_seconds, random.Random())
+        self.lock: FileLock | None = None
         self._sock: socket.socket | None = None
         self._out = b""
         self._reply: Reply | None = None
@@ -224,7 +224,7 @@
         if self._stopped:
             return
         try:
-            self.lock = Lock(
+            self.lock = FileLock(
                 self.service.store.path / "export.lock", f"ingress {self.service.store.ingress}", LedgerError
             )
         except (LedgerError, OSError) as error:
@@ -262,7 +262,7 @@
             return
         self._range = entries[0].seq, entries[-1].seq
         body = batch(entries)
-        at = self.part.at
+        at = self.part.address
         host = f"[{at[0]}]" if ":" in at[0] else at[0]
         self._out = (
             f"POST {self.part.path} HTTP/1.1\r\nHost: {host}:{at[1]}\r\nContent-Type: {CONTENT}\r\n"
@@ -276,7 +276,7 @@
             self._answered(0, 0.0, b"")
             return
         self.loop.register(self._sock, WRITE, self._event)
-        self._timer = self.loop.call_in(self.part.timeout, lambda: self._answered(0, 0.0, b""))
+        self._timer = self.loop.call_in(self.part.timeout_seconds, lambda: self._answered(0, 0.0, b""))
 
     def _event(self, events: int) -> None:
         sock, reply = self._sock, self._reply
@@ -330,7 +330,7 @@
             heads.acked = old
             self.metrics.add("export_faults")
             self._say(str(error))
-            self._wait(self.part.longest)
+            self._wait(self.part.max_backoff_seconds)
             return False
         self.metrics.add("export_entries", ruling.acked - first + 1)
         if self._said and not ruling.fault:
@@ -348,7 +348,7 @@
 
     def status(self) -> dict[str, Any]:
         return {
-            "to": f"{self.part.at[0]}:{self.part.at[1]}{self.part.path}",
+            "to": f"{self.part.address[0]}:{self.part.address[1]}{self.part.path}",
             "batch": self.rules.size,
             "failures": self.rules.failures,
             "fault": self._said,
--- a/brackenpulley/ledger/store.py
+++ b/brackenpulley/ledger/store.py
@@ -23,7 +23,7 @@
 import msgspec
 import xxhash
 
-from ..lock import Lock
+from ..lock import FileLock
 from .tally import Entry, Heads, Key, Sum
 
 FORMAT = 1
@@ -52,11 +52,11 @@
 
     def __init__(self, path: str, ingress: str = "", size: int = 256 << 20, sync: float = 1.0) -> None:
         self.path, self.ingress, self.sync = Path(path), ingress, sync
-        self.lock: Lock | None = None
+        self.lock: FileLock | None = None
         if ingress:
             try:
                 self.path.mkdir(parents=True, exist_ok=True)
-                self.lock = Lock(self.path / "writer.lock", f"ingress {ingress}", LedgerError)
+                self.lock = FileLock(self.path / "writer.lock", f"ingress {ingress}", LedgerError)
             except OSError as error:
                 raise LedgerError(f"{path}: {error.strerror}") from None
         elif not (self.path / "data.mdb").is_file():
--- a/brackenpulley/lock.py
+++ b/brackenpulley/lock.py
@@ -1,4 +1,4 @@
-"""A file that at most one process holds; the text in it says who."""
+"""Lock files, which keep a second process from using the same data."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 from pathlib import Path
 
 
-class Lock:
-    """Held until `close` or the process's end, whatever ends it: the kernel lets go of it (flock)."""
+class FileLock:
+    """An exclusive lock on a file, whose text names the holder.
+
+    It is held until `close` or until the process ends in any way, since the kernel then releases it (flock).
+    """
 
     def __init__(self, path: Path, holder: str, error: type[Exception]) -> None:
-        """Raises `error`, with the holder's name, where another process has it."""
+        """Take the lock at `path`. Raises `error`, with the name of the holder, where another process has it."""
         self.path = path
-        self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
+        self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
-            fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            said = os.read(self._file, 200).decode("utf-8", "replace").strip()
-            os.close(self._file)
-            raise error(f"{path}: held by {said or 'another process'}") from None
+            current_holder = os.read(self._descriptor, 200).decode("utf-8", "replace").strip()
+            os.close(self._descriptor)
+            raise error(f"{path}: held by {current_holder or 'another process'}") from None
         try:
-            os.ftruncate(self._file, 0)
-            os.write(self._file, f"{holder}, process {os.getpid()}\n".encode())
+            os.ftruncate(self._descriptor, 0)
+            os.write(self._descriptor, f"{holder}, process {os.getpid()}\n".encode())
         except OSError:
-            pass  # a full disk: the lock holds all the same, it only does not say whose it is
+            pass  # a full disk: the lock is held all the same, without the holder's name
 
     def close(self) -> None:
-        if self._file >= 0:
+        """Release the lock. Further calls have no effect."""
+        if self._descriptor >= 0:
             with contextlib.suppress(OSError):
-                os.ftruncate(self._file, 0)
-            os.close(self._file)
-            self._file = -1
+                os.ftruncate(self._descriptor, 0)
+            os.close(self._descriptor)
+            self._descriptor = -1
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -9,7 +9,7 @@
 
 from ..consensus.service import AgreementService
 from ..members.records import RECORDS, VALUE, Table
-from ..operator import MaintenancePart
+from ..operator import MaintenanceOptions
 from .clerk import PART, Clerk
 from .order import Bounds, Facts, Server, Wanted, plan
 from .permits import WAITING, Command, Leave, Permits
@@ -38,7 +38,7 @@
 class IngressPort:
     """What the clerk asks, answered from the daemon."""
 
-    def __init__(self, daemon: Daemon, told: MaintenancePart) -> None:
+    def __init__(self, daemon: Daemon, told: MaintenanceOptions) -> None:
         self.daemon, self.told = daemon, told
         self.smoothed = 0.0
 
@@ -68,7 +68,7 @@
         return Holds(
             daemon.config.name,
             daemon.config.settings.me,
-            daemon.drain.ready(daemon.ready()),
+            daemon.drain.ready(daemon.is_ready()),
             round(self.smoothed, 1),
             daemon.metrics.counts["messages"],
         )
@@ -110,7 +110,7 @@
             servers,
             sum(row.attempts for row in rows),
             places,
-            self.told.spread,
+            self.told.min_spread,
             lost,
             missing if missing > 1 and missing * SHORT > len(servers) else 0,
         )
@@ -128,7 +128,7 @@
 
 
 class MaintenanceService:
-    def __init__(self, daemon: Daemon, told: MaintenancePart, agreement: AgreementService) -> None:
+    def __init__(self, daemon: Daemon, told: MaintenanceOptions, agreement: AgreementService) -> None:
         self.daemon, self.told, self.agreement = daemon, told, agreement
         self.loop, self.metrics = daemon.loop, daemon.metrics
         self.port = IngressPort(daemon, told)
@@ -153,15 +153,17 @@
     def start(self) -> None:
         told, agreement = self.told, self.agreement.agreement
         assert agreement is not None
-        bounds = Bounds(told.out, told.zone, told.reserve, told.bears)
+        bounds = Bounds(
+            told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server
+        )
         self.clerk = Clerk(
             self.daemon.config.name,
             agreement,
             lambda: self.permits,
             self.port,
             bounds,
-            told.settle,
-            told.late,
+            told.settle_seconds,
+            told.stuck_after_seconds,
             self.loop.clock(),
         )
         agreement.advanced = self.clerk.heard
@@ -209,7 +211,12 @@
         permits, told = self.permits, self.told
         waiting: list[Wanted] = [job.wanted() for job in permits.jobs.values() if job.state in ("asked", WAITING)]
         out = [job.wanted() for job in permits.out()]
-        rows = plan(waiting, out, self.port.facts(), Bounds(told.out, told.zone, told.reserve, told.bears))
+        rows = plan(
+            waiting,
+            out,
+            self.port.facts(),
+            Bounds(told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server),
+        )
         return [{"id": one.id, "state": permits.jobs[one.id].state, "why": why or "goes next"} for one, why in rows]
 
     def status(self) -> dict[str, Any]:
--- a/brackenpulley/members/service.py
+++ b/brackenpulley/members/service.py
@@ -13,7 +13,7 @@
 from ..fleet.gateways import GatewaysService
 from ..metrics import Metrics
 from ..net.loop import Loop
-from ..operator import MembersPart
+from ..operator import MembersOptions
 from .keys import KeyRing, RingError
 from .protocol import Changed
 from .station import Part
@@ -53,7 +53,7 @@
     service is theirs to write into it."""
 
     def __init__(
-        self, loop: Loop, part: MembersPart, name: str, gateways: GatewaysService, metrics: Metrics, log: Any
+        self, loop: Loop, part: MembersOptions, name: str, gateways: GatewaysService, metrics: Metrics, log: Any
     ) -> None:
         """Raises ConfigError."""
         self.loop, self.part, self.gateways = loop, part, gateways
@@ -61,7 +61,7 @@
         life = time.time_ns() // 1_000_000
         self.service = MemberService(
             loop,
-            read_ring(part.fleet, part.keys),
+            read_ring(part.fleet, part.key_file),
             f"{name}@{life}",
             life,
             list(part.seeds),
@@ -72,7 +72,7 @@
 
     def start(self) -> None:
         try:
-            self.service.listen(self.part.listen, self.part.advertise)
+            self.service.listen(self.part.listen, self.part.advertised_address)
         except OSError as error:
             at = self.part.listen
             raise ConfigError(f"members.listen: {at[0]}:{at[1]}: {error.strerror}") from None
--- a/brackenpulley/members/transport.py
+++ b/brackenpulley/members/transport.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..address import Address, ConfigError, address
+from ..address import Address, ConfigError, parse_address
 from ..metrics import Metrics
 from ..net import sockets
 from ..net.loop import READ, WRITE, Loop, Timer
@@ -200,7 +200,7 @@
 
     def _send(self, send: Send) -> None:
         try:
-            at = address(send.to, "member")
+            at = parse_address(send.to, "member")
         except ConfigError:
             self.dropped("address")
             return
--- a/brackenpulley/net/inventory.py
+++ b/brackenpulley/net/inventory.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from ..address import Address, ConfigError, address
+from ..address import Address, ConfigError, parse_address
 from ..metrics import Metrics
 from ..policy import interface as i
 from . import sockets
@@ -118,7 +118,7 @@
     """Raises ValueError, TypeError or ArithmeticError where it cannot be read."""
     state = STATES.get(str(x.get("lifecycle", "SERVING")), "draining")  # an unknown state gets nothing new
     try:
-        at = address(x["hostPort"], "hostPort") if state != "gone" or "hostPort" in x else None
+        at = parse_address(x["hostPort"], "hostPort") if state != "gone" or "hostPort" in x else None
     except (KeyError, ConfigError) as error:
         raise ValueError(f"instances: {x['instanceId']}: {error}") from None
     return i.ServerEntry(
--- a/brackenpulley/net/loop.py
+++ b/brackenpulley/net/loop.py
@@ -183,7 +183,7 @@
             self._call(self._soon.popleft())
         took = self.clock() - began
         self.late = took > LATE
-        self.metrics.most("longest_turn_us", int(took * 1e6))
+        self.metrics.record_maximum("longest_turn_us", int(took * 1e6))
 
     def _call(self, call: Callable[[], None]) -> None:
         try:
--- a/brackenpulley/net/south.py
+++ b/brackenpulley/net/south.py
@@ -215,7 +215,7 @@
         conn = Conn(sock, key, now)
         self.count += 1
         self.opened[key[0]] = self.opened.get(key[0], 0) + 1
-        self.metrics.at("connects", key[0])
+        self.metrics.add_for_server("connects", key[0])
         self.loop.register(sock, WRITE, lambda events: self._event(conn, events))
         return conn
 
@@ -353,7 +353,7 @@
             return
         if attempt.ended and not attempt.out and not attempt.written:
             attempt.written = True
-            self.metrics.of("tries", attempt.message.cls)
+            self.metrics.add_for_class("tries", attempt.message.cls)
             if attempt.stream is not None:
                 attempt.since = self.loop.clock()
                 if attempt.timer is not None:
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -9,7 +9,7 @@
 from ..core.message import Message
 from ..metrics import Metrics
 from ..net.loop import Loop
-from ..operator import LeasePart
+from ..operator import LeasesOptions
 from ..policy import interface as i
 from .book import Book
 from .leases import EPOCH, Call, Effect, Free, Grant, Keeper
@@ -32,11 +32,18 @@
 
 class LeaseService:
     def __init__(
-        self, loop: Loop, ingress: Ingress, counter: Counter, book: Book, part: LeasePart, metrics: Metrics, log: Any
+        self,
+        loop: Loop,
+        ingress: Ingress,
+        counter: Counter,
+        book: Book,
+        part: LeasesOptions,
+        metrics: Metrics,
+        log: Any,
     ) -> None:
         self.loop, self.ingress, self.counter, self.book = loop, ingress, counter, book
         self.part, self.metrics, self.log = part, metrics, log
-        self.keeper = Keeper(book.integral, self._burst, part.ahead, part.idle)
+        self.keeper = Keeper(book.integral, self._burst, part.prefetch_seconds, part.idle_seconds)
         self.waiting: dict[int, dict[Waiting, None]] = {}
         self.heard = loop.clock()
         self.asked = 0.0  # when the first call without an answer since was made; 0 = none
@@ -59,7 +66,7 @@
         plan = self.ingress.gateway.plans.get(message.plan)
         if plan is None or not plan.rate:
             return None
-        if self.lost and self.part.share_when_lost:
+        if self.lost and self.part.share_on_counter_loss:
             self._share(now, message, plan)
         waits, effects = self.keeper.need(
             now, firm, message.plan, message.units, message.spread, message.first, self.level(firm), message.told
@@ -93,7 +100,9 @@
             self.lost = True
             self.metrics.add("lease_counter_lost")
             self.log.error(
-                "leases", error="the counter does not answer", mode="share" if self.part.share_when_lost else "refuse"
+                "leases",
+                error="the counter does not answer",
+                mode="share" if self.part.share_on_counter_loss else "refuse",
             )
         self._do(self.keeper.answered(now, event.name, event.status, event.total))
 
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -8,7 +8,7 @@
 from ..core.message import Message
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
-from ..operator import ReservationsPart
+from ..operator import ReservationsOptions
 from ..policy import interface as i
 from . import snapshot
 from .book import Book, BookError, Change, firm_of, firm_text
@@ -115,9 +115,9 @@
 class ReservationService:
     """Owns the table of reservations; the module holds the units."""
 
-    def __init__(self, loop: Loop, ingress: Ingress, part: ReservationsPart, metrics: Metrics) -> None:
+    def __init__(self, loop: Loop, ingress: Ingress, part: ReservationsOptions, metrics: Metrics) -> None:
         self.loop, self.ingress, self.part, self.metrics = loop, ingress, part, metrics
-        self.table = Reservations(part.most, part.longest)
+        self.table = Reservations(part.max_reservations, part.max_lifetime_seconds)
         self._timer: Timer | None = None
         self._at = 0.0
 
@@ -204,7 +204,7 @@
             self.table.used(message.reservation, self.loop.clock())
 
     def granted(self, message: Message) -> bool:
-        if not self.part.grant or len(self.table) >= self.table.most or self.table.known(message.id):
+        if not self.part.grant_lifetime_seconds or len(self.table) >= self.table.most or self.table.known(message.id):
             return False
         now = self.loop.clock()
         self._hold(
@@ -215,7 +215,7 @@
                 message.revision,
                 message.units,
                 now,
-                now + self.part.grant,
+                now + self.part.grant_lifetime_seconds,
                 "granted",
             )
         )
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -1,4 +1,7 @@
-"""Puts the parts together for one real ingress, and ends it in order."""
+"""The daemon of one ingress: builds its components, runs its event loop and shuts it down in order.
+
+Used by the command line, by the demo and by tests that run an ingress within their own process.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 from .bodies.shares import Shares
 from .config import Config, reload
 from .core.ingress import Ingress
-from .metrics import Metrics, exposition
+from .metrics import Metrics, render_exposition
 from .net.console import Console
 from .net.counter import CounterClient
 from .net.inventory import Discovery, Inventory
@@ -28,48 +31,73 @@
 from .net.north import North
 from .net.pool import Pool
 from .net.south import Southside
-from .operator import Operator
+from .operator import OperatorOptions
 from .policy.brain import Gateway
 from .policy.drain import Drain
 
-LINGER = 0.5  # s after SIGTERM in which new connections are still taken
-HALVES = 0.2  # s after that in which half a message may become whole: what comes later may not be answered in time
-SPARE, SPARE_PART = 64, 8  # descriptors for everything but clients and sim servers: at most, and 1 / part of all
-CLIENT_KB, MEMORY_PART = 80, 4  # a client with a whole message in hand; 1 / part of the memory is for them
-GIVE_BACK = 0.05  # s at the end for leased units to reach the counter
-TEXT, PROMETHEUS = b"text/plain; charset=utf-8", b"text/plain; version=0.0.4; charset=utf-8"
-GOODBYE = 1.0  # s at the end for others to agree that this process holds nothing any more
-KNOWN_ENOUGH = 1.5  # s after which the list from the configuration must do
+# Seconds after SIGTERM for which new connections are still accepted.
+ACCEPT_AFTER_SIGTERM_SECONDS = 0.5
+# Seconds after that for which a partly received message may be completed; a later one may miss its answer.
+PARTIAL_MESSAGE_SECONDS = 0.2
+# Descriptors kept free for everything but clients and sim servers: at most this many ...
+MAX_RESERVED_DESCRIPTORS = 64
+# ... and one in this many of all descriptors, but no less than 16.
+RESERVED_DESCRIPTORS_DIVISOR = 8
+# Memory of a client whose whole message is held.
+MEMORY_PER_CLIENT_KB = 80
+# One in this many parts of the memory is available to clients, and another one to message bodies.
+CLIENT_MEMORY_DIVISOR = 4
+# Seconds at shutdown for returned leased units to reach the counter, also the interval of checks for agreement.
+LEASE_RETURN_SECONDS = 0.05
+TEXT_CONTENT_TYPE = b"text/plain; charset=utf-8"
+PROMETHEUS_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
+# Seconds at shutdown for the other members to agree that this process holds nothing any more.
+RELEASE_AGREEMENT_SECONDS = 1.0
+# Seconds after which an ingress serves with the configured server list if discovery has sent none.
+DISCOVERY_WAIT_SECONDS = 1.5
 
 
 def wall_clock() -> Callable[[], float]:
-    """Unix time that never jumps: the clock of the module, shared by all ingresses through the counter's names.
-
-    A supervisor tells the offset, so that instances started before and after a step of the time of day agree."""
-    told, monotonic = os.environ.get("BRACKENPULLEY_CLOCK"), time.monotonic
-    offset = float(told) if told else time.time() - time.monotonic()
+    """Return a clock of Unix time in seconds that never jumps.
+
+    The decision module reads it, and all ingresses must agree on it: the names of quota counters are built from it.
+    A supervisor passes the offset from the monotonic clock, so that instances started before and after a step of the
+    time of day agree.
+    """
+    given_offset, monotonic = os.environ.get("BRACKENPULLEY_CLOCK"), time.monotonic
+    offset = float(given_offset) if given_offset else time.time() - time.monotonic()
     return lambda: monotonic() + offset
 
 
-class NoCounter:
+class DisabledCounter:
+    """Takes the counter's place where the settings allow no counting."""
+
     def add(self, name: int, amount: float, ttl: float, number: int = 0) -> None:
+        """Raise AssertionError: nothing may count here."""
         raise AssertionError("the settings allow no counting")
 
 
 class Daemon:
+    """One ingress: its event loop, listeners, core and whatever optional parts are configured.
+
+    Parts that the operator's file leaves off are None.
+    """
+
     def __init__(
         self, config: Config, log: Any, clock: Callable[[], float] | None = None, loop: Loop | None = None
     ) -> None:
-        """`loop`: one that this daemon is run on by its caller, who closes it."""
+        """Build every part; `loop` is one that the caller runs and closes, instead of a new one."""
         self.config, self.log, self.metrics = config, log, Metrics()
         self.clock = clock or wall_clock()
         self.loop = loop or Loop(self.clock, self.metrics, log)
         self.pool = Pool()
-        self.born = self.clock()
-        told = config.operator
-        if told.ledger is not None or told.leases is not None:
-            config.settings = replace(config.settings, charges=told.ledger is not None, leased=told.leases is not None)
-        gateway = Gateway(config.settings, config.seed, self.born)
+        self.started_at = self.clock()
+        options = config.operator
+        if options.ledger is not None or options.leases is not None:
+            config.settings = replace(
+                config.settings, charges=options.ledger is not None, leased=options.leases is not None
+            )
+        decision_module = Gateway(config.settings, config.seed, self.started_at)
         self.counter: CounterClient | None = None
         if config.counter is not None and config.settings.counter:
             self.counter = CounterClient(
@@ -80,17 +108,23 @@
                 self.metrics,
                 lambda event: self.ingress.counted(event),
             )
-        self.ingress = Ingress(gateway, self.clock, self.loop, self.counter or NoCounter(), self.metrics, log)
+        self.ingress = Ingress(
+            decision_module, self.clock, self.loop, self.counter or DisabledCounter(), self.metrics, log
+        )
         self.inventory = Inventory(self.ingress.members)
         sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        sockets -= min(SPARE, max(16, sockets // SPARE_PART))
-        clients = min(sockets * 3 // 5, config.memory_mb * 1024 // MEMORY_PART // CLIENT_KB)
+        sockets -= min(MAX_RESERVED_DESCRIPTORS, max(16, sockets // RESERVED_DESCRIPTORS_DIVISOR))
+        clients = min(sockets * 3 // 5, config.memory_mb * 1024 // CLIENT_MEMORY_DIVISOR // MEMORY_PER_CLIENT_KB)
         folder = None
-        if told.bodies.spool:
+        if options.bodies.spool_directory:
             from .bodies.spool import Folder
 
-            folder = Folder(told.bodies.spool, told.bodies.spool_size, lambda error: log.error("spool", error=error))
-        self.shares = Shares((config.memory_mb << 20) // MEMORY_PART, folder)
+            folder = Folder(
+                options.bodies.spool_directory,
+                options.bodies.max_spool_bytes,
+                lambda error: log.error("spool", error=error),
+            )
+        self.shares = Shares((config.memory_mb << 20) // CLIENT_MEMORY_DIVISOR, folder)
         self.south = Southside(
             self.loop,
             self.pool,
@@ -103,7 +137,7 @@
             self.shares,
         )
         self.drain = Drain()
-        self._halves_until = 0.0  # half a message may become whole; set once the doors are closed
+        self._partial_messages_until = 0.0  # set once new connections are refused
         self.north = North(
             self.loop,
             self.pool,
@@ -112,14 +146,14 @@
             self.metrics,
             log,
             clients,
-            self.ready,
+            self.is_ready,
             self.drain,
             self.shares,
-            told.bodies.longest,
+            options.bodies.max_body_bytes,
         )
         self.console: Console | None = None
         self.discovery: Any = None
-        self.front: Any = None
+        self.authz_front: Any = None
         self.authoriser: Any = None
         self.plans: Any = None
         self.reservations: Any = None
@@ -127,27 +161,27 @@
         self.ledger: Any = None
         self.control: Any = None
         self.health: Any = None
-        self.gateways: Any = None
+        self.ingress_count: Any = None
         self.members: Any = None
         self.agreement: Any = None
         self.maintenance: Any = None
         self.drains: Any = None
         self.configuration: Any = None
         self.tally: Any = None
-        self._extras()
+        self._build_optional_parts()
 
     @property
-    def ending(self) -> bool:
-        """SIGTERM came: the drain holds it."""
+    def is_ending(self) -> bool:
+        """Whether shutdown has begun."""
         return self.drain.ending
 
-    def _extras(self) -> None:
-        """What the operator's file switches on; without it nothing of it is loaded."""
-        if self.config.operator != Operator() or os.environ.get("NOTIFY_SOCKET"):
-            from .extras import EXTRAS
+    def _build_optional_parts(self) -> None:
+        """Build what the operator's file switches on; without one no module of it is imported."""
+        if self.config.operator != OperatorOptions() or os.environ.get("NOTIFY_SOCKET"):
+            from .extras import OPTIONAL_PARTS
 
-            for extra in EXTRAS:
-                extra(self)
+            for build in OPTIONAL_PARTS:
+                build(self)
         if self.discovery is None and self.config.discovery is not None:
             self.discovery = Discovery(
                 self.loop,
@@ -159,46 +193,54 @@
                 random.Random(self.config.seed),
             )
 
-    def ready(self) -> bool:
-        told = self.discovery is None or self.discovery.heard or self.clock() - self.born > KNOWN_ENOUGH
-        # What is away for work, where it may open a connection, and which revision holds.
-        told = told and all(
+    def is_ready(self) -> bool:
+        """Whether a list of servers and all agreed state that serving needs are known."""
+        is_informed = (
+            self.discovery is None or self.discovery.heard or self.clock() - self.started_at > DISCOVERY_WAIT_SECONDS
+        )
+        # These know which servers are out for maintenance, how many connections this ingress may open, and the revision
+        # in force.
+        is_informed = is_informed and all(
             part is None or part.knows() for part in (self.maintenance, self.drains, self.configuration)
         )
-        return told and self.ingress.listed and len(self.inventory) > 0
+        return is_informed and self.ingress.listed and len(self.inventory) > 0
 
     def start(self, signals: bool = True) -> None:
-        if self.config.known:
+        """Open the listeners and start all parts. Raises ConfigError where an address cannot be bound.
+
+        `signals` is False where the caller handles signals itself.
+        """
+        if self.config.initial_servers:
             try:
-                self.inventory.told(self.config.known, stale=True)
-            except (ValueError, TypeError) as error:  # an old list is a help, not a need
-                self.log.error("known", error=str(error))
+                self.inventory.told(self.config.initial_servers, stale=True)
+            except (ValueError, TypeError) as error:  # discovery replaces this list, so serving can go on without it
+                self.log.error("initial server list rejected", error=str(error))
         for part in (self.ledger, self.plans, self.leases, self.discovery):
             if part is not None:
                 part.start()
         if signals:
-            self.loop.on_signal(signal.SIGTERM, self.end)
-            self.loop.on_signal(signal.SIGINT, self.end)
-            self.loop.on_signal(signal.SIGUSR1, self.report)
+            self.loop.on_signal(signal.SIGTERM, self.begin_shutdown)
+            self.loop.on_signal(signal.SIGINT, self.begin_shutdown)
+            self.loop.on_signal(signal.SIGUSR1, self.log_counters)
             self.loop.on_signal(signal.SIGHUP, self.reload)
-        at = self._listen("listen", self.north, self.config.listen)
-        if self.front is not None and self.config.operator.server is not None:
-            checks = self._listen("authz.server.listen", self.front, self.config.operator.server.listen)
-            self.log.info("answering checks", address=f"{checks[0]}:{checks[1]}")
+        bound = self._listen("listen", self.north, self.config.listen)
+        if self.authz_front is not None and self.config.operator.server is not None:
+            checks_address = self._listen("authz.server.listen", self.authz_front, self.config.operator.server.listen)
+            self.log.info("answering checks", address=f"{checks_address[0]}:{checks_address[1]}")
         if self.control is not None and self.config.operator.control is not None:
-            where = self.config.operator.control.listen
+            requested = self.config.operator.control.listen
             try:
-                self.log.info("control", address=self.control.listen(where))
+                self.log.info("control", address=self.control.listen(requested))
             except OSError as error:
-                raise ConfigError(f"control.listen: {where}: {error.strerror}") from None
+                raise ConfigError(f"control.listen: {requested}: {error.strerror}") from None
         if self.config.console is not None:
-            self.console = Console(self.loop, self._calls(), self.log)
-            where = self._listen("console", self.console, self.config.console)
-            self.log.info("console", address=f"{where[0]}:{where[1]}")
-        self.log.info("listening", name=self.config.name, address=f"{at[0]}:{at[1]}")
-        # From here on others may know of it.
+            self.console = Console(self.loop, self._build_console_routes(), self.log)
+            console_address = self._listen("console", self.console, self.config.console)
+            self.log.info("console", address=f"{console_address[0]}:{console_address[1]}")
+        self.log.info("listening", name=self.config.name, address=f"{bound[0]}:{bound[1]}")
+        # The listeners are open, so other processes may now learn of this one.
         for part in (
-            self.gateways,
+            self.ingress_count,
             self.members,
             self.agreement,
             self.maintenance,
@@ -209,66 +251,72 @@
             if part is not None:
                 part.start()
 
-    def _listen(self, name: str, front: Any, at: Address) -> Address:
+    def _listen(self, name: str, listener: Any, address: Address) -> Address:
+        """Bind `listener` to `address`, the value of setting `name`, and return the address that it is bound to."""
         try:
-            bound: Address = front.listen(at)
+            bound: Address = listener.listen(address)
         except OSError as error:
-            raise ConfigError(f"{name}: {at[0]}:{at[1]}: {error.strerror}") from None
+            raise ConfigError(f"{name}: {address[0]}:{address[1]}: {error.strerror}") from None
         return bound
 
-    def _calls(self) -> dict[bytes, dict[bytes, Any]]:
-        """The operators' calls: each reads what is held and answers in the same turn."""
+    def _build_console_routes(self) -> dict[bytes, dict[bytes, Any]]:
+        """Return the handlers of the console by path and method; each one answers synchronously."""
 
-        def ready() -> tuple[int, bytes, bytes]:
-            yes = self.drain.ready(self.ready())
-            return (200, b"ready\n", TEXT) if yes else (503, b"not ready\n", TEXT)
+        def report_readiness() -> tuple[int, bytes, bytes]:
+            is_ready = self.drain.ready(self.is_ready())
+            return (200, b"ready\n", TEXT_CONTENT_TYPE) if is_ready else (503, b"not ready\n", TEXT_CONTENT_TYPE)
 
-        def counters() -> tuple[int, bytes, bytes]:
-            return 200, exposition(self.metrics, self.gauges()), PROMETHEUS
+        def report_counters() -> tuple[int, bytes, bytes]:
+            return 200, render_exposition(self.metrics, self.collect_gauges()), PROMETHEUS_CONTENT_TYPE
 
-        def out() -> tuple[int, bytes, bytes]:
+        def leave_service() -> tuple[int, bytes, bytes]:
             self.drain.out = True
             self.north.close_unused()
             self.log.info("out of service")
-            return 200, b"out of service\n", TEXT
+            return 200, b"out of service\n", TEXT_CONTENT_TYPE
 
-        def back() -> tuple[int, bytes, bytes]:
+        def enter_service() -> tuple[int, bytes, bytes]:
             self.drain.out = False
             self.log.info("in service")
-            return 200, b"in service\n", TEXT
+            return 200, b"in service\n", TEXT_CONTENT_TYPE
 
         return {
-            b"/control/ready": {b"GET": ready},
-            b"/control/counters": {b"GET": counters},
-            b"/control/out-of-service": {b"PUT": out},
-            b"/control/in-service": {b"PUT": back},
+            b"/control/ready": {b"GET": report_readiness},
+            b"/control/counters": {b"GET": report_counters},
+            b"/control/out-of-service": {b"PUT": leave_service},
+            b"/control/in-service": {b"PUT": enter_service},
         }
 
-    def gauges(self) -> dict[str, int]:
-        apart = self.ingress.gateway.servers.apart
-        asked = sum(not exchange.over for exchange in self.ingress.held.values())
+    def collect_gauges(self) -> dict[str, int]:
+        """Return the gauges that the console exposes beside the counters."""
+        ejected = self.ingress.gateway.servers.apart
+        waiting = sum(not exchange.over for exchange in self.ingress.held.values())
         return {
-            "active": asked + self.north.flowing,
+            "active": waiting + self.north.flowing,
             "pool_size": len(self.inventory),
-            "pool_ejected": sum(self.inventory.address(name) is not None for name in apart),
+            "pool_ejected": sum(self.inventory.address(name) is not None for name in ejected),
         }
 
-    def report(self) -> None:
-        self.log.info("counters", **self.metrics.table())
+    def log_counters(self) -> None:
+        """Log all counters in one line."""
+        self.log.info("counters", **self.metrics.as_dict())
 
     def reload(self) -> None:
-        """The file has been replaced: discovery and the counter may be elsewhere. All else stays as it is."""
+        """Read the configuration file again and move to its discovery and counter addresses.
+
+        All other settings keep the values they had at the start. A file that cannot be used is logged and ignored.
+        """
         try:
-            new = reload(self.config.path, self.config.operator)
+            new_config = reload(self.config.path, self.config.operator)
         except ConfigError as error:
             self.metrics.add("reloads_failed")
             self.log.error("reload", error=str(error))
             if self.health is not None:
-                self.health.reloaded(str(error))
+                self.health.notify_reloaded(str(error))
             return
         self.metrics.add("reloads")
-        discovery, counter = new.discovery, new.counter
-        if self.configuration is not None:  # what all have agreed goes before one host's file
+        discovery, counter = new_config.discovery, new_config.counter
+        if self.configuration is not None:  # the agreed revision overrides this host's file
             discovery, counter = self.configuration.addresses(discovery, counter)
         if discovery is not None and isinstance(self.discovery, Discovery):
             self.discovery.move(discovery)
@@ -276,68 +324,75 @@
             self.counter.move(counter)
         self.log.info("reloaded", discovery=discovery, counter=counter)
         if self.health is not None:
-            self.health.reloaded("ok")
+            self.health.notify_reloaded("ok")
+
+    def begin_shutdown(self) -> None:
+        """Accept new connections for a short while, finish all messages in flight, then stop the loop.
 
-    def end(self) -> None:
-        """Take what still arrives for a while, finish all that is held, then stop."""
-        if not self.ending:
+        Further calls have no effect.
+        """
+        if not self.is_ending:
             self.drain.ending = True
             self.log.info("ending")
             if self.health is not None:
-                self.health.ending()
+                self.health.notify_stopping()
             if self.agreement is not None:
                 self.agreement.ending()
-            self.loop.call_in(LINGER, self._close_doors)
+            self.loop.call_in(ACCEPT_AFTER_SIGTERM_SECONDS, self._stop_accepting)
 
-    def _close_doors(self) -> None:
+    def _stop_accepting(self) -> None:
         if self.members is not None:
             self.members.leave()
         self.north.stop_listening()
-        if self.front is not None:
-            self.front.drain()
-        self._halves_until = self.clock() + HALVES
-        self._finish()
+        if self.authz_front is not None:
+            self.authz_front.drain()
+        self._partial_messages_until = self.clock() + PARTIAL_MESSAGE_SECONDS
+        self._await_in_flight()
 
-    def _finish(self) -> None:
+    def _await_in_flight(self) -> None:
         self.north.close_unused()
-        if self.clock() >= self._halves_until:
+        if self.clock() >= self._partial_messages_until:
             self.north.give_up_halves()
-        if self.north.clients or self.ingress.held or self.front is not None and self.front.peers:
-            self.loop.call_in(0.02, self._finish)
+        if self.north.clients or self.ingress.held or self.authz_front is not None and self.authz_front.peers:
+            self.loop.call_in(0.02, self._await_in_flight)
         else:
             if self.leases is not None:
                 self.leases.give_back()
             for part in (self.maintenance, self.drains):
                 if part is not None:
                     part.closed()
-            self._say_goodbye(self.clock() + GOODBYE)
+            self._await_release_agreement(self.clock() + RELEASE_AGREEMENT_SECONDS)
+
+    def _await_release_agreement(self, deadline: float) -> None:
+        """Stop the loop once the other members have agreed that this process holds nothing, or at `deadline`.
 
-    def _say_goodbye(self, until: float) -> None:
-        """Nothing is held any more. Word of that is worth a moment: without it, others wait for the next life's."""
-        waits = any(part is not None and not part.gone() for part in (self.maintenance, self.drains))
-        if waits and self.clock() < until:
-            self.loop.call_in(GIVE_BACK, lambda: self._say_goodbye(until))
+        Without that agreement they would wait until a next process of this name reports.
+        """
+        is_waiting = any(part is not None and not part.gone() for part in (self.maintenance, self.drains))
+        if is_waiting and self.clock() < deadline:
+            self.loop.call_in(LEASE_RETURN_SECONDS, lambda: self._await_release_agreement(deadline))
         elif self.leases is not None:
-            self.loop.call_in(GIVE_BACK, self.loop.stop)
+            self.loop.call_in(LEASE_RETURN_SECONDS, self.loop.stop)
         else:
             self.loop.stop()
 
     def run(self) -> None:
+        """Run the loop until it is stopped, then log the counters and close every part."""
         gc.collect()
-        gc.freeze()  # what lives for ever is never looked at again, so that collections stay short
+        gc.freeze()  # excludes long-lived objects from garbage collection, so that collections stay short
         try:
             self.loop.run()
         finally:
-            self.report()
+            self.log_counters()
             self.close()
 
     def close(self) -> None:
-        """Give everything back: each part closes what it owns, the loop last."""
+        """Close every part, the loop last."""
         self.north.stop()
         if self.console is not None:
             self.console.stop()
-        if self.front is not None:
-            self.front.stop()
+        if self.authz_front is not None:
+            self.authz_front.stop()
         if self.authoriser is not None:
             self.authoriser.stop()
         self.south.stop()
@@ -355,20 +410,22 @@
         self.loop.close()
 
 
-class Output:
-    """Standard output for the log. A reader that is gone must not take the ingress with it."""
+class StandardOutput:
+    """Standard output as the log's sink: write errors are ignored, so that a closed reader cannot end the ingress."""
 
     def write(self, text: str) -> None:
+        """Write `text`."""
         with contextlib.suppress(OSError, ValueError):
             sys.stdout.write(text)
 
     def flush(self) -> None:
+        """Flush what has been written."""
         with contextlib.suppress(OSError, ValueError):
             sys.stdout.flush()
 
 
-def make_log(output: Any = None) -> Any:
-    """`output` has write and flush; standard output where it is not given."""
+def make_logger(output: Any = None) -> Any:
+    """Return a logfmt logger that writes to `output` (an object with write and flush), else to standard output."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -376,16 +433,16 @@
             structlog.processors.format_exc_info,
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False),
         ],
-        logger_factory=structlog.PrintLoggerFactory(output or Output()),  # type: ignore[arg-type]
+        logger_factory=structlog.PrintLoggerFactory(output or StandardOutput()),  # type: ignore[arg-type]
         cache_logger_on_first_use=True,
     )
     return structlog.get_logger()
 
 
 def serve(config: Config) -> None:
-    """Raises ConfigError where the configuration asks for what this machine does not have."""
+    """Run an ingress until it is told to stop. Raises ConfigError where an address or a library is not available."""
     try:
-        daemon = Daemon(config, make_log())
+        daemon = Daemon(config, make_logger())
         daemon.start()
     except ImportError as error:
         raise ConfigError(
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -113,7 +113,7 @@
 
     def _took(self, seconds: float) -> None:
         self.busy += seconds
-        self.metrics.most("longest_turn_us", int(seconds * 1e6))
+        self.metrics.record_maximum("longest_turn_us", int(seconds * 1e6))
 
     def _ready(self, ready: Ready) -> Ready:
         def timed(events: int) -> None:
@@ -304,7 +304,7 @@
     def end(self) -> None:
         """As SIGTERM does; `ended` is called once it is over."""
         self.traffic.stop()
-        self.daemon.end()
+        self.daemon.begin_shutdown()
 
     def _over(self) -> None:
         if self.alive:
--- a/brackenpulley/start.py
+++ b/brackenpulley/start.py
@@ -1,7 +1,8 @@
-"""The way in for `serve` as the platform starts it: nothing of the command line is loaded for it.
+"""Entry point of `serve` that does without the command-line libraries.
 
-The command line's libraries cost more CPU to load than all of the daemon, and an ingress that was killed serves nobody
-until it is up. Whatever is not plainly `serve` with its two options goes to the command line as before."""
+Loading them takes more CPU time than loading all of the daemon, and an ingress that is restarted after a crash serves
+nobody until it is up. Any command line that is not just `serve` with its two options is left to the `cli` module.
+"""
 
 from __future__ import annotations
 
@@ -13,26 +14,29 @@
 from .address import ConfigError
 from .config import Config, load
 
-OPTIONS = ("--config", "--operator")
+SERVE_OPTIONS = ("--config", "--operator")
 
 
-def plain(words: Sequence[str]) -> dict[str, str] | None:
-    """The options of a plain `serve`; None where the command line has to read these words."""
+def parse_serve_options(words: Sequence[str]) -> dict[str, str] | None:
+    """Return the options of a `serve` command line by name, or None where the `cli` module has to parse it."""
     if not words or words[0] != "serve":
         return None
     found: dict[str, str] = {}
     rest = list(words[1:])
     while rest:
         name, equals, value = rest.pop(0).partition("=")
-        if name not in OPTIONS or name in found or not equals and not rest:
+        if name not in SERVE_OPTIONS or name in found or not equals and not rest:
             return None
         found[name] = value if equals else rest.pop(0)
     return found
 
 
 @contextlib.contextmanager
-def without(*names: str) -> Iterator[None]:
-    """These libraries are not there for whoever would load them if they were."""
+def hide_modules(*names: str) -> Iterator[None]:
+    """Make importing these modules raise ImportError within the block, unless they are loaded already.
+
+    Libraries with optional dependencies then go without them.
+    """
     for name in names:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     try:
@@ -43,8 +47,11 @@
                 del sys.modules[name]
 
 
-def configuration(path: str, operator: str) -> Config:
-    """`path` and `operator` as the options name them, else the environment. Raises ConfigError."""
+def load_configuration(path: str, operator: str) -> Config:
+    """Load the files at `path` and `operator`; an empty one is taken from the environment.
+
+    Raises ConfigError where no configuration is named or a file cannot be used.
+    """
     path = path or os.environ.get("BALANCER_CONFIG", "")
     if not path:
         raise ConfigError("BALANCER_CONFIG: not set, and no --config given")
@@ -52,12 +59,15 @@
 
 
 def serve(options: dict[str, str]) -> int:
-    """Until SIGTERM; the exit code. What is wrong with the configuration is one line on standard error, and 2."""
+    """Run an ingress until SIGTERM and return the exit code.
+
+    An unusable configuration is reported as one line on standard error, with exit code 2.
+    """
     try:
-        told = configuration(options.get("--config", ""), options.get("--operator", ""))
-        with without("rich"):  # structlog would load it for terminals, which the log is not written to
+        config = load_configuration(options.get("--config", ""), options.get("--operator", ""))
+        with hide_modules("rich"):  # structlog loads it for output to terminals, which the log never goes to
             from .serve import serve as run
-        run(told)
+        run(config)
     except ConfigError as error:
         print(f"brackenpulley: {error}", file=sys.stderr)
         return 2
--- a/brackenpulley/xds/source.py
+++ b/brackenpulley/xds/source.py
@@ -11,11 +11,11 @@
 from envoy.config.endpoint.v3 import endpoint_pb2
 from google.protobuf import json_format
 
-from ..address import Address, ConfigError, address
+from ..address import Address, ConfigError, parse_address
 from ..metrics import Metrics
 from ..net.inventory import Inventory
 from ..net.loop import Loop
-from ..operator import XdsPart
+from ..operator import XdsOptions
 from ..policy import interface as i
 
 PERIOD = 0.25  # s between looks at the file: well within the second that a drain allows
@@ -82,7 +82,7 @@
     if state is None:  # unhealthy or timed out: as good as not there
         return None
     try:
-        at = address(text, "address")
+        at = parse_address(text, "address")
     except ConfigError as error:
         raise XdsError(str(error)) from None
     told = json_format.MessageToDict(lb.metadata.filter_metadata[OURS]) if OURS in lb.metadata.filter_metadata else {}
@@ -105,7 +105,7 @@
 class FileSource:
     """Looks at the file's identity now and then; what cannot be used leaves the last good list in force."""
 
-    def __init__(self, loop: Loop, inventory: Inventory, part: XdsPart, metrics: Metrics, log: Any) -> None:
+    def __init__(self, loop: Loop, inventory: Inventory, part: XdsOptions, metrics: Metrics, log: Any) -> None:
         self.loop, self.inventory, self.part, self.metrics, self.log = loop, inventory, part, metrics, log
         self.heard = False
         self.heard_at = 0.0  # when the file was last there as it was last taken
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -31,7 +31,7 @@
 from brackenpulley.authz.convert import verdict_of
 from brackenpulley.authz.front import Front, timeout
 from brackenpulley.core.message import MessageError
-from brackenpulley.operator import ClientPart, Operator, decode, load
+from brackenpulley.operator import AuthzClientOptions, OperatorOptions, decode, load
 
 from .rig import Rig, Wire, rig
 from .test_platform import GOOD, OK
@@ -53,8 +53,8 @@
 
 @contextmanager
 def asker(r: Rig, count: int = 1) -> Iterator[Any]:
-    assert r.daemon.front is not None and r.daemon.front.listener is not None
-    port = r.daemon.front.listener.getsockname()[1]
+    assert r.daemon.authz_front is not None and r.daemon.authz_front.listener is not None
+    port = r.daemon.authz_front.listener.getsockname()[1]
     options = (("grpc.use_local_subchannel_pool", 1),)
     with grpc.insecure_channel(f"127.0.0.1:{port}", options) as channel:
         yield external_auth_pb2_grpc.AuthorizationStub(channel)
@@ -114,9 +114,9 @@
 
 
 def raw(r: Rig, method: str, data: bytes, **more: Any) -> Any:
-    assert r.daemon.front is not None and r.daemon.front.listener is not None
+    assert r.daemon.authz_front is not None and r.daemon.authz_front.listener is not None
     channel = grpc.insecure_channel(
-        f"127.0.0.1:{r.daemon.front.listener.getsockname()[1]}", (("grpc.use_local_subchannel_pool", 1),)
+        f"127.0.0.1:{r.daemon.authz_front.listener.getsockname()[1]}", (("grpc.use_local_subchannel_pool", 1),)
     )
     call = channel.unary_unary(method, request_serializer=bytes, response_deserializer=bytes).future(
         data, timeout=5, **more
@@ -141,7 +141,7 @@
 def test_errors_have_their_grpc_status(method: str, data: bytes, more: Any, status: Any) -> None:
     with rig(operator=SERVER) as r:
         assert raw(r, method, data, **more).code() == status
-        assert r.daemon.front is not None and r.daemon.front.buffered == 0
+        assert r.daemon.authz_front is not None and r.daemon.authz_front.buffered == 0
 
 
 def test_a_draining_endpoint_is_not_named() -> None:
@@ -160,12 +160,12 @@
         call = stub.Check.future(check(1), timeout=8)
         r.until(lambda: bool(r.daemon.ingress.held))
         r.daemon.loop.running = True
-        r.daemon.end()
+        r.daemon.begin_shutdown()
         r.skip(0.6)
         assert r.daemon.loop.running and not call.done()
         r.skip(6.0)
         assert result(r, call).denied_response.status.code == 503
-        r.until(lambda: r.daemon.front.peers == set())
+        r.until(lambda: r.daemon.authz_front.peers == set())
         r.skip(0.1)
         assert not r.daemon.loop.running
 
@@ -366,7 +366,11 @@
 
 def test_the_operators_file_in_deploy_loads() -> None:
     operator = load(str(Path(__file__).parent.parent / "deploy" / "operator.toml"))
-    assert operator.server and operator.client == ClientPart(("127.0.0.1", 9292), 0.25, False) and operator.xds is None
+    assert (
+        operator.server
+        and operator.client == AuthzClientOptions(("127.0.0.1", 9292), 0.25, False)
+        and operator.xds is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -385,7 +389,7 @@
 def test_a_bad_operators_file_names_the_field(raw_: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError) as error:
         decode(raw_)
-    assert str(error.value).startswith(field) and decode({}) == Operator()
+    assert str(error.value).startswith(field) and decode({}) == OperatorOptions()
 
 
 def endpoint(port: int, **more: Any) -> dict[str, Any]:
@@ -474,8 +478,8 @@
     """A client of the test's own that misbehaves in ways in which grpcio would not."""
 
     def __init__(self, r: Rig, window: int = 65535) -> None:
-        assert r.daemon.front is not None and r.daemon.front.listener is not None
-        self.wire = Wire(r, socket.create_connection(r.daemon.front.listener.getsockname()))
+        assert r.daemon.authz_front is not None and r.daemon.authz_front.listener is not None
+        self.wire = Wire(r, socket.create_connection(r.daemon.authz_front.listener.getsockname()))
         self.h2, self.events = h2.connection.H2Connection(), list[Any]()
         self.h2.initiate_connection()
         self.h2.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: window})
@@ -540,8 +544,8 @@
         assert tight.until(h2.events.StreamReset, 1).error_code == h2.errors.ErrorCodes.CANCEL
         tight.h2.increment_flow_control_window(1000, 3)
         tight.flush()
-        assert tight.status(3) == "0" and r.daemon.front.peers
-        r.until(lambda: not next(iter(r.daemon.front.peers)).calls)
+        assert tight.status(3) == "0" and r.daemon.authz_front.peers
+        r.until(lambda: not next(iter(r.daemon.authz_front.peers)).calls)
 
 
 def test_streams_over_the_limit_are_turned_away_one_by_one() -> None:
@@ -560,7 +564,7 @@
         asking = H2(r)
         asking.call(1, None)
         r.until(lambda: r.count("checks") == 1)
-        r.daemon.front.drain()
+        r.daemon.authz_front.drain()
         asking.h2.send_headers(3, [(":method", "POST"), (":scheme", "http"), (":path", CHECK), (":authority", "a")])
         asking.h2.send_data(1, http2.frame(check(1).SerializeToString()), end_stream=True)
         asking.flush()
@@ -568,7 +572,7 @@
         frames, _ = http2.split(asking.wire.seen)
         assert [f[3] for f in frames if f[3] in (3, 7)] == [7, 3]  # GOAWAY, then RST of stream 3
         assert any(f[3] == 0 and int.from_bytes(f[5:9], "big") == 1 for f in frames)  # stream 1 has its answer
-        assert not r.daemon.front.peers
+        assert not r.daemon.authz_front.peers
 
 
 @pytest.mark.parametrize(
@@ -581,7 +585,7 @@
 )
 def test_what_is_no_http2_ends_its_own_connection_alone(data: bytes) -> None:
     with rig(operator=SERVER) as r, asker(r) as stub:
-        listener = r.daemon.front.listener
+        listener = r.daemon.authz_front.listener
         assert listener is not None
         wire = Wire(r, socket.create_connection(listener.getsockname()))
         assert wire.send(data).ended()
@@ -591,8 +595,8 @@
 def test_a_cancelled_check_gives_up_the_verdict_that_it_waits_for() -> None:
     with authorised(60.0) as (r, stand_in):
         d = r.daemon
-        d.front = Front(d.loop, d.pool, d.ingress, d.inventory, d.metrics, "x-endpoint", 8)
-        r.daemon.front.listen(("127.0.0.1", 0))
+        d.authz_front = Front(d.loop, d.pool, d.ingress, d.inventory, d.metrics, "x-endpoint", 8)
+        r.daemon.authz_front.listen(("127.0.0.1", 0))
         with asker(r) as stub:
             call = stub.Check.future(check(), timeout=60)
             r.until(lambda: bool(stand_in.seen))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -276,7 +276,7 @@
         server.send(b"HTTP/1.1 200 OK\r\nX-True-Cost: 1\r\n" + forms(body, form, 1_000_000)[:200_000])
         r.until(lambda: r.count("flowed") == 1)
         r.skip(0.9)  # its first bytes are what is timed
-        assert r.daemon.gauges()["active"] == 1 and not r.daemon.ingress.gateway.servers["s-0"].out
+        assert r.daemon.collect_gauges()["active"] == 1 and not r.daemon.ingress.gateway.servers["s-0"].out
         server.send(forms(body, form, 1_000_000)[200_000:])
         if form == "close":
             server.close()
@@ -284,8 +284,8 @@
             assert client.answer()[2] == body
         else:
             assert b"chunked" in client.until(b"\r\n\r\n") and chunked(client) == body
-        assert r.daemon.metrics.classes["ok", "a"] == 1 and not r.daemon.ingress.held and not r.daemon.shares.flows
-        assert r.daemon.gauges()["active"] == 0 and r.daemon.ingress.gateway.servers["s-0"].err == 0
+        assert r.daemon.metrics.class_counts["ok", "a"] == 1 and not r.daemon.ingress.held and not r.daemon.shares.flows
+        assert r.daemon.collect_gauges()["active"] == 0 and r.daemon.ingress.gateway.servers["s-0"].err == 0
         if form != "close":
             r.ask(2, wire=client)
             assert b"x-request-id" in server.answer()[1]  # both connections are kept
@@ -308,7 +308,7 @@
             getattr(server, how)()
         assert client.ended() and client.seen.startswith(b"HTTP/1.1 200")
         assert len(client.seen) < 500_000 and not client.seen.endswith(b"0\r\n\r\n")
-        assert r.count("cut_off") == 1 and r.daemon.metrics.classes["errors", "a"] == 1 and r.count("relays") == 1
+        assert r.count("cut_off") == 1 and r.daemon.metrics.class_counts["errors", "a"] == 1 and r.count("relays") == 1
         assert not r.daemon.ingress.held and not r.daemon.shares.flows
 
 
@@ -360,7 +360,7 @@
             r.turn()
             client._more()
             seen = len(client.seen)
-        assert client.answer()[2] == body and r.daemon.metrics.classes["ok", "a"] == 1
+        assert client.answer()[2] == body and r.daemon.metrics.class_counts["ok", "a"] == 1
 
 
 def test_a_client_that_takes_little_at_a_time_is_not_held_against_its_server() -> None:
@@ -434,9 +434,9 @@
         for n in range(1, 19):  # over three times what the client waits for its answer
             r.skip(0.7)
             client.send(body[n * 100_000 : (n + 1) * 100_000])
-        assert not gateway.servers["s-0"].out and r.daemon.metrics.classes["tries", "a"] == 0
+        assert not gateway.servers["s-0"].out and r.daemon.metrics.class_counts["tries", "a"] == 0
         client.send(body[1_900_000:])
-        r.until(lambda: r.daemon.metrics.classes["tries", "a"] == 1 or not server._more())
+        r.until(lambda: r.daemon.metrics.class_counts["tries", "a"] == 1 or not server._more())
         r.until(lambda: len(server.seen) >= len(body) or not server._more())
         assert server.seen == body and gateway.servers["s-0"].out
         r.skip(3.0)
@@ -582,7 +582,7 @@
         else:
             client.reset()
         assert server.ended() and not r.daemon.ingress.held and not r.daemon.shares.flows
-        assert r.daemon.metrics.classes["tries", "a"] == 0
+        assert r.daemon.metrics.class_counts["tries", "a"] == 0
 
 
 def test_a_chunked_body_is_passed_on_chunked_and_whole() -> None:
@@ -615,7 +615,7 @@
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
         client = r.client().send(head + forms(noise(900_000), "chunked", 300_000))
         assert client.answer()[0] == 413 and client.ended()
-        assert r.daemon.metrics.classes["tries", "a"] == 0 and not r.daemon.shares.flows
+        assert r.daemon.metrics.class_counts["tries", "a"] == 0 and not r.daemon.shares.flows
 
 
 def test_many_long_bodies_hold_no_more_than_their_account() -> None:
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -46,7 +46,11 @@
 def test_it_is_off_unless_told_and_the_file_with_every_setting_can_be_read() -> None:
     assert decode(AGREED).configuration is None
     told = load(str(Path(__file__).parent.parent / "deploy/together.toml")).configuration
-    assert told is not None and (told.entries, told.size, told.change) == (50_000, 184_000, 12_000)
+    assert told is not None and (told.max_entries, told.max_snapshot_bytes, told.max_change_bytes) == (
+        50_000,
+        184_000,
+        12_000,
+    )
 
 
 def operator(tmp_path: Path, voter: bool = True, **more: Any) -> dict[str, Any]:
@@ -187,9 +191,9 @@
 def test_a_follower_that_hears_nobody_serves_with_what_it_has_and_says_how_old(tmp_path: Path) -> None:
     told = operator(tmp_path, voter=False)
     with rig(operator=told) as r:
-        assert not r.daemon.ready() and r.daemon.configuration.status()["from"] == "file"
+        assert not r.daemon.is_ready() and r.daemon.configuration.status()["from"] == "file"
         r.skip(8.5)
-        assert r.daemon.ready() and serve(r, 1) == 200
+        assert r.daemon.is_ready() and serve(r, 1) == 200
         status = r.daemon.configuration.status()
         assert status["revision"] == 0 and status["logSilentS"] >= 8.5
         later = r.daemon.control.routes.answer(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from brackenpulley.address import ConfigError, address
+from brackenpulley.address import ConfigError, parse_address
 from brackenpulley.config import decode
 from brackenpulley.net import sockets
 
@@ -201,7 +201,7 @@
 
 def ends(r: Rig, *after: float) -> None:
     r.daemon.loop.running = True
-    r.daemon.end()
+    r.daemon.begin_shutdown()
     for seconds in after:
         r.skip(seconds)
 
@@ -280,7 +280,7 @@
         r.daemon.config.path = str(tmp_path / "none.json")
         ends(r)
         r.daemon.reload()  # a file that is gone: one line, nothing else
-        r.daemon.end()
+        r.daemon.begin_shutdown()
         r.skip(0.6)
         server.send(OK)
         assert wire.answer()[0] == 200
@@ -318,7 +318,7 @@
     with with_discovery(**{"known": {}} if end is None else {}) as (r, place):
         wire, _ = asked(place)
         new = Peer(r)
-        at = address(new.at, "new")
+        at = parse_address(new.at, "new")
         r.freeze()
         r.daemon.loop.call_soon(lambda: r.daemon.discovery.move(at))  # runs before what this turn puts off
         if end is None:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from brackenpulley.start import plain
+from brackenpulley.start import parse_serve_options
 
 from .test_link import SETTINGS
 
@@ -251,4 +251,4 @@
     ],
 )
 def test_what_is_not_plainly_serve_goes_to_the_command_line(words: str, options: dict[str, str] | None) -> None:
-    assert plain(words.split()) == options
+    assert parse_serve_options(words.split()) == options
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -34,7 +34,7 @@
 from brackenpulley.fleet.rolling import Rolling, spaced
 from brackenpulley.fleet.sharing import MARGIN, Sharing, Told
 from brackenpulley.fleet.spec import decode
-from brackenpulley.health.vitals import WINDOW, Bounds, Lag, Vitals
+from brackenpulley.health.measurements import LAG_WINDOW_SECONDS, LoopLag, Measurements, Thresholds
 
 GOOD: dict[str, Any] = {
     "fleet": {"name": "hall", "run": "/run/hall", "config": "c.json", "listen": "127.0.0.1:9100-9103", "instances": 3}
@@ -508,33 +508,33 @@
 @given(st.lists(st.tuples(st.floats(0.0, 4.0), st.floats(0.0, 2.0)), min_size=1, max_size=80))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_the_worst_lag_is_that_of_the_window(rows: list[tuple[float, float]]) -> None:
-    lag, now = Lag(), 0.0
+    lag, now = LoopLag(), 0.0
     seen: list[tuple[float, float]] = []
     for pause, late in rows:
         now += pause
-        lag.note(now, late)
+        lag.record(now, late)
         seen.append((now, late))
-        assert lag.worst(now) == max(late for at, late in seen if at >= now - WINDOW)
+        assert lag.max_lag(now) == max(late for at, late in seen if at >= now - LAG_WINDOW_SECONDS)
 
 
 @pytest.mark.parametrize(
     "change, trouble",
     [
         ({}, []),
-        ({"lag": 0.6}, ["the loop was held for 0.60 s"]),
+        ({"lag_seconds": 0.6}, ["the loop was held for 0.60 s"]),
         ({"descriptors": 240}, ["240 of 256 descriptors"]),
         ({"memory_mb": 31.0}, ["31 of 32 MB"]),
-        ({"list_age": 11.0}, ["the list is 11 s old"]),
-        ({"list_age": None}, ["no list of servers yet"]),
+        ({"list_age_seconds": 11.0}, ["the list is 11 s old"]),
+        ({"list_age_seconds": None}, ["no list of servers yet"]),
     ],
 )
 def test_troubles_are_named(change: dict[str, Any], trouble: list[str]) -> None:
     good = {
-        "lag": 0.01,
+        "lag_seconds": 0.01,
         "descriptors": 30,
-        "most_descriptors": 256,
+        "max_descriptors": 256,
         "memory_mb": 20.0,
-        "most_memory_mb": 32.0,
-        "list_age": 1.0,
+        "max_memory_mb": 32.0,
+        "list_age_seconds": 1.0,
     }
-    assert Vitals(**{**good, **change}).troubles(Bounds()) == trouble
+    assert Measurements(**{**good, **change}).describe_troubles(Thresholds()) == trouble
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,7 +12,7 @@
 import pytest
 
 from brackenpulley.growth.merge import BadRecord, Merged, record
-from brackenpulley.serve import make_log
+from brackenpulley.serve import make_logger
 
 from .rig import rig
 
@@ -78,7 +78,7 @@
             pass
 
     with rig(operator={"log": {"seconds": True}}) as r:
-        log = make_log(Output())
+        log = make_logger(Output())
         r.daemon.tally.log = log
         r.freeze()  # else a slow machine comes past one more full second, and its line is counted
         client = r.ask()
@@ -97,7 +97,7 @@
 
 def test_without_the_operators_word_nothing_is_counted_by_server() -> None:
     with rig() as r:
-        assert r.daemon.metrics.servers is None
+        assert r.daemon.metrics.server_counts is None
 
 
 def test_the_command(tmp_path: Path) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -26,7 +26,7 @@
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.net.pool import Pool
-from brackenpulley.operator import LedgerPart
+from brackenpulley.operator import LedgerOptions
 from brackenpulley.policy.interface import Charge
 
 T0 = 1_700_000_000.0
@@ -94,7 +94,7 @@
     def __init__(self, folder: str, now: float) -> None:
         self.now, self.folder = now, folder
         self.loop = Loop(lambda: self.now, Metrics(), None)
-        part = LedgerPart(folder, 1.0, 0.5, 8 << 20, 1.0, False, 50, 1000, None)
+        part = LedgerOptions(folder, 1.0, 0.5, 8 << 20, 1.0, False, 50, 1000, None)
         self.service = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
         self.service.start()
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -191,7 +191,7 @@
         _, server = r.served()
         server.answer()
         r.daemon.loop.running = True
-        r.daemon.end()
+        r.daemon.begin_shutdown()
         r.skip(0.6)
         assert calls == [] and r.daemon.loop.running
         server.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -23,7 +23,7 @@
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.net.pool import Pool
-from brackenpulley.operator import LedgerPart, ReservationsPart
+from brackenpulley.operator import LedgerOptions, ReservationsOptions
 from brackenpulley.plans.book import Change, Figures, firm_text
 from brackenpulley.plans.reservations import ReservationError
 from brackenpulley.plans.service import PlanService, ReservationService
@@ -93,12 +93,12 @@
         self.loop = Loop(lambda: self.now, Metrics(), Silent())
         gateway = Gateway(util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now)
         self.ingress = Ingress(gateway, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
-        part = LedgerPart(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
+        part = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
         self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
         self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, Silent())
         self.ingress.plans = self.plans
         self.held = self.ingress.holds = ReservationService(
-            self.loop, self.ingress, ReservationsPart(100, 60.0, 3.0, True), self.loop.metrics
+            self.loop, self.ingress, ReservationsOptions(100, 60.0, 3.0, True), self.loop.metrics
         )
         self.ledger.start()
         self.plans.start()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,7 +20,7 @@
 import pytest
 
 import brackenpulley
-from brackenpulley.address import address
+from brackenpulley.address import parse_address
 from brackenpulley.net import sockets
 from brackenpulley.net.answers import Malformed, Reply, outcome
 from brackenpulley.net.counter import Replies
@@ -435,7 +435,7 @@
         _, server = r.served()
         server.answer()
         r.daemon.loop.running = True
-        r.daemon.end()
+        r.daemon.begin_shutdown()
         late = r.ask(2)
         r.until(lambda: r.count("relays") == 2)
         r.skip(0.6)
@@ -471,7 +471,7 @@
         wire = r.client().send(HEAD)
         r.until(lambda: any(c.reader.partial for c in r.daemon.north.clients))
         r.daemon.loop.running = True
-        r.daemon.end()
+        r.daemon.begin_shutdown()
         r.skip(0.6)
         assert r.daemon.loop.running
         for _ in range(3):
@@ -666,7 +666,7 @@
         old = r.counter.accept()
         old.until(b"4000\r\n")
         other = Peer(r)
-        client.move(address(other.at, "counter"))
+        client.move(parse_address(other.at, "counter"))
         client.add(2, 1, 4.0)
         new = other.accept()
         new.until(b"4000\r\n")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -84,7 +84,7 @@
 
 
 def test_hollow_ones_find_each_other_and_serve_through_the_core(rig: Rig) -> None:
-    rig.until(lambda: all(one.members == 4 and one.daemon.ready() for one in rig.there))
+    rig.until(lambda: all(one.members == 4 and one.daemon.is_ready() for one in rig.there))
     for one in rig.there:
         one.traffic.start()
     rig.until(lambda: all(one.traffic.served > 5 for one in rig.there))
@@ -107,7 +107,7 @@
 
 
 def test_nothing_of_a_killed_one_runs_on(rig: Rig) -> None:
-    rig.until(lambda: all(one.members == 4 and one.daemon.ready() for one in rig.there))
+    rig.until(lambda: all(one.members == 4 and one.daemon.is_ready() for one in rig.there))
     one = rig.there[3]
     one.traffic.start()
     rig.until(lambda: one.traffic.tries > 0)
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -205,7 +205,7 @@
         wire = source.accept()
         wire.until(b"\r\n\r\n")
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        assert r.daemon.ready()
+        assert r.daemon.is_ready()
         change = json.dumps({**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}, indent=indent).encode()
         for part in (change[:40], change[40:] + b"\n\n"):  # a change in two chunks
             wire.send(b"%x\r\n%s\r\n" % (len(part), part))
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -169,5 +169,5 @@
 def test_the_file_with_every_setting_can_be_read() -> None:
     told = load(str(Path(__file__).parent.parent / "deploy/together.toml"))
     assert told.consensus is not None and len(told.consensus.voters) == 3
-    assert told.drains is not None and told.drains.limit == 64
-    assert told.maintenance is not None and (told.maintenance.out, told.maintenance.spread) == (1, 2)
+    assert told.drains is not None and told.drains.connection_limit == 64
+    assert told.maintenance is not None and (told.maintenance.max_machines_out, told.maintenance.min_spread) == (1, 2)
