--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,6 +1,8 @@
-"""What the deploy file starts: one process by exec, linked dynamically, that opens only what the platform has.
+"""Checks of the deploy file: `run` is one dynamically linked process that forks nothing and opens only IPv4 sockets.
 
-Found by a trace of the program started alone (the interpreter's audit events), not by reading alone."""
+An audit hook in the running program records its sockets, forks and threads, since reading the code alone would not
+show what libraries do. Further tests check the decision module that the file names and what the serving path loads.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +22,7 @@
 from .test_link import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-TRACE = """
+AUDITED_SERVE = """
 import json, os, sys
 out, seen = sys.argv[1], []
 REFUSED = {"os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "subprocess.Popen",
@@ -41,24 +43,25 @@
 """
 
 
-def test_run_is_one_program_by_exec_with_nothing_switched_on() -> None:
-    told = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-    words = told["run"].split()
+def test_run_executes_one_program_without_optional_parts() -> None:
+    deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
+    words = deploy["run"].split()
     assert words[:4] == ["exec", ".venv/bin/python", "-m", "brackenpulley"] and words[4:] == ["serve"]
-    assert not set(told["run"]) & set(";&|$`()<>")
+    assert not set(deploy["run"]) & set(";&|$`()<>")
     assert not any(
-        name.startswith(("brackenpulley/fleet", "brackenpulley/authz", "brackenpulley/growth")) for name in told["node"]
+        name.startswith(("brackenpulley/fleet", "brackenpulley/authz", "brackenpulley/growth"))
+        for name in deploy["node"]
     )
 
 
 def test_the_interpreter_is_linked_dynamically() -> None:
-    """A library loaded into the process at its start needs a loader: an ELF file with an interpreter of its own."""
-    head = Path(os.path.realpath(sys.executable)).read_bytes()[: 1 << 16]
-    assert head[:4] == b"\x7fELF" and b"ld-linux" in head
+    """A library can only be preloaded into a process whose executable is an ELF file with a dynamic loader."""
+    header = Path(os.path.realpath(sys.executable)).read_bytes()[: 1 << 16]
+    assert header[:4] == b"\x7fELF" and b"ld-linux" in header
 
 
-def test_the_program_started_alone_forks_nothing_and_opens_ipv4_alone(tmp_path: Path) -> None:
-    config, out = tmp_path / "config.json", tmp_path / "seen.json"
+def test_serve_forks_nothing_and_opens_ipv4_sockets_only(tmp_path: Path) -> None:
+    config, events_file = tmp_path / "config.json", tmp_path / "seen.json"
     with socket.create_server(("127.0.0.1", 0)) as discovery, socket.create_server(("127.0.0.1", 0)) as server:
         known = {
             "generation": 1,
@@ -80,18 +83,18 @@
             )
         )
         child = subprocess.Popen(
-            [sys.executable, "-c", TRACE, str(out), str(config)],
+            [sys.executable, "-c", AUDITED_SERVE, str(events_file), str(config)],
             stdout=subprocess.PIPE,
             text=True,
             cwd=ROOT,
-            env={k: v for k, v in os.environ.items() if k != "BALANCER_OPERATOR"},
+            env={name: value for name, value in os.environ.items() if name != "BALANCER_OPERATOR"},
         )
         assert child.stdout is not None
-        port = int(next(x for x in child.stdout if "event=listening" in x).strip().rsplit(":", 1)[1])
+        port = int(next(line for line in child.stdout if "event=listening" in line).strip().rsplit(":", 1)[1])
         discovery.settimeout(30)
         server.settimeout(30)
-        asked = discovery.accept()[0]
-        while True:  # a process that has not been able to serve yet refuses at once: its yes comes first
+        discovery_connection = discovery.accept()[0]
+        while True:  # a process that was never ready refuses messages at once, so wait for readiness
             with socket.create_connection(("127.0.0.1", port)) as probe:
                 probe.sendall(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 probe.settimeout(30)
@@ -111,15 +114,15 @@
         child.send_signal(signal.SIGTERM)
         child.stdout.read()
         assert child.wait(30) == 0
-        asked.close()
+        discovery_connection.close()
         relay.close()
-    seen = json.loads(out.read_text())
-    assert {family for event, family in seen if event == "socket.__new__"} == {int(socket.AF_INET)}
-    assert [event for event, _ in seen if event != "socket.__new__"] == [] and threads == 1
+    events = json.loads(events_file.read_text())
+    assert {family for event, family in events if event == "socket.__new__"} == {int(socket.AF_INET)}
+    assert [event for event, _ in events if event != "socket.__new__"] == [] and threads == 1
 
 
 def policy_problems(deploy: Path) -> str:
-    """What `.ci/policy_check.py` says of the decision module that a deploy file names; empty where it is in order."""
+    """Return what `.ci/policy_check.py` reports on the decision module of a deploy file; empty where it passes."""
     child = subprocess.run(
         [sys.executable, str(ROOT / ".ci" / "policy_check.py"), str(deploy)], capture_output=True, text=True
     )
@@ -133,7 +136,7 @@
 
 @pytest.fixture
 def small_deploy(tmp_path: Path) -> Path:
-    """A deploy file with a package of two programs that load the same decision module."""
+    """Write a deploy file and a package of two programs that load the same decision module."""
     (tmp_path / "deploy").mkdir()
     (tmp_path / "app" / "policy").mkdir(parents=True)
     for name in ("app/__init__.py", "app/policy/__init__.py", "app/policy/helper.py"):
@@ -178,13 +181,13 @@
     ],
 )
 def test_io_in_the_folder_of_the_decision_module_is_named(small_deploy: Path, source: str, problem: str) -> None:
-    """The neighbours of the named files are imported by them, so I/O there counts as well."""
+    """The named files import their neighbours, so I/O in these is reported as well."""
     (small_deploy.parent.parent / "app/policy/helper.py").write_text(source + "\n")
     found = policy_problems(small_deploy)
     assert found.startswith("app/policy/helper.py:") and problem in found
 
 
-NOT_FOR_SERVING = (
+MODULES_NOT_USED_BY_SERVE = (
     "typer",
     "click",
     "rich.console",
@@ -207,8 +210,8 @@
 )
 
 
-def test_the_serving_path_loads_nothing_that_it_does_not_use(tmp_path: Path) -> None:
-    """The command line alone took half of the CPU from start to ready: a killed ingress serves nobody until then."""
+def test_the_serving_path_loads_no_module_that_it_does_not_use(tmp_path: Path) -> None:
+    """Guards against slow restarts: loading the command line took half of the CPU time from the start to readiness."""
     config = tmp_path / "config.json"
     config.write_text(
         json.dumps(
@@ -234,7 +237,9 @@
     _, trace = process.communicate(timeout=10)
     loaded = {line.rpartition("|")[2].strip() for line in trace.splitlines() if line.startswith("import time:")}
     assert process.returncode == 0 and "brackenpulley.serve" in loaded and "structlog" in loaded
-    assert not [name for name in loaded for other in NOT_FOR_SERVING if name == other or name.startswith(other + ".")]
+    assert not [
+        name for name in loaded for other in MODULES_NOT_USED_BY_SERVE if name == other or name.startswith(other + ".")
+    ]
 
 
 @pytest.mark.parametrize(
@@ -250,5 +255,5 @@
         ("serve x", None),
     ],
 )
-def test_what_is_not_plainly_serve_goes_to_the_command_line(words: str, options: dict[str, str] | None) -> None:
+def test_other_command_lines_are_left_to_the_command_line_module(words: str, options: dict[str, str] | None) -> None:
     assert parse_serve_options(words.split()) == options
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -1,4 +1,4 @@
-"""The module's own part of plans: changes, units returned, reservations, charges."""
+"""Plans in the decision module: changes of plan, returned units, reservations, charges."""
 
 from __future__ import annotations
 
@@ -31,146 +31,148 @@
 COUNTY = PlanSpec("county", rate=7.0, burst=32.0)
 
 
-def drive(**more: Any) -> Drive:
+def make_driver(**more: Any) -> Drive:
     return Drive(servers=20, plans=[SCHOOL, COUNTY], charges=True, **more)
 
 
-def ask(d: Drive, plan: str, count: int = 1, **more: Any) -> int:
-    """How many pass; each is served at once."""
+def count_passed(driver: Drive, plan: str, count: int = 1, **more: Any) -> int:
+    """Send `count` messages, each served at once, and return how many passed."""
     passed = 0
     for _ in range(count):
-        for send in of(Send, d.ask(plan=plan, **more)):
+        for send in of(Send, driver.ask(plan=plan, **more)):
             passed += 1
-            d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True))
+            driver.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True))
     return passed
 
 
-def test_a_firm_moved_up_has_the_larger_store_less_what_it_used() -> None:
-    """Guards against a record that held the first plan until a minute of idleness: one send, five refusals."""
-    d = drive()
-    assert ask(d, "school", 6, units=2.0) == 4
-    d.now += 1.0
-    assert ask(d, "county", 30, units=1.0) == 32 - 8 + 3  # what came back in that second was school's 3 units
+def test_a_firm_moved_up_has_the_larger_burst_less_the_units_it_used() -> None:
+    """Guards against a firm record that kept its first plan until it was idle for a minute: one send, five refusals."""
+    driver = make_driver()
+    assert count_passed(driver, "school", 6, units=2.0) == 4
+    driver.now += 1.0
+    assert (
+        count_passed(driver, "county", 30, units=1.0) == 32 - 8 + 3
+    )  # the 3 units refilled in that second are at the rate of school
 
 
 def test_debt_survives_a_move_down_and_back() -> None:
-    d = drive()
-    assert ask(d, "county", 40) == 32
-    d.do(Moved(1, "school"))
-    assert d.g.customers[1].level == 8 - 32
-    d.do(Moved(1, "county"))
-    assert d.g.customers[1].level == 0 and ask(d, "county") == 0
-
-
-def test_a_reading_does_not_forgive_what_is_owed() -> None:
-    d = drive()
-    ask(d, "county", 40, spread=3)
-    (call,) = of(Count, d.log)
-    d.do(Counted(call.name, "ok", call.amount))
-    d.do(Moved(1, "school"))
-    owed = d.g.customers[1].level
-    assert owed < 0
-    d.g.customers[1].unsaid, d.g.customers[1].next_call = 8.0, d.now
-    d.g.note_use(d.now, d.g.customers[1])
-    d.now += 1.0
-    (again,) = of(Count, d.do(Timer(d.g.token)))
-    d.do(Counted(again.name, "ok", call.amount + again.amount))
-    assert d.g.customers[1].level < owed + 3.5
-
-
-def test_an_older_clients_retry_does_not_take_the_plan_back() -> None:
-    d = drive()
-    ask(d, "school")
-    ask(d, "county")
-    ask(d, "school", retry=True)
-    assert d.g.customers[1].plan is COUNTY
-    d.now += 5.0
-    ask(d, "school")  # a retry that is not marked: its first try may be this old
-    assert d.g.customers[1].plan is COUNTY
-    d.now += 8.0
-    ask(d, "school")  # nobody waits that long: the firm has been moved back
-    assert d.g.customers[1].plan is SCHOOL
-
-
-def test_new_figures_hold_for_all_on_the_plan() -> None:
-    d = drive()
-    ask(d, "school", 8)
-    d.do(PlanFigures([PlanSpec("school", rate=6.0, burst=12.0)]))
-    assert ask(d, "school", 9) == 4
-    d.now += 1.0
-    assert ask(d, "school", 9) == 6
+    driver = make_driver()
+    assert count_passed(driver, "county", 40) == 32
+    driver.do(Moved(1, "school"))
+    assert driver.g.customers[1].level == 8 - 32
+    driver.do(Moved(1, "county"))
+    assert driver.g.customers[1].level == 0 and count_passed(driver, "county") == 0
+
+
+def test_a_counter_reading_does_not_cancel_debt() -> None:
+    driver = make_driver()
+    count_passed(driver, "county", 40, spread=3)
+    (call,) = of(Count, driver.log)
+    driver.do(Counted(call.name, "ok", call.amount))
+    driver.do(Moved(1, "school"))
+    debt = driver.g.customers[1].level
+    assert debt < 0
+    driver.g.customers[1].unsaid, driver.g.customers[1].next_call = 8.0, driver.now
+    driver.g.note_use(driver.now, driver.g.customers[1])
+    driver.now += 1.0
+    (again,) = of(Count, driver.do(Timer(driver.g.token)))
+    driver.do(Counted(again.name, "ok", call.amount + again.amount))
+    assert driver.g.customers[1].level < debt + 3.5
+
+
+def test_a_retry_under_the_former_plan_does_not_revert_the_plan() -> None:
+    driver = make_driver()
+    count_passed(driver, "school")
+    count_passed(driver, "county")
+    count_passed(driver, "school", retry=True)
+    assert driver.g.customers[1].plan is COUNTY
+    driver.now += 5.0
+    count_passed(driver, "school")  # it may be an unmarked retry of a message that is this old
+    assert driver.g.customers[1].plan is COUNTY
+    driver.now += 8.0
+    count_passed(driver, "school")  # no client waits that long, so the firm has been moved back
+    assert driver.g.customers[1].plan is SCHOOL
+
+
+def test_new_figures_apply_to_all_firms_on_the_plan() -> None:
+    driver = make_driver()
+    count_passed(driver, "school", 8)
+    driver.do(PlanFigures([PlanSpec("school", rate=6.0, burst=12.0)]))
+    assert count_passed(driver, "school", 9) == 4
+    driver.now += 1.0
+    assert count_passed(driver, "school", 9) == 6
 
 
 @pytest.mark.parametrize(
     ("status", "returned"),
     [("connect_failed", True), ("moot", True), ("full", False), ("timeout", False), ("reset", False), ("error", False)],
 )
-def test_a_try_that_reached_no_server_whole_has_its_units_returned(status: str, returned: bool) -> None:
-    """A server that turns a try away has had it whole: PROTOCOL counts it."""
-    d = drive(max_attempts=1)
-    (send,) = of(Send, d.ask(plan="school", units=4.0))
-    assert d.g.customers[1].level == 4.0
-    acts = d.do(Outcome(send.id, send.server, 0, status, 0.1))
-    assert of(Refuse, acts) or not returned
-    assert d.g.customers[1].level == (8.0 if returned else 4.0)
-    assert [c.units for c in of(Charge, acts)] == ([] if returned else [4.0])
-
-
-def test_units_returned_after_they_were_told_are_told_back() -> None:
-    d = drive(max_attempts=1)
-    ask(d, "school", 1, spread=3, units=2.0)
-    (send,) = of(Send, d.ask(plan="school", spread=3, units=2.0))
-    d.now += 0.3
-    d.do(Timer(d.g.token))
-    for call in of(Count, d.log):
-        d.do(Counted(call.name, "ok", call.amount))
-    d.now += 0.3
-    d.do(Timer(d.g.token))
-    assert sum(call.amount for call in of(Count, d.log)) == 4.0
-    for call in of(Count, d.log)[1:]:
-        d.do(Counted(call.name, "ok", 4.0))
-    d.log.clear()
-    d.do(Outcome(send.id, send.server, 0, "connect_failed"))
-    d.now += 1.0
-    d.do(Timer(d.g.token))
-    assert [call.amount for call in of(Count, d.log)] == [-2.0]
-
-
-def test_the_true_cost_is_charged_once_and_under_the_plan_it_was_let_in_on() -> None:
-    d = drive(settles=True)
-    (send,) = of(Send, d.ask(plan="school", units=2.0))
-    d.do(Moved(1, "county"))
-    (charge,) = of(Charge, d.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
-    assert (charge.plan, charge.units, charge.customer, charge.since) == ("school", 5.0, 1, d.now)
-    assert d.g.customers[1].level == 32 - 5
+def test_a_relay_that_reached_no_server_whole_has_its_units_returned(status: str, returned: bool) -> None:
+    """A server that refuses a relay has received it whole, so the protocol counts it."""
+    driver = make_driver(max_attempts=1)
+    (send,) = of(Send, driver.ask(plan="school", units=4.0))
+    assert driver.g.customers[1].level == 4.0
+    actions = driver.do(Outcome(send.id, send.server, 0, status, 0.1))
+    assert of(Refuse, actions) or not returned
+    assert driver.g.customers[1].level == (8.0 if returned else 4.0)
+    assert [charge.units for charge in of(Charge, actions)] == ([] if returned else [4.0])
+
+
+def test_units_returned_after_they_were_counted_are_subtracted_from_the_counter() -> None:
+    driver = make_driver(max_attempts=1)
+    count_passed(driver, "school", 1, spread=3, units=2.0)
+    (send,) = of(Send, driver.ask(plan="school", spread=3, units=2.0))
+    driver.now += 0.3
+    driver.do(Timer(driver.g.token))
+    for call in of(Count, driver.log):
+        driver.do(Counted(call.name, "ok", call.amount))
+    driver.now += 0.3
+    driver.do(Timer(driver.g.token))
+    assert sum(call.amount for call in of(Count, driver.log)) == 4.0
+    for call in of(Count, driver.log)[1:]:
+        driver.do(Counted(call.name, "ok", 4.0))
+    driver.log.clear()
+    driver.do(Outcome(send.id, send.server, 0, "connect_failed"))
+    driver.now += 1.0
+    driver.do(Timer(driver.g.token))
+    assert [call.amount for call in of(Count, driver.log)] == [-2.0]
+
+
+def test_the_true_cost_is_charged_once_and_under_the_plan_at_admission() -> None:
+    driver = make_driver(settles=True)
+    (send,) = of(Send, driver.ask(plan="school", units=2.0))
+    driver.do(Moved(1, "county"))
+    (charge,) = of(Charge, driver.do(Outcome(send.id, send.server, 0, "ok", 0.1, closed=True, cost=5.0)))
+    assert (charge.plan, charge.units, charge.customer, charge.since) == ("school", 5.0, 1, driver.now)
+    assert driver.g.customers[1].level == 32 - 5
 
 
 def test_a_reservation_holds_until_it_is_settled() -> None:
-    d = drive()
-    assert of(Reserved, d.do(Reserve("r1", 1, "school", 6.0)))
-    (refusal,) = of(Refuse, d.do(Reserve("r2", 1, "school", 4.0)))
+    driver = make_driver()
+    assert of(Reserved, driver.do(Reserve("r1", 1, "school", 6.0)))
+    (refusal,) = of(Refuse, driver.do(Reserve("r2", 1, "school", 4.0)))
     assert refusal.id == "r2"
-    assert ask(d, "school", 5) == 2
-    assert of(Charge, d.do(Settle("r1", 1, "school", 3, 6.0, 1.0, d.now)))[0].units == 1.0
-    assert d.g.customers[1].level == 5.0
-    d.do(Reserve("r3", 1, "school", 5.0))
-    assert not d.do(Settle("r3", 1, "school", 3, 5.0, 0.0, d.now)) and d.g.customers[1].level == 5.0
+    assert count_passed(driver, "school", 5) == 2
+    assert of(Charge, driver.do(Settle("r1", 1, "school", 3, 6.0, 1.0, driver.now)))[0].units == 1.0
+    assert driver.g.customers[1].level == 5.0
+    driver.do(Reserve("r3", 1, "school", 5.0))
+    assert not driver.do(Settle("r3", 1, "school", 3, 5.0, 0.0, driver.now)) and driver.g.customers[1].level == 5.0
 
 
-def test_a_try_that_a_reservation_pays_for_takes_nothing_more() -> None:
-    d = drive()
-    d.do(Reserve("r1", 1, "school", 8.0))
-    assert ask(d, "school") == 0
-    assert ask(d, "school", units=8.0, held=8.0) == 1
-    assert d.g.customers[1].level == 0.0
+def test_a_message_paid_by_a_reservation_takes_no_further_units() -> None:
+    driver = make_driver()
+    driver.do(Reserve("r1", 1, "school", 8.0))
+    assert count_passed(driver, "school") == 0
+    assert count_passed(driver, "school", units=8.0, held=8.0) == 1
+    assert driver.g.customers[1].level == 0.0
 
 
-def test_a_leased_store_is_filled_by_leases_alone() -> None:
-    d = drive(leased=True)
-    assert ask(d, "school", spread=3) == 0
-    d.do(Allow(1, "school", 3.0, spread=3))
-    d.now += 10.0
-    assert ask(d, "school", 9, spread=3) == 3 and not of(Count, d.log)
+def test_a_leased_token_bucket_is_filled_by_leases_only() -> None:
+    driver = make_driver(leased=True)
+    assert count_passed(driver, "school", spread=3) == 0
+    driver.do(Allow(1, "school", 3.0, spread=3))
+    driver.now += 10.0
+    assert count_passed(driver, "school", 9, spread=3) == 3 and not of(Count, driver.log)
 
 
 STEP = st.tuples(
@@ -180,20 +182,20 @@
 
 @given(st.lists(STEP, max_size=40))
 @settings(derandomize=True, deadline=None, max_examples=60)
-def test_no_sequence_of_changes_gains_anything(steps: list[tuple[str, int, float, bool]]) -> None:
-    """In every span of time: no more than the integral of the rate and the largest burst in force."""
-    d = drive()
-    ask(d, "school", 0)
+def test_no_sequence_of_plan_changes_gains_units(steps: list[tuple[str, int, float, bool]]) -> None:
+    """In every interval no more units pass than the integral of the rate plus the largest burst in force."""
+    driver = make_driver()
+    count_passed(driver, "school", 0)
     sends: list[float] = []
     rates: list[tuple[float, float]] = []
-    for plan, tries, wait, by_book in steps:
+    for plan, attempts, wait, by_book in steps:
         if by_book:
-            d.do(Moved(1, plan))
-        for _ in range(tries):
-            sends += [d.now] * ask(d, plan)
-        spec = d.g.customers[1].plan
+            driver.do(Moved(1, plan))
+        for _ in range(attempts):
+            sends += [driver.now] * count_passed(driver, plan)
+        spec = driver.g.customers[1].plan
         rates.append((wait, spec.rate))
-        d.now += wait
+        driver.now += wait
 
     def earned(since: float, until: float) -> float:
         at, total = 1000.0, 0.0
@@ -202,6 +204,6 @@
             at += wait
         return total
 
-    for n, first in enumerate(sends):
-        for m in range(n, len(sends)):
-            assert m - n + 1 <= 32 + earned(first, sends[m]) + 1e-6
+    for first, start in enumerate(sends):
+        for last in range(first, len(sends)):
+            assert last - first + 1 <= 32 + earned(start, sends[last]) + 1e-6
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,7 @@
-"""A real ingress ends while fifty kept connections go on sending: what it took is answered, the rest is not taken."""
+"""An ingress process is shut down while fifty keep-alive connections go on sending.
+
+Every message that it accepted is answered, and no other one reaches a server.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +21,11 @@
 from brackenpulley.standins.clients import Firm, Load, Try
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 
-KEPT = 50
+KEPT_CONNECTIONS = 50
 
 
 @pytest.mark.parametrize(("seed", "mean"), [(1, 0.02), (2, 0.3)])
-def test_clients_that_send_through_the_whole_end_lose_no_message(seed: int, mean: float, tmp_path: Path) -> None:
+def test_clients_that_send_throughout_a_shutdown_lose_no_message(seed: int, mean: float, tmp_path: Path) -> None:
     loop = Loop(wall_clock(), Metrics(), structlog.get_logger())
     servers = [SimServer(loop, f"s-{n}", random.Random(seed + n), mean) for n in range(4)]
     discovery, counter = Discovery(loop, servers), Counter(loop)
@@ -31,41 +34,43 @@
     firm = Firm(1, "county", 0.0, 1, 0)
     load = Load(loop, [("127.0.0.1", port)], [firm], random.Random(seed))
 
-    def until(done: object, patience: float = 30.0) -> None:
-        end = time.monotonic() + patience
-        while not done():  # type: ignore[operator]
+    def wait_until(is_done: object, timeout: float = 30.0) -> None:
+        end = time.monotonic() + timeout
+        while not is_done():  # type: ignore[operator]
             assert time.monotonic() < end
             loop.turn(0.01)
 
-    def again(one: Try) -> None:
-        """Each client sends its next message at once, on the connection it has, for as long as there is one."""
-        if one.status:
+    def send_again(attempt: Try) -> None:
+        """Send a client's next message at once, on its connection while that lasts."""
+        if attempt.status:
             loop.call_soon(lambda: load.ask(firm))
 
-    log = tmp_path / "n0.log"
+    log_file = tmp_path / "n0.log"
     try:
-        until(lambda: "event=listening" in log.read_text())
-        until(lambda: discovery.watchers)
-        for _ in range(KEPT):
+        wait_until(lambda: "event=listening" in log_file.read_text())
+        wait_until(lambda: discovery.watchers)
+        for _ in range(KEPT_CONNECTIONS):
             load.ask(firm)
-        load.heard = again
-        until(lambda: sum(one.status == 200 for one in load.tries) > 4 * KEPT)
+        load.heard = send_again
+        wait_until(lambda: sum(attempt.status == 200 for attempt in load.tries) > 4 * KEPT_CONNECTIONS)
         daemon.process.send_signal(signal.SIGTERM)
-        sent, since = time.monotonic(), loop.clock()
-        until(lambda: daemon.process.poll() is not None)
-        lasted = time.monotonic() - sent
-        until(lambda: not load.out)
+        sigterm_monotonic, sigterm_at = time.monotonic(), loop.clock()
+        wait_until(lambda: daemon.process.poll() is not None)
+        shutdown_seconds = time.monotonic() - sigterm_monotonic
+        wait_until(lambda: not load.out)
     finally:
         daemon.process.kill()
         daemon.process.wait()
         load.close()
-        for one in (discovery.listener, counter.listener, *(server.listener for server in servers)):
-            one.stop()
+        for listener in (discovery.listener, counter.listener, *(server.listener for server in servers)):
+            listener.stop()
         loop.close()
-    assert daemon.process.returncode == 0 and lasted < 4.0
-    counts = dict(word.split("=", 1) for word in log.read_text().splitlines()[-1].split() if "=" in word)
-    answered = [one for one in load.tries if one.status]
-    assert int(counts["messages"]) == len(answered) and all(one.answers == 1 for one in answered)
-    assert sum(one.sent > since for one in answered) >= KEPT / 2  # they did go on sending
-    left = [one for one in load.tries if not one.status]
-    assert len(left) <= KEPT and not {one.id for one in left} & {ran.id for s in servers for ran in s.ran}
+    assert daemon.process.returncode == 0 and shutdown_seconds < 4.0
+    counts = dict(word.split("=", 1) for word in log_file.read_text().splitlines()[-1].split() if "=" in word)
+    answered = [attempt for attempt in load.tries if attempt.status]
+    assert int(counts["messages"]) == len(answered) and all(attempt.answers == 1 for attempt in answered)
+    assert sum(attempt.sent > sigterm_at for attempt in answered) >= KEPT_CONNECTIONS / 2  # clients did go on sending
+    unanswered = [attempt for attempt in load.tries if not attempt.status]
+    assert len(unanswered) <= KEPT_CONNECTIONS and not {attempt.id for attempt in unanswered} & {
+        ran.id for server in servers for ran in server.ran
+    }
