--- a/brackenpulley/health/measurements.py
+++ b/brackenpulley/health/measurements.py
@@ -1,4 +1,4 @@
-"""Health measurements of a daemon and the thresholds that make them a trouble. No I/O.
+"""Health measurements of a daemon and the thresholds above which they are problems. No I/O.
 
 A daemon is alive while its loop turns, and ready while it may be sent messages. Without a list of servers it is alive
 but not ready. A daemon whose loop is blocked is neither, which only the process that watches it can detect.
@@ -17,9 +17,8 @@
     """Lag of the loop's timers in seconds: the largest of the last `LAG_WINDOW_SECONDS`."""
 
     def __init__(self) -> None:
-        self._lags: deque[tuple[float, float]] = (
-            deque()
-        )  # times and lags; the lags fall, so that the first is the largest
+        # Times and lags; the lags fall, so that the first one is the largest.
+        self._lags: deque[tuple[float, float]] = deque()
 
     def record(self, now: float, lag: float) -> None:
         """Add the lag of a timer that fired at `now`."""
@@ -37,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Thresholds:
-    """Values above which a measurement is a trouble."""
+    """Values above which a measurement is reported as a problem."""
 
     lag_seconds: float = 0.5
     resource_fraction: float = 0.9  # of the descriptors or the memory
@@ -55,7 +54,7 @@
     max_memory_mb: float
     list_age_seconds: float | None  # None = no list of servers has been received
 
-    def describe_troubles(self, thresholds: Thresholds) -> list[str]:
+    def describe_problems(self, thresholds: Thresholds) -> list[str]:
         """Return one text for each measurement above its threshold."""
         found = []
         if self.lag_seconds > thresholds.lag_seconds:
@@ -71,7 +70,7 @@
         return found
 
     def as_dict(self, thresholds: Thresholds) -> dict[str, object]:
-        """Return the measurements and the troubles as the control API and the supervisor read them."""
+        """Return the measurements and the problems as the control API and the supervisor read them."""
         return {
             "lagMs": round(self.lag_seconds * 1000, 1),
             "descriptors": self.descriptors,
@@ -79,5 +78,5 @@
             "memoryMb": round(self.memory_mb, 1),
             "mostMemoryMb": round(self.max_memory_mb, 1),
             "listSeconds": None if self.list_age_seconds is None else round(self.list_age_seconds, 2),
-            "troubles": self.describe_troubles(thresholds),
+            "troubles": self.describe_problems(thresholds),
         }
--- a/brackenpulley/operator.py
+++ b/brackenpulley/operator.py
@@ -91,7 +91,7 @@
     max_store_bytes: int
     sync_interval_seconds: float  # of use that a power failure may lose; 0 = none
     refuse_on_failure: bool  # refuse new messages while the store cannot be written; else count in memory
-    max_backlog: int  # unacknowledged entries; each further as many double the period
+    max_backlog: int  # unacknowledged entries; each multiple of this many doubles the period
     kept_entries: int  # acknowledged ones, kept for a replay
     export: ExportOptions | None
 
@@ -124,7 +124,7 @@
 
     max_machines_out: int  # at once
     max_machines_out_per_zone: int
-    load_reserve: float  # table of the measured load that is kept free on top of it
+    load_reserve: float  # capacity kept free, as a fraction of the measured load
     attempts_per_server: float  # that a server of size 1 carries at once; 0 = load is no bound
     min_spread: int  # the least number of ingresses that a firm is spread over
     settle_seconds: float  # for which a returning machine must have carried load
@@ -136,7 +136,7 @@
     """The shares of servers' connection limits, and rolling restarts of ingresses ([drains])."""
 
     connection_limit: int  # connections that a sim server accepts, of all processes together
-    startup_reserve: float  # table of it that is kept for processes that start
+    startup_reserve: float  # fraction of it that is kept for processes that start
     max_ingresses_away: int  # at once in a rolling restart
     min_spread: int  # the least number of ingresses that a firm is spread over
 
@@ -162,7 +162,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorOptions:
-    """The operator's file; a table that is None is off."""
+    """The operator's file; a part that is None is off."""
 
     server: AuthzServerOptions | None = None
     client: AuthzClientOptions | None = None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -537,4 +537,4 @@
         "max_memory_mb": 32.0,
         "list_age_seconds": 1.0,
     }
-    assert Measurements(**{**good, **change}).describe_troubles(Thresholds()) == trouble
+    assert Measurements(**{**good, **change}).describe_problems(Thresholds()) == trouble
