--- a/brackenpulley/core/ingress.py
+++ b/brackenpulley/core/ingress.py
@@ -12,7 +12,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from ..metrics import OUTCOMES, Metrics
+from ..metrics import OUTCOME_COUNTERS, Metrics
 from ..policy import interface
 from ..policy.brain import DecisionModule
 from .exchange import Answer, Authoriser, Exchange, PendingCall, RelayResult, South, Verdict
@@ -182,7 +182,7 @@
         # Counts the final answer once; `_count_streamed` counts a streamed one when it ends.
         def reply_counted(answer: Answer) -> None:
             if not answer.is_streaming:
-                metrics.of(OUTCOMES[answer.kind], priority_class)
+                metrics.add_for_class(OUTCOME_COUNTERS[answer.kind], priority_class)
             reply(answer)
 
         send_answer = reply_counted
@@ -363,7 +363,7 @@
         if deadline < inf:
             timeout = deadline - now
             exchange.timer = self.timers.call_at(deadline, lambda: self._handle_timeout(exchange))
-        self.metrics.at("relays", action.server)
+        self.metrics.add_for_server("relays", action.server)
         if self.reservations is not None and exchange.attempt < 0 and exchange.message.reservation:
             self.reservations.used(exchange.message)
         exchange.relay(action.server, now, timeout, self._handle_result, self._start_streaming)
@@ -392,7 +392,7 @@
 
     def _count_streamed(self, exchange: Exchange, status: str) -> None:
         if not exchange.is_client_gone:
-            self.metrics.of("ok" if status == "ok" else "errors", exchange.message.priority_class)
+            self.metrics.add_for_class("ok" if status == "ok" else "errors", exchange.message.priority_class)
         if status != "ok":
             self.metrics.add("cut_off")
 
@@ -402,7 +402,7 @@
         if exchange.timer is not None:
             exchange.timer.cancel()
             exchange.timer = None
-        self.metrics.at("relay_" + result.status, exchange.server)
+        self.metrics.add_for_server("relay_" + result.status, exchange.server)
         last = result.is_permanent or result.status != "ok" and not message.can_resend()
         event = interface.Outcome(
             message.id,
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -291,7 +291,7 @@
         server.send(b"HTTP/1.1 200 OK\r\nX-True-Cost: 1\r\n" + frame(body, form, 1_000_000)[:200_000])
         harness.until(lambda: harness.count("flowed") == 1)
         harness.skip(0.9)  # the measured latency ends with the first bytes
-        assert harness.daemon.gauges()["active"] == 1 and not harness.daemon.ingress.decision_module.servers["s-0"].relays
+        assert harness.daemon.collect_gauges()["active"] == 1 and not harness.daemon.ingress.decision_module.servers["s-0"].relays
         server.send(frame(body, form, 1_000_000)[200_000:])
         if form == "close":
             server.close()
@@ -300,11 +300,11 @@
         else:
             assert b"chunked" in client.until(b"\r\n\r\n") and chunked(client) == body
         assert (
-            harness.daemon.metrics.classes["ok", "a"] == 1
+            harness.daemon.metrics.class_counts["ok", "a"] == 1
             and not harness.daemon.ingress.exchanges
             and not harness.daemon.shares.open_bodies
         )
-        assert harness.daemon.gauges()["active"] == 0 and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
+        assert harness.daemon.collect_gauges()["active"] == 0 and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
         if form != "close":
             harness.ask(2, wire=client)
             assert b"x-request-id" in server.answer()[1]  # both connections are reused
@@ -329,7 +329,7 @@
         assert len(client.seen) < 500_000 and not client.seen.endswith(b"0\r\n\r\n")
         assert (
             harness.count("cut_off") == 1
-            and harness.daemon.metrics.classes["errors", "a"] == 1
+            and harness.daemon.metrics.class_counts["errors", "a"] == 1
             and harness.count("relays") == 1
         )
         assert not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
@@ -385,7 +385,7 @@
             harness.turn()
             client._more()
             seen = len(client.seen)
-        assert client.answer()[2] == body and harness.daemon.metrics.classes["ok", "a"] == 1
+        assert client.answer()[2] == body and harness.daemon.metrics.class_counts["ok", "a"] == 1
 
 
 def test_a_client_that_takes_little_at_a_time_is_not_held_against_its_server() -> None:
@@ -459,9 +459,9 @@
         for n in range(1, 19):  # more than three times the timeout of the client
             harness.skip(0.7)
             client.send(body[n * 100_000 : (n + 1) * 100_000])
-        assert not decision_module.servers["s-0"].relays and harness.daemon.metrics.classes["tries", "a"] == 0
+        assert not decision_module.servers["s-0"].relays and harness.daemon.metrics.class_counts["tries", "a"] == 0
         client.send(body[1_900_000:])
-        harness.until(lambda: harness.daemon.metrics.classes["tries", "a"] == 1 or not server._more())
+        harness.until(lambda: harness.daemon.metrics.class_counts["tries", "a"] == 1 or not server._more())
         harness.until(lambda: len(server.seen) >= len(body) or not server._more())
         assert server.seen == body and decision_module.servers["s-0"].relays
         harness.skip(3.0)
@@ -613,7 +613,7 @@
         else:
             client.reset()
         assert server.ended() and not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
-        assert harness.daemon.metrics.classes["tries", "a"] == 0
+        assert harness.daemon.metrics.class_counts["tries", "a"] == 0
 
 
 def test_a_chunked_body_is_passed_on_chunked_and_whole() -> None:
@@ -646,7 +646,7 @@
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
         client = harness.client().send(head + frame(noise(900_000), "chunked", 300_000))
         assert client.answer()[0] == 413 and client.ended()
-        assert harness.daemon.metrics.classes["tries", "a"] == 0 and not harness.daemon.shares.open_bodies
+        assert harness.daemon.metrics.class_counts["tries", "a"] == 0 and not harness.daemon.shares.open_bodies
 
 
 def test_many_long_bodies_hold_no_more_than_their_limit() -> None:
