--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -244,7 +244,7 @@
 
     def _want(self) -> None:
         if not self.ended:
-            self.loop.want(self.sock, (READ if self.taking else 0) | (WRITE if self.out else 0), self._event)
+            self.loop.set_interest(self.sock, (READ if self.taking else 0) | (WRITE if self.out else 0), self._event)
 
     def _event(self, events: int) -> None:
         if events & WRITE:
@@ -317,7 +317,7 @@
         if not self.ended:
             self.ended = True
             self.timer.cancel()
-            self.loop.want(self.sock, 0, self._event)
+            self.loop.set_interest(self.sock, 0, self._event)
             self.sock.close()
             self.done(self, word)
 
@@ -362,7 +362,7 @@
     def turn(self, seconds: float, each: Callable[[], None] = lambda: None) -> None:
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.loop.turn(0.01)
+            self.loop.run_once(0.01)
             each()
 
     def ask(self, at: tuple[str, int], plan: Plan, done: Callable[[Asker, str], None]) -> Asker:
@@ -386,7 +386,7 @@
         self.turn(seconds, each)
         last = time.monotonic() + 40.0
         while out and time.monotonic() < last:
-            self.loop.turn(0.01)
+            self.loop.run_once(0.01)
         self.words["lost"] += len(out)
 
 
@@ -476,7 +476,7 @@
             plan = Plan(size, 200, n) if n % 2 else Plan(0, size, n)
             trial.ask(("127.0.0.1", ports[which]), plan, done)
         while left[0]:
-            trial.loop.turn(0.01)
+            trial.loop.run_once(0.01)
         time.sleep(0.02)  # the kernel's account of CPU is in ticks
         if turn > 1:
             used[which] += usage(pids[which]) - before
--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -57,7 +57,7 @@
     def each() -> None:
         for _ in range(100):
             loop.call_at(-1.0, lambda: None)
-        loop.turn(0.0)
+        loop.run_once(0.0)
 
     spent = cpu(each, 20) / 100 * 1e6
     loop.close()
--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -57,14 +57,14 @@
     while not until():
         if time.monotonic() - began > patience:
             raise TimeoutError(f"nothing within {patience:g} s")
-        loop.turn(0.005)
+        loop.run_once(0.005)
     return time.monotonic() - began
 
 
 def spend(loop: Loop, seconds: float) -> None:
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        loop.turn(0.02)
+        loop.run_once(0.02)
 
 
 def one(size: int, seed: int) -> dict[str, float]:
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -58,7 +58,7 @@
             seen.extend(data)
             if data:
                 return
-            self.loop.forget(sock)
+            self.loop.unregister(sock)
             sock.close()
             del self.out[sock]
             self.times.append(self.loop.clock() - began)
@@ -133,7 +133,7 @@
             began = time.monotonic()
             daemon.process.send_signal(signal.SIGTERM)
             while daemon.process.poll() is None and time.monotonic() < began + 60.0:
-                trial.loop.turn(0.01)
+                trial.loop.run_once(0.01)
             ended = time.monotonic() - began
             trial.turn(1.0)
         finally:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -179,7 +179,7 @@
     def turn(self, seconds: float) -> None:
         end = time.monotonic() + seconds
         while (left := end - time.monotonic()) > 0:
-            self.loop.turn(min(left, 0.02))
+            self.loop.run_once(min(left, 0.02))
 
     def all_ready(self, count: int, longest: float, what: str) -> float:
         return self.until(lambda s: s["ready"] == count and len(s["places"]) == count, longest, what)
@@ -530,7 +530,7 @@
             end = time.monotonic() + span
             while time.monotonic() < end:
                 for made in fleets:
-                    made.loop.turn(0.01)
+                    made.loop.run_once(0.01)
 
         wait(3.0)
         for made in fleets:
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -115,7 +115,7 @@
         loads = [Load(loop, [d.at], firms, random.Random(5)) for d in daemons]
         end = time.monotonic() + 5.0
         while time.monotonic() < end:
-            loop.turn(0.05)
+            loop.run_once(0.05)
         used, taken, memory = [0.0, 0.0], [0, 0], [d.resident_kb() for d in daemons]
         task = progress.add_task(f"{rate:g} messages a second", total=2 * seconds)
         for turn in range(int(2 * seconds)):
@@ -125,10 +125,10 @@
             load.start()
             end = time.monotonic() + 1.0
             while time.monotonic() < end:
-                loop.turn(0.01)
+                loop.run_once(0.01)
             load.stop()
             while load.out:
-                loop.turn(0.01)
+                loop.run_once(0.01)
             if turn >= 2:  # the first turn of each warms up
                 used[which] += daemon.cpu() - before
                 taken[which] += len(load.tries) - count
@@ -138,7 +138,7 @@
         for daemon in daemons:
             daemon.process.terminate()
         while any(daemon.process.poll() is None for daemon in daemons):
-            loop.turn(0.02)
+            loop.run_once(0.02)
         for load in loads:
             load.close()
         for listener in (discovery.listener, counter.listener, billing.listener, *(s.listener for s in servers)):
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -171,7 +171,7 @@
         while not done():
             if time.monotonic() > end:
                 raise SystemExit(f"waited in vain for {what}; logs in {self.folder}")
-            self.loop.turn(0.02)
+            self.loop.run_once(0.02)
 
     def run(self, progress: Progress) -> dict[str, Any]:
         for one in self.ingresses:
@@ -191,7 +191,7 @@
         self.rough = True
         self._plan_script(begin)
         while (now := self.clock()) < begin + self.seconds:
-            self.loop.turn(0.05)
+            self.loop.run_once(0.05)
             progress.update(task, completed=now - begin)
         self.load.stop()
         end = self.clock()
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -160,7 +160,7 @@
         try:
             end = time.monotonic() + 4.0
             while time.monotonic() < end:
-                loop.turn(0.05)
+                loop.run_once(0.05)
             pids = [daemon.process.pid, relay.pid]
             loads = [Closed(loop, port, 1) for port in ports]
             used, count, good = [0.0, 0.0], [0, 0], [0, 0]
@@ -171,10 +171,10 @@
                 load.start()
                 end = time.monotonic() + 1.0
                 while time.monotonic() < end:
-                    loop.turn(0.01)
+                    loop.run_once(0.01)
                 load.running = False
                 while load.out:
-                    loop.turn(0.01)
+                    loop.run_once(0.01)
                 if turn > 1:
                     used[which] += usage(pids[which]) - before
                     count[which] += load.answers - answers
@@ -209,7 +209,7 @@
         told.setblocking(False)
         load: Closed | None = None
         while True:
-            loop.turn(0.01)
+            loop.run_once(0.01)
             if load is None:
                 try:
                     load = Closed(loop, int(told.recv(16)), 1)
@@ -229,14 +229,14 @@
     assert daemon.north.listener is not None
     until = time.monotonic() + 1.0
     while time.monotonic() < until:
-        daemon.loop.turn(0.05)
+        daemon.loop.run_once(0.05)
     ready.send(str(daemon.north.listener.getsockname()[1]).encode())
     profiler = cProfile.Profile()
 
     def turns() -> None:
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            daemon.loop.turn(0.05)
+            daemon.loop.run_once(0.05)
 
     profiler.runcall(turns)
     os.kill(child, signal.SIGKILL)
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -52,7 +52,7 @@
 
         listener._acceptable = counted  # type: ignore[method-assign]
         assert listener.sock is not None
-        listener.loop.forget(listener.sock)
+        listener.loop.unregister(listener.sock)
         listener.loop.register(listener.sock, 1, counted)
 
 
--- a/benchmarks/scale/child.py
+++ b/benchmarks/scale/child.py
@@ -52,7 +52,7 @@
         except BlockingIOError:
             return
         if not data:
-            self.loop.forget(self)
+            self.loop.unregister(self)
             self.ended()
             return
         self.data += data
@@ -143,7 +143,7 @@
         while number not in self.answers:
             if self.ended or time.monotonic() > until:
                 raise RuntimeError(f"{self.name}: no answer to {name}: {self.errors.read_text()[-1500:]}")
-            self.loop.turn(0.02)
+            self.loop.run_once(0.02)
         return self.answers.pop(number)
 
     def close(self) -> None:
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -343,7 +343,7 @@
     def turn(self, seconds: float) -> None:
         until = time.monotonic() + seconds
         while (left := until - time.monotonic()) > 0:
-            self.loop.turn(min(0.05, left))
+            self.loop.run_once(min(0.05, left))
 
     def until(self, done: Callable[[], bool], patience: float, what: str | Callable[[], str]) -> float:
         """s that it took. Raises Ended where it does not come."""
@@ -351,7 +351,7 @@
         while not done():
             if time.monotonic() - began > patience:
                 raise Ended(f"not in {patience:g} s: {what() if callable(what) else what}")
-            self.loop.turn(0.02)
+            self.loop.run_once(0.02)
         return time.monotonic() - began
 
     def watch_memory(self) -> None:
@@ -460,7 +460,7 @@
         until = time.monotonic() + 8.0
         for process in running:
             while process.poll() is None and time.monotonic() < until:
-                self.loop.turn(0.02)
+                self.loop.run_once(0.02)
             if process.poll() is None:
                 late += 1
                 process.kill()
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -416,7 +416,7 @@
 
     def _turn(self) -> None:
         begin = time.monotonic()
-        self.loop.turn(0.01)
+        self.loop.run_once(0.01)
         if time.monotonic() > begin + STOOD:
             self.still.append((begin, time.monotonic()))
 
--- a/brackenpulley/authz/client.py
+++ b/brackenpulley/authz/client.py
@@ -181,7 +181,7 @@
         try:
             sock = sockets.connect(self.at)
         except OSError as error:
-            self.metrics.add("out_of_descriptors" if sockets.out_of_descriptors(error) else "authoriser_lost")
+            self.metrics.add("out_of_descriptors" if sockets.is_out_of_descriptors(error) else "authoriser_lost")
             self._failed = self.loop.clock()
             return self._connect()
         self.link = Link(self, sock)
--- a/brackenpulley/authz/convert.py
+++ b/brackenpulley/authz/convert.py
@@ -13,7 +13,7 @@
 
 from ..core.exchange import Answer, Verdict
 from ..core.message import MARGIN, Message, MessageError, decode
-from ..net.http import HOP, Payload
+from ..net.http import HOP_BY_HOP_HEADERS, Payload
 from . import http2
 
 CHECK = "/envoy.service.auth.v3.Authorization/Check"
@@ -21,7 +21,7 @@
 HttpRequest = attribute_context_pb2.AttributeContext.HttpRequest
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9a-z-]+\Z")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*\Z")
-FIXED = HOP | {b"x-request-id", b"idempotency-key"}  # these pass through as the client wrote them
+FIXED = HOP_BY_HOP_HEADERS | {b"x-request-id", b"idempotency-key"}  # these pass through as the client wrote them
 GRPC_OF = {
     403: http2.PERMISSION_DENIED,
     401: http2.PERMISSION_DENIED,
@@ -136,4 +136,4 @@
     status = int(denied.status.code)
     if not 400 <= status <= 599:  # a denial that looks like a served answer would be taken for one
         status = 403
-    return Verdict("deny", status, (denied.body.encode()[:65536], _clean(denied.headers, HOP)))
+    return Verdict("deny", status, (denied.body.encode()[:65536], _clean(denied.headers, HOP_BY_HOP_HEADERS)))
--- a/brackenpulley/authz/front.py
+++ b/brackenpulley/authz/front.py
@@ -241,7 +241,7 @@
         try:
             sock = sockets.accept(self.listener)
         except OSError as error:
-            if sockets.out_of_descriptors(error):
+            if sockets.is_out_of_descriptors(error):
                 self.metrics.add("out_of_descriptors")
                 self._pause(0.1)
             return
@@ -253,10 +253,10 @@
     def _pause(self, seconds: float) -> None:
         def again() -> None:
             if self.listener is not None:
-                self.loop.want(self.listener, READ, self._acceptable)
+                self.loop.set_interest(self.listener, READ, self._acceptable)
 
         assert self.listener is not None
-        self.loop.want(self.listener, 0, self._acceptable)
+        self.loop.set_interest(self.listener, 0, self._acceptable)
         self.loop.call_in(seconds, again)
 
     def gone(self, peer: Peer) -> None:
@@ -270,7 +270,7 @@
 
     def _stop_listening(self) -> None:
         if self.listener is not None:
-            self.loop.want(self.listener, 0, self._acceptable)
+            self.loop.set_interest(self.listener, 0, self._acceptable)
             self.listener.close()
             self.listener = None
 
--- a/brackenpulley/authz/http2.py
+++ b/brackenpulley/authz/http2.py
@@ -110,7 +110,7 @@
 
     def _event(self, events: int) -> None:
         if not self._up:
-            if sockets.failed(self.sock):
+            if sockets.connect_error(self.sock):
                 self.close()
                 return
             self._up = True
@@ -122,7 +122,7 @@
             self.flush()
 
     def _read(self) -> None:
-        buffer = self.pool.take()
+        buffer = self.pool.acquire()
         try:
             count = self.sock.recv_into(buffer)
             data = bytes(buffer[:count])
@@ -131,7 +131,7 @@
         except OSError:
             data = b""
         finally:
-            self.pool.give(buffer)
+            self.pool.release(buffer)
         if not data:
             self.close()
             return
@@ -231,7 +231,7 @@
         if len(self._out) > BACKLOG:
             self.close()
             return
-        self.loop.want(self.sock, READ | WRITE if self._out else READ, self._event)
+        self.loop.set_interest(self.sock, READ | WRITE if self._out else READ, self._event)
 
     @property
     def idle(self) -> bool:
@@ -240,7 +240,7 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.loop.forget(self.sock)
+            self.loop.unregister(self.sock)
             self.sock.close()
             self._ended()
 
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -104,8 +104,8 @@
             while not done():
                 if time.monotonic() > end:
                     return False
-                outside.turn(0.002)
-                daemon.loop.turn(0.002)
+                outside.run_once(0.002)
+                daemon.loop.run_once(0.002)
             return True
 
         faults = [] if turn_until(daemon.ready, 10) else ["the daemon was not ready in time"]
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -621,13 +621,13 @@
         }
 
     def ready(request: Request) -> Any:
-        if not daemon.ready() or daemon.north.draining:
-            raise ApiError(503, "ready", "draining" if daemon.north.draining else "no list of servers")
+        if not daemon.ready() or daemon.north.is_draining:
+            raise ApiError(503, "ready", "draining" if daemon.north.is_draining else "no list of servers")
         return {"ready": True}
 
     def drain(request: Request) -> Any:
         """/ready says no from now on; what still comes is served, until SIGTERM."""
-        daemon.north.draining = True
+        daemon.north.is_draining = True
         return {"draining": True, "held": len(daemon.ingress.held)}
 
     routes.add("GET", "/v1/live", lambda request: daemon.health.status() if daemon.health is not None else {})
--- a/brackenpulley/control/server.py
+++ b/brackenpulley/control/server.py
@@ -13,7 +13,7 @@
 from ..net import sockets
 from ..net.loop import READ, WRITE, Loop
 from ..net.pool import Pool
-from ..net.requests import Fault, Reader, encode
+from ..net.requests import RequestError, RequestReader, encode_response
 from .api import Later, Reply, Routes
 
 MOST = 16  # connections at once; the longest unused makes room
@@ -27,7 +27,7 @@
     __slots__ = ("sock", "reader", "out", "keep", "since", "ended", "later")
 
     def __init__(self, sock: socket.socket, now: float) -> None:
-        self.sock, self.reader, self.since = sock, Reader(), now
+        self.sock, self.reader, self.since = sock, RequestReader(), now
         self.out = b""
         self.keep = True
         self.later: Later | None = None  # an answer that is still to come; what was asked after it waits
@@ -96,7 +96,7 @@
             self._readable(caller)
 
     def _readable(self, caller: Caller) -> None:
-        buffer = self.pool.take()
+        buffer = self.pool.acquire()
         status = 0
         try:
             count = caller.sock.recv_into(buffer)
@@ -106,30 +106,30 @@
             return
         except OSError:
             count = 0
-        except Fault as error:
+        except RequestError as error:
             status = error.status
         finally:
-            self.pool.give(buffer)
+            self.pool.release(buffer)
         if not count:
             self.close(caller)
             return
         if caller.ended:
             return
         caller.since = self.loop.clock()
-        if caller.reader.waits_to_continue:
-            caller.reader.waits_to_continue = False
+        if caller.reader.awaits_continue:
+            caller.reader.awaits_continue = False
             caller.out += b"HTTP/1.1 100 Continue\r\n\r\n"
         self._answer_all(caller)
         if status and caller.keep:
             caller.keep = False
             text = b'{"error":{"field":"body","text":"over 64 KiB"}}\n' if status == 413 else b""
-            caller.out += encode(status, text, False, 0.0, JSON if text else None)
+            caller.out += encode_response(status, text, False, 0.0, JSON if text else None)
         self._flush(caller)
 
     def _answer_all(self, caller: Caller) -> None:
         """One after the other, until one has to be waited for."""
-        while caller.reader.whole and caller.keep and caller.later is None:
-            payload, caller.keep = caller.reader.whole.popleft()
+        while caller.reader.complete and caller.keep and caller.later is None:
+            payload, caller.keep = caller.reader.complete.popleft()
             self.metrics.add("control_calls")
             answer = self.routes.answer(
                 payload.method.decode("ascii", "replace"), payload.target.decode("ascii", "replace"), payload.body
@@ -143,7 +143,7 @@
     def _reply(self, caller: Caller, reply: Reply) -> None:
         if reply.status >= 400:
             self.metrics.add("control_faults")
-        caller.out += encode(reply.status, reply.body, caller.keep, reply.after, JSON)
+        caller.out += encode_response(reply.status, reply.body, caller.keep, reply.after, JSON)
 
     def _later(self, caller: Caller, reply: Reply, keep: bool) -> None:
         if caller in self.callers:
@@ -165,20 +165,22 @@
             if not caller.ended:
                 self._end(caller)
         else:
-            self.loop.want(caller.sock, WRITE if caller.out else READ, lambda events: self._event(caller, events))
+            self.loop.set_interest(
+                caller.sock, WRITE if caller.out else READ, lambda events: self._event(caller, events)
+            )
 
     def _end(self, caller: Caller) -> None:
         """Closing now with something unread would send a reset, which could overtake the answer."""
         caller.ended = True
         with contextlib.suppress(OSError):
             caller.sock.shutdown(socket.SHUT_WR)
-        self.loop.want(caller.sock, READ, lambda events: self._event(caller, events))
+        self.loop.set_interest(caller.sock, READ, lambda events: self._event(caller, events))
 
     def close(self, caller: Caller) -> None:
         """The one place where a caller's connection is given back."""
         if caller in self.callers:
             del self.callers[caller]
-            self.loop.want(caller.sock, 0, lambda events: None)
+            self.loop.set_interest(caller.sock, 0, lambda events: None)
             caller.sock.close()
             caller.reader.close()
 
@@ -191,7 +193,7 @@
 
     def stop(self) -> None:
         if self.listener is not None:
-            self.loop.want(self.listener, 0, lambda events: None)
+            self.loop.set_interest(self.listener, 0, lambda events: None)
             self.listener.close()
             self.listener = None
             if self._path:
--- a/brackenpulley/fleet/caller.py
+++ b/brackenpulley/fleet/caller.py
@@ -52,13 +52,13 @@
         assert self._sock is not None
         try:
             if not self._up:
-                if sockets.failed(self._sock):
+                if sockets.connect_error(self._sock):
                     raise OSError("connect")
                 self._up = True
             if self._out:
                 self._out = self._out[self._sock.send(self._out) :]
                 if not self._out:
-                    self.loop.want(self._sock, READ, self._event)
+                    self.loop.set_interest(self._sock, READ, self._event)
                 return
             data = self._sock.recv(65536)
             if data:
@@ -74,7 +74,7 @@
 
     def _end(self) -> None:
         if self._sock is not None:
-            self.loop.want(self._sock, 0, self._event)
+            self.loop.set_interest(self._sock, 0, self._event)
             self._sock.close()
             self._sock = None
         self._timer.cancel()
--- a/brackenpulley/fleet/process.py
+++ b/brackenpulley/fleet/process.py
@@ -102,7 +102,7 @@
 
     def close(self) -> None:
         if self._pipe.fileno() >= 0:
-            self.loop.forget(self._pipe)
+            self.loop.unregister(self._pipe)
             self._pipe.close()
 
 
@@ -138,7 +138,7 @@
     def close(self) -> None:
         """No longer watched; it goes on."""
         if self._watch.fileno() >= 0:
-            self.loop.forget(self._watch)
+            self.loop.unregister(self._watch)
             self._watch.close()
 
 
--- a/brackenpulley/fleet/run.py
+++ b/brackenpulley/fleet/run.py
@@ -47,9 +47,9 @@
         supervisor = Supervisor(path, base, loop, log, stream, ring)
     except OSError as error:
         raise ConfigError(f"fleet.run: {spec.fleet.run}: {error.strerror}") from None
-    loop.on_signal(signal.SIGTERM, supervisor.end)
-    loop.on_signal(signal.SIGINT, supervisor.end)
-    loop.on_signal(signal.SIGHUP, supervisor.reload_by_signal)
+    loop.add_signal_handler(signal.SIGTERM, supervisor.end)
+    loop.add_signal_handler(signal.SIGINT, supervisor.end)
+    loop.add_signal_handler(signal.SIGHUP, supervisor.reload_by_signal)
     try:
         supervisor.start()
         loop.run()
--- a/brackenpulley/fleet/stream.py
+++ b/brackenpulley/fleet/stream.py
@@ -72,7 +72,7 @@
     def _rest(self) -> None:
         if self._waits:
             self._waits = False
-            self.loop.forget(self._out)
+            self.loop.unregister(self._out)
 
     def _later(self) -> None:
         self._timed = True
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -145,7 +145,7 @@
             place.output.read()
             place.output.close()
         if self._notify is not None:
-            self.loop.forget(self._notify)
+            self.loop.unregister(self._notify)
             self._notify.close()
             (self.run / "notify.sock").unlink(missing_ok=True)
         if self.control is not None:
--- a/brackenpulley/ledger/service.py
+++ b/brackenpulley/ledger/service.py
@@ -283,13 +283,13 @@
         assert sock is not None and reply is not None
         try:
             if self._out:
-                if sockets.failed(sock):
+                if sockets.connect_error(sock):
                     raise OSError("connect")
                 self._out = self._out[sock.send(self._out) :]
-                self.loop.want(sock, READ | WRITE if self._out else READ, self._event)
+                self.loop.set_interest(sock, READ | WRITE if self._out else READ, self._event)
                 if self._out or not events & READ:
                     return
-            buffer = self.pool.take()
+            buffer = self.pool.acquire()
             try:
                 count = sock.recv_into(buffer)
                 if count:
@@ -297,7 +297,7 @@
                 else:
                     reply.end()
             finally:
-                self.pool.give(buffer)
+                self.pool.release(buffer)
         except BlockingIOError:
             return
         except (OSError, Malformed):
@@ -359,7 +359,7 @@
             self._timer.cancel()
             self._timer = None
         if self._sock is not None:
-            self.loop.forget(self._sock)
+            self.loop.unregister(self._sock)
             self._sock.close()
             self._sock = None
 
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -53,7 +53,7 @@
     def drain(self, on: bool) -> None:
         self.daemon.drain.away = on
         if on:
-            self.daemon.north.close_unused()
+            self.daemon.north.close_idle()
         self.daemon.log.info("maintenance", drains=on)
 
     def held(self) -> int:
--- a/brackenpulley/members/transport.py
+++ b/brackenpulley/members/transport.py
@@ -44,7 +44,7 @@
     def _event(self, events: int) -> None:
         try:
             if self.sending:
-                if not self.up and sockets.failed(self.sock):
+                if not self.up and sockets.connect_error(self.sock):
                     raise OSError("connect")
                 self.up = True
                 self.out = self.out[self.sock.send(self.out) :]
@@ -76,7 +76,7 @@
         if self in self.service.streams:
             self.service.streams.discard(self)
             self.timer.cancel()
-            self.service.loop.want(self.sock, 0, lambda events: None)
+            self.service.loop.set_interest(self.sock, 0, lambda events: None)
             self.sock.close()
 
 
@@ -271,7 +271,7 @@
             stream.close()
         for sock in (self._datagrams, self._listener):
             if sock is not None:
-                self.loop.want(sock, 0, lambda events: None)
+                self.loop.set_interest(sock, 0, lambda events: None)
                 sock.close()
         self._datagrams = self._listener = self.station = None
         if self._timer is not None:
--- a/brackenpulley/net/__init__.py
+++ b/brackenpulley/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires on real sockets."""
+"""Network layer: the event loop and the ingress's client, server, counter and discovery connections on sockets."""
--- a/brackenpulley/net/answers.py
+++ b/brackenpulley/net/answers.py
@@ -8,7 +8,7 @@
 
 from ..bodies.body import Body
 from ..core.exchange import RelayEnd
-from .http import BODY, HEAD, HOP
+from .http import HOP_BY_HOP_HEADERS, MAX_BUFFERED_BODY_BYTES, MAX_HEADER_BYTES
 
 INTERIM = 16  # 1xx answers in front of one answer at most
 NOT_MEANT = 1 << 30  # a told length over this is a spoilt one, not a long answer
@@ -29,7 +29,9 @@
     A body of up to `held` bytes is held until then. Of a longer 200 the rest goes into `stream`, from the moment that
     it is asked to `flow`; the body of another status is not wanted by anybody, and is not held past there."""
 
-    def __init__(self, most: int = BODY, held: int = BODY, bodiless: bool = False) -> None:
+    def __init__(
+        self, most: int = MAX_BUFFERED_BODY_BYTES, held: int = MAX_BUFFERED_BODY_BYTES, bodiless: bool = False
+    ) -> None:
         self.most, self._held, self._bodiless = most, held, bodiless  # bytes; the message was a HEAD
         self.stream: Body | None = None
         self.headers: list[tuple[bytes, bytes]] = []
@@ -50,7 +52,7 @@
             # anything behind this answer: it would take a second copy for more of the first.
             data, self._head = self._head + data, b""
             end = data.find(b"\r\n\r\n") + 4
-            if (end if end > 3 else len(data)) > HEAD:
+            if (end if end > 3 else len(data)) > MAX_HEADER_BYTES:
                 raise Malformed
             if end < 4:
                 self._head = data
@@ -196,7 +198,7 @@
             end.load = report(value, fields)
         elif name == b"x-not-processed":
             not_run = value == b"1"
-        elif name not in HOP:
+        elif name not in HOP_BY_HOP_HEADERS:
             passed.append((name, value))
     if reply.status == 200:
         end.status, end.payload = "ok", (reply.stream or reply.body, passed)
--- a/brackenpulley/net/console.py
+++ b/brackenpulley/net/console.py
@@ -1,7 +1,9 @@
-"""The operators' console: HTTP/1.1, one call a connection, answered in the turn its head is whole.
+"""The operators' console: an HTTP/1.1 server that handles one request a connection.
 
-It owns its listener and its callers. A caller that is slow is closed at its deadline, never waited for, and nothing
-here waits on the data path: each call reads what the daemon holds and answers at once."""
+It owns its listener and its connections. A request is answered in the loop iteration in which its head is complete. A
+slow connection is closed at its deadline, and no handler waits for the data path: each reads the daemon's state and
+responds at once.
+"""
 
 from __future__ import annotations
 
@@ -12,138 +14,149 @@
 from ..address import Address
 from . import sockets
 from .loop import READ, WRITE, Loop
-from .requests import encode
+from .requests import encode_response
 
-HEAD = 4096  # bytes of a call's head at most
-DEADLINE = 1.0  # s from connecting until the caller is closed, whole or not
-CALLERS = 32  # at once; the oldest makes room for a new one
-TEXT = b"text/plain; charset=utf-8"
+MAX_HEAD_BYTES = 4096
+CONNECTION_DEADLINE_SECONDS = 1.0  # from accepting a connection until it is closed, whether or not it was answered
+MAX_CONNECTIONS = 32  # at a time; the oldest is closed to make room for a new one
+TEXT_PLAIN = b"text/plain; charset=utf-8"
 
-Call = Callable[[], tuple[int, bytes, bytes]]  # status, body, its content type
+Handler = Callable[[], tuple[int, bytes, bytes]]  # returns status, body and content type
 
 
-class Caller:
-    __slots__ = ("sock", "head", "out", "timer", "answered")
+class Connection:
+    """State of one accepted connection."""
+
+    __slots__ = ("sock", "head", "output", "timer", "is_answered")
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.head, self.out = sock, b"", b""
+        self.sock, self.head, self.output = sock, b"", b""
         self.timer: Any = None
-        self.answered = False
+        self.is_answered = False
 
 
-def reply(status: int, body: bytes, kind: bytes = TEXT, more: list[tuple[bytes, bytes]] | None = None) -> bytes:
-    return encode(status, body, False, headers=[(b"Content-Type", kind), *(more or [])])
+def build_response(
+    status: int, body: bytes, content_type: bytes = TEXT_PLAIN, extra_headers: list[tuple[bytes, bytes]] | None = None
+) -> bytes:
+    """Encode a response after which the connection is closed."""
+    return encode_response(status, body, False, headers=[(b"Content-Type", content_type), *(extra_headers or [])])
 
 
 class Console:
-    def __init__(self, loop: Loop, routes: dict[bytes, dict[bytes, Call]], log: Any) -> None:
+    """Serves `routes`, a map from path and method to handler."""
+
+    def __init__(self, loop: Loop, routes: dict[bytes, dict[bytes, Handler]], log: Any) -> None:
         self.loop, self.routes, self.log = loop, routes, log
-        self.callers: dict[Caller, None] = {}  # oldest first
+        self.connections: dict[Connection, None] = {}  # oldest first
         self.listener: socket.socket | None = None
 
-    def listen(self, at: Address) -> Address:
-        self.listener = sockets.listen(at, 64)
-        self.loop.register(self.listener, READ, self._acceptable, urgent=True)
+    def listen(self, address: Address) -> Address:
+        """Start to listen and return the bound address. Raises OSError."""
+        self.listener = sockets.listen(address, 64)
+        self.loop.register(self.listener, READ, self._on_acceptable, urgent=True)
         bound = self.listener.getsockname()
         return bound[0], bound[1]
 
-    def _acceptable(self, events: int) -> None:
-        for _ in range(CALLERS):
+    def _on_acceptable(self, events: int) -> None:
+        for _ in range(MAX_CONNECTIONS):
             if self.listener is None:
                 return
             try:
                 sock = sockets.accept(self.listener)
             except BlockingIOError:
                 return
-            except OSError:  # out of descriptors or the caller left: the next one may fare better
-                if self.callers:
-                    self.close(next(iter(self.callers)))
+            except OSError:  # out of descriptors, or the client has gone: the next accept may succeed
+                if self.connections:
+                    self.close(next(iter(self.connections)))
                 continue
-            if len(self.callers) >= CALLERS:
-                self.close(next(iter(self.callers)))
-            caller = Caller(sock)
-            self.callers[caller] = None
-            caller.timer = self.loop.call_in(DEADLINE, lambda c=caller: self.close(c))  # type: ignore[misc]
+            if len(self.connections) >= MAX_CONNECTIONS:
+                self.close(next(iter(self.connections)))
+            connection = Connection(sock)
+            self.connections[connection] = None
+            connection.timer = self.loop.call_in(CONNECTION_DEADLINE_SECONDS, lambda c=connection: self.close(c))  # type: ignore[misc]
             self.loop.register(
                 sock,
                 READ,
-                lambda events, c=caller: self._event(c, events),  # type: ignore[misc]
+                lambda events, c=connection: self._on_event(c, events),  # type: ignore[misc]
                 urgent=True,
             )
 
-    def _event(self, caller: Caller, events: int) -> None:
+    def _on_event(self, connection: Connection, events: int) -> None:
         if events & READ:
-            self._readable(caller)
-        if events & WRITE and caller in self.callers:
-            self._flush(caller)
+            self._on_readable(connection)
+        if events & WRITE and connection in self.connections:
+            self._flush(connection)
 
-    def _readable(self, caller: Caller) -> None:
+    def _on_readable(self, connection: Connection) -> None:
         try:
-            data = caller.sock.recv(HEAD)
+            data = connection.sock.recv(MAX_HEAD_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            self.close(caller)
+            self.close(connection)
             return
-        if caller.answered:  # what stands behind the call is read and dropped, so the answer is not reset
+        if connection.is_answered:  # further input is discarded: closing with unread data would reset the connection
             return
-        caller.head += data
-        end = caller.head.find(b"\r\n\r\n")
-        if end < 0 and len(caller.head) < HEAD:
+        connection.head += data
+        end = connection.head.find(b"\r\n\r\n")
+        if end < 0 and len(connection.head) < MAX_HEAD_BYTES:
             return
-        caller.answered = True
-        caller.out = self._answer(caller.head[:end] if 0 <= end < HEAD else b"")
-        self._flush(caller)
+        connection.is_answered = True
+        connection.output = self._respond(connection.head[:end] if 0 <= end < MAX_HEAD_BYTES else b"")
+        self._flush(connection)
 
-    def _answer(self, head: bytes) -> bytes:
+    def _respond(self, head: bytes) -> bytes:
         words = head.split(b"\r\n", 1)[0].split(b" ")
         if len(words) != 3 or not words[2].startswith(b"HTTP/1."):
-            return reply(400, b"head: not a request line of HTTP/1.1 within 4096 bytes\n")
+            return build_response(400, b"head: not a request line of HTTP/1.1 within 4096 bytes\n")
         method, target = words[0], words[1].split(b"?", 1)[0]
-        calls = self.routes.get(target)
-        if calls is None:
-            return reply(404, b"path: no call " + target[:80] + b"\n")
-        call = calls.get(method)
-        if call is None:
-            allowed = b", ".join(calls)
-            return reply(405, b"method: " + target[:80] + b" takes " + allowed + b"\n", more=[(b"Allow", allowed)])
-        status, body, kind = call()
-        return reply(status, body, kind)
-
-    def _flush(self, caller: Caller) -> None:
+        handlers = self.routes.get(target)
+        if handlers is None:
+            return build_response(404, b"path: no call " + target[:80] + b"\n")
+        handler = handlers.get(method)
+        if handler is None:
+            allowed = b", ".join(handlers)
+            return build_response(
+                405, b"method: " + target[:80] + b" takes " + allowed + b"\n", extra_headers=[(b"Allow", allowed)]
+            )
+        status, body, content_type = handler()
+        return build_response(status, body, content_type)
+
+    def _flush(self, connection: Connection) -> None:
         try:
-            sent = caller.sock.send(caller.out)
+            sent = connection.sock.send(connection.output)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.close(caller)
+            self.close(connection)
             return
-        caller.out = caller.out[sent:]
-        if caller.out:
-            self.loop.want(caller.sock, READ | WRITE, lambda events: self._event(caller, events))
+        connection.output = connection.output[sent:]
+        if connection.output:
+            self.loop.set_interest(connection.sock, READ | WRITE, lambda events: self._on_event(connection, events))
             return
         try:
-            caller.sock.shutdown(socket.SHUT_WR)  # the caller reads to the end; its own end closes it here
+            connection.sock.shutdown(socket.SHUT_WR)  # the client reads to the end; its own end closes the connection
         except OSError:
-            self.close(caller)
+            self.close(connection)
             return
-        self.loop.want(caller.sock, READ, lambda events: self._event(caller, events))
+        self.loop.set_interest(connection.sock, READ, lambda events: self._on_event(connection, events))
 
-    def close(self, caller: Caller) -> None:
-        """The one place where a caller's connection is given back."""
-        if caller not in self.callers:
+    def close(self, connection: Connection) -> None:
+        """Close a connection and release all it holds; no other code closes one."""
+        if connection not in self.connections:
             return
-        del self.callers[caller]
-        caller.timer.cancel()
-        self.loop.forget(caller.sock)
-        caller.sock.close()
+        del self.connections[connection]
+        connection.timer.cancel()
+        self.loop.unregister(connection.sock)
+        connection.sock.close()
 
     def stop(self) -> None:
+        """Close the listener and all connections."""
         if self.listener is not None:
-            self.loop.forget(self.listener)
+            self.loop.unregister(self.listener)
             self.listener.close()
             self.listener = None
-        for caller in list(self.callers):
-            self.close(caller)
+        for connection in list(self.connections):
+            self.close(connection)
--- a/brackenpulley/net/counter.py
+++ b/brackenpulley/net/counter.py
@@ -122,7 +122,7 @@
 
     def _event(self, events: int) -> None:
         if not self.up:
-            if sockets.failed(self.sock):
+            if sockets.connect_error(self.sock):
                 self.broken()
                 return
             self.up = True
@@ -147,10 +147,10 @@
                 break
             self.part, self.used = 0, self.client.loop.clock()
             self.out.append(self.waiting.popleft())
-        self.client.loop.want(self.sock, READ | WRITE if self.waiting else READ, self._event)
+        self.client.loop.set_interest(self.sock, READ | WRITE if self.waiting else READ, self._event)
 
     def _read(self) -> None:
-        buffer = self.client.pool.take()
+        buffer = self.client.pool.acquire()
         try:
             count = self.sock.recv_into(buffer)
             data = bytes(memoryview(buffer)[:count])
@@ -159,7 +159,7 @@
         except OSError:
             data = b""
         finally:
-            self.client.pool.give(buffer)
+            self.client.pool.release(buffer)
         self.used = self.client.loop.clock()
         # Good answers in front of a spoilt one still count; what is spoilt may have been added, like all behind it.
         good = bool(data) and self.replies.feed(data)
@@ -210,7 +210,7 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.client.loop.forget(self.sock)
+            self.client.loop.unregister(self.sock)
             self.sock.close()
             self.client.lost(self)
 
@@ -238,7 +238,7 @@
         call = Call(name, number, encode(name, amount, ttl), now)
         line = self._line
         if line is not None and line.up and line.idle:
-            if now - line.used > UNUSED or sockets.waiting(line.sock) is not None:
+            if now - line.used > UNUSED or sockets.peek(line.sock) is not None:
                 line.close()
                 line = None
         if line is None:
--- a/brackenpulley/net/http.py
+++ b/brackenpulley/net/http.py
@@ -1,4 +1,4 @@
-"""What both sides know of HTTP: the payload that passes through, its limits, and the headers of a single hop."""
+"""HTTP definitions that both sides share: size limits, hop-by-hop headers and the forwarded payload."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 
 from ..bodies.body import Body
 
-BODY, HEAD = 65536, 16384  # most bytes of a body that is taken whole, and of all headers
-LONGEST = 32 << 20  # bytes of a longer one, unless the operator's file says otherwise
-HOP = frozenset(
+MAX_BUFFERED_BODY_BYTES = 65536  # a longer body is streamed
+MAX_HEADER_BYTES = 16384  # all headers together
+DEFAULT_MAX_BODY_BYTES = 32 << 20  # limit of a streamed body unless the operator's file sets another
+# Headers that are not forwarded; x-timeout is among them because every relay gets a value of its own.
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -24,30 +26,34 @@
         b"x-timeout",
     )
 )
-KEPT = frozenset((b"x-request-id", b"idempotency-key"))  # these pass through whatever else is said
+# Forwarded even if the client's Connection header names them.
+END_TO_END_HEADERS = frozenset((b"x-request-id", b"idempotency-key"))
 
 
-def pass_on(body: Body, out: deque[bytes | memoryview], chunked: bool) -> bool:
-    """The next slice of a body and, where it was the last one, its end, framed; False where there is nothing yet."""
+def append_body_slice(body: Body, buffers: deque[bytes | memoryview], chunked: bool) -> bool:
+    """Append the next available slice of a body, framed, to `buffers`, and the end marker after the last slice.
+
+    Returns False if `buffers` is empty afterwards, that is, if there is nothing to send yet.
+    """
     slices = body.take()
     if slices and chunked:
-        out.append(b"%x\r\n" % sum(map(len, slices)))
-    out.extend(slices)
+        buffers.append(b"%x\r\n" % sum(map(len, slices)))
+    buffers.extend(slices)
     if slices and chunked:
-        out.append(b"\r\n")
+        buffers.append(b"\r\n")
     if body.whole and chunked:
-        out.append(b"0\r\n\r\n")
-    return bool(out)
+        buffers.append(b"0\r\n\r\n")
+    return bool(buffers)
 
 
 @dataclass(slots=True)
 class Payload:
-    """What passes through to a sim server unchanged."""
+    """The part of a client's request that is forwarded to a sim server unchanged."""
 
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    stream: Body | None = None  # in place of the body where that is long: it may still be coming
-    old: bool = False  # asked in HTTP/1.0: its answer cannot be chunked
-    expects: bool = False  # its body comes once it is asked for by 100 Continue
+    stream: Body | None = None  # replaces `body` if it is streamed; it may still be incomplete
+    is_http10: bool = False  # an HTTP/1.0 client: its response cannot be chunked
+    expects_continue: bool = False  # the client sends the body only after 100 Continue
--- a/brackenpulley/net/inventory.py
+++ b/brackenpulley/net/inventory.py
@@ -200,15 +200,15 @@
         assert self._sock is not None
         try:
             if not self._up:
-                if error := sockets.failed(self._sock):
+                if error := sockets.connect_error(self._sock):
                     raise OSError(error, "connect")
                 self._up = True
                 self._watch.connected()
                 target = f"/v1/endpoints?watch=1&from={self.inventory.version}" if self._listed else "/v1/endpoints"
                 self._sock.send(f"GET {target} HTTP/1.1\r\nHost: {self.at[0]}:{self.at[1]}\r\n\r\n".encode())
-                self.loop.want(self._sock, READ, self._event)
+                self.loop.set_interest(self._sock, READ, self._event)
                 return
-            buffer = self.pool.take()
+            buffer = self.pool.acquire()
             try:
                 count = self._sock.recv_into(buffer)
                 if not count:
@@ -217,7 +217,7 @@
                 self._watch.heard(self.heard_at)
                 self._parser.feed_data(memoryview(buffer)[:count])
             finally:
-                self.pool.give(buffer)
+                self.pool.release(buffer)
             self._watch_silence()
         except BlockingIOError:
             return
@@ -288,7 +288,7 @@
 
     def _close(self) -> None:
         if self._sock is not None:
-            self.loop.forget(self._sock)
+            self.loop.unregister(self._sock)
             self._sock.close()
             self._sock = None
         if self._silence is not None:
--- a/brackenpulley/net/north.py
+++ b/brackenpulley/net/north.py
@@ -1,4 +1,7 @@
-"""The north side: clients' connections. It reads messages, and writes the one answer that the exchange lets through."""
+"""The north side: client connections of an ingress.
+
+`North` accepts connections, reads requests, hands them as messages to the core and writes the final answer of each.
+"""
 
 from __future__ import annotations
 
@@ -17,93 +20,102 @@
 from ..metrics import Metrics
 from ..policy.drain import Drain
 from . import sockets
-from .http import LONGEST, pass_on
+from .http import DEFAULT_MAX_BODY_BYTES, append_body_slice
 from .loop import READ, WRITE, Loop, Timer
-from .pool import SIZE, Pool
-from .requests import Fault, Reader, begin, encode, message
-
-ACCEPTS_A_TURN = 64
-UNTAKEN = 10.0  # s for an answer to be taken
-UNTAKEN_AT_END = 3.0  # the same after SIGTERM, so that no client keeps the program from ending in time
-LINGER = 2.0  # s for which what still comes is read and lost, so that an answer before its end reaches the client
-SHED = 30.0  # the same where it can be parsed and still flows: its connection is good for the next message
-LINGER_AT_END = 0.3  # s of it after SIGTERM: the process is not held up by a client that does not end its side
-LINGER_MOST, LINGER_BAD = 64 << 20, 1 << 20  # bytes of that; behind what is no head, or a crowd
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-PIPELINED = 8  # messages that may wait behind the one in hand; more at once are a crowd, and get errors
-WAITING = 1 << 16  # bytes of their bodies; with more there, no more is read
-LOOK = 0.05  # s between looks at whether a client that is not read is still there
-LINGERING = 8  # one part of the connections may be such that only wait for their client's end
-SILENT = 2.0  # s from connecting, for a client that says nothing at all
-IDLE = 120.0  # s after which a connection without a message is closed
-SWEEP = 0.25
-NEW = 0.05  # s in which a message is on its way for sure; after that a stranger is the first to make room
-PAUSE = 0.01  # s without accepting where nothing can make room
-
-
-class Client:
-    """One connection of the north side; owned by North, closed in North.close alone.
-
-    | it is      | `busy` | what else                                           | reads                      |
-    | ---------- | ------ | --------------------------------------------------- | -------------------------- |
-    | unused     | no     | nothing partial                                     | yes                        |
-    | being told | no     | the reader holds a part of a message                | yes                        |
-    | in hand    | yes    | `exchange`                                          | while what waits fits      |
-    | taking     | yes    | the same, and `upload`: its long body               | while the body has room    |
-    | answered   | yes    | `out`, or `flow`: its long answer                   | as in hand                 |
-    | shedding   | yes    | `shed_by`: answered before the end of what it sends | yes, and all of it is lost |
-    | ending     | yes    | no `keep`: ended once its answer is out             | as in hand                 |
-    | ended      | yes    | `shed_by` and `raw`: our side is shut down          | yes, and all of it is lost |
-
-    What is not parsed any more (`raw`) is read all the same, so that a close is noticed in every state; where it is not
-    read, since there is no room, `North._look` asks the socket. Every connection that we end goes through `ended`: a
-    close over bytes that are not read is a reset, which takes the last answer with it.
+from .pool import BUFFER_BYTES, Pool
+from .requests import RequestError, RequestReader, decode_message, encode_head, encode_response
+
+MAX_ACCEPTS_PER_ITERATION = 64
+WRITE_TIMEOUT_SECONDS = 10.0  # without progress in writing a response
+DRAIN_WRITE_TIMEOUT_SECONDS = 3.0  # the same after SIGTERM, so that no client delays the exit of the process
+# After a half close, input is read and discarded for this long: closing with unread input would reset the connection,
+# and the client could lose the last response.
+LINGER_SECONDS = 2.0
+# The same for the rest of a request that was answered early. The connection is kept for the next message.
+DISCARD_SECONDS = 30.0
+DRAIN_LINGER_SECONDS = 0.3  # replaces LINGER_SECONDS after SIGTERM: no client delays the exit by not closing its side
+# Limits of the discarded input of one connection; the second one applies if no valid head was parsed before it.
+MAX_DISCARDED_BYTES, MAX_DISCARDED_UNPARSED_BYTES = 64 << 20, 1 << 20
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_PIPELINED_MESSAGES = 8  # queued behind the one in progress; beyond that all queued ones are rejected
+MAX_QUEUED_BODY_BYTES = 1 << 16  # of pipelined messages; reading pauses above it
+PEER_CHECK_INTERVAL_SECONDS = 0.05  # how often connections whose reading is paused are checked for a closed peer
+LINGERING_DIVISOR = 8  # one in eight connections is reserved for half-closed ones
+FIRST_MESSAGE_TIMEOUT_SECONDS = 2.0  # from accepting a connection, if the client sends nothing
+IDLE_TIMEOUT_SECONDS = 120.0  # without a message on a connection that has had one
+SWEEP_INTERVAL_SECONDS = 0.25
+# A new connection is not evicted for this long, because its first message is likely to be on its way. After that,
+# connections without a complete message are evicted before all others.
+NEW_CONNECTION_GRACE_SECONDS = 0.05
+ACCEPT_PAUSE_SECONDS = 0.01  # if no connection can be evicted
+
+
+class ClientConnection:
+    """State of one client connection. `North` owns it, and `North.close` alone closes it.
+
+    | state       | `is_busy` | further attributes                                       | reads input                |
+    | ----------- | --------- | -------------------------------------------------------- | -------------------------- |
+    | idle        | no        | no partial request                                       | yes                        |
+    | receiving   | no        | `reader` holds a partial request                         | yes                        |
+    | in progress | yes       | `exchange`                                               | while the queue has room   |
+    | uploading   | yes       | also `request_body`, which is streamed                   | while the body has room    |
+    | responding  | yes       | `outgoing`, or `response_body` if streamed               | as in progress             |
+    | discarding  | yes       | `discard_until`: answered before the end of its request  | yes, and discards it       |
+    | closing     | yes       | `keep_alive` is false: half-closed after the response    | as in progress             |
+    | half-closed | yes       | `discard_until`, `is_unparsed`: sending side is shut     | yes, and discards it       |
+
+    Input that is no longer parsed (`is_unparsed`) is still read, so that the end of the connection is noticed in every
+    state. While reading is paused for lack of room, `North._check_peers` queries the socket instead. Every connection
+    that the ingress ends is half-closed first: a close with unread input is a reset, which can destroy the last
+    response.
     """
 
     __slots__ = (
         "sock",
         "reader",
         "exchange",
-        "busy",
-        "keep",
-        "out",
-        "since",
-        "reading",
-        "closing",
-        "serial",
-        "crowded",
+        "is_busy",
+        "keep_alive",
+        "outgoing",
+        "last_progress",
+        "is_reading",
+        "close_after_response",
+        "message_number",
+        "has_pipeline_overflow",
         "pace",
-        "upload",
-        "flow",
-        "chunked",
-        "old",
-        "shed_by",
-        "shed",
-        "raw",
+        "request_body",
+        "response_body",
+        "is_chunked",
+        "is_http10",
+        "discard_until",
+        "discarded_bytes",
+        "is_unparsed",
     )
 
-    def __init__(self, sock: socket.socket, now: float, reader: Reader) -> None:
+    def __init__(self, sock: socket.socket, now: float, reader: RequestReader) -> None:
         self.sock, self.reader = sock, reader
         self.exchange: Exchange | None = None
-        self.busy = False  # a message of it is in hand, its answer not yet written
-        self.keep = True
-        self.out: deque[bytes | memoryview] = deque()  # of the answer, what the socket has not taken yet
-        self.since = now  # it was unused from then on, or its answer moved
+        self.is_busy = False  # a message is in progress or its response is not fully written
+        self.keep_alive = True
+        self.outgoing: deque[bytes | memoryview] = deque()  # response data that the socket has not accepted yet
+        self.last_progress = now  # when it became idle, or last wrote response data
         self.pace = Pace(now)
-        self.reading = True
-        self.closing = False
-        self.serial = 0
-        self.crowded = False  # too many messages came at once
-        self.upload: Body | None = None  # of the message in hand
-        self.flow: Body | None = None  # of its answer
-        self.chunked = False  # how that is framed
-        self.old = False  # the message in hand came in HTTP/1.0
-        self.shed_by = 0.0  # until when what still comes is read and lost; 0 = it is not
-        self.shed = 0  # bytes of that
-        self.raw = False  # what comes is not parsed any more
+        self.is_reading = True
+        self.close_after_response = False
+        self.message_number = 0  # of the latest message, counted from 1
+        self.has_pipeline_overflow = False  # more than MAX_PIPELINED_MESSAGES were queued
+        self.request_body: Body | None = None  # streamed body of the message in progress
+        self.response_body: Body | None = None  # streamed body of its response
+        self.is_chunked = False  # framing of `response_body`
+        self.is_http10 = False  # of the message in progress
+        self.discard_until = 0.0  # input is read and discarded until then; 0 if it is not
+        self.discarded_bytes = 0
+        self.is_unparsed = False  # input is no longer parsed
 
 
 class North:
+    """Accepts and serves client connections."""
+
     def __init__(
         self,
         loop: Loop,
@@ -112,54 +124,58 @@
         south: South,
         metrics: Metrics,
         log: Any,
-        most: int,
-        ready: Callable[[], bool],
+        max_connections: int,
+        is_ready: Callable[[], bool],
         drain: Drain,
         shares: Shares,
-        longest: int = LONGEST,
+        max_body_bytes: int = DEFAULT_MAX_BODY_BYTES,
     ) -> None:
         self.loop, self.pool, self.ingress, self.south = loop, pool, ingress, south
-        self.metrics, self.log, self.ready = metrics, log, ready
-        self.lingering = max(2, most // LINGERING)
-        self.most = most - self.lingering
-        self.ended: dict[Client, None] = {}  # these wait for their client's end alone; the oldest first
-        self.unread: dict[Client, None] = {}  # nothing is read of these, for want of room
-        self.clients: dict[Client, None] = {}  # the longest unused first
-        self.strangers: dict[Client, None] = {}  # of these, those that have not sent a whole message yet; oldest first
+        self.metrics, self.log, self.is_ready = metrics, log, is_ready
+        self.max_lingering = max(2, max_connections // LINGERING_DIVISOR)
+        self.max_active = max_connections - self.max_lingering
+        self.half_closed: dict[ClientConnection, None] = {}  # waiting for the client to close; oldest first
+        self.read_paused: dict[ClientConnection, None] = {}  # input not read for lack of room
+        self.clients: dict[ClientConnection, None] = {}  # least recently used first
+        # Those of `clients` that have not sent a complete message yet; oldest first.
+        self.unproven: dict[ClientConnection, None] = {}
         self.listener: socket.socket | None = None
-        self.accepting = False
-        self.drain, self.shares, self.longest = drain, shares, longest
-        self.shedding: dict[Client, None] = {}  # these make room before all others; oldest first
-        self.flowing = 0  # clients with a long answer on its way
-        self._paused: Timer | None = None
-        self._looks: Timer | None = None
+        self.is_accepting = False
+        self.drain, self.shares, self.max_body_bytes = drain, shares, max_body_bytes
+        self.discarding: dict[ClientConnection, None] = {}  # evicted before all others; oldest first
+        self.streaming_responses = 0  # number of streamed responses in progress
+        self._resume_timer: Timer | None = None
+        self._peer_check_timer: Timer | None = None
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
+        """Whether new work should go to other ingresses: /ready answers 503, and connections close when idle."""
         return self.drain.draining
 
-    def listen(self, at: Address) -> Address:
-        self.listener = sock = sockets.listen(at, 1024, shared=True)
-        self._accept_on()
-        self.loop.call_in(SWEEP, self._sweep)
+    def listen(self, address: Address) -> Address:
+        """Start to accept connections and return the bound address. Raises OSError."""
+        self.listener = sock = sockets.listen(address, 1024, shared=True)
+        self._start_accepting()
+        self.loop.call_in(SWEEP_INTERVAL_SECONDS, self._sweep)
         bound = sock.getsockname()
         return bound[0], bound[1]
 
-    def _accept_on(self) -> None:
-        if self.listener and not self.accepting:
-            self.accepting = True
-            self.loop.register(self.listener, READ, self._acceptable)
+    def _start_accepting(self) -> None:
+        if self.listener and not self.is_accepting:
+            self.is_accepting = True
+            self.loop.register(self.listener, READ, self._on_acceptable)
 
-    def _accept_off(self) -> None:
-        if self.listener and self.accepting:
-            self.accepting = False
-            self.loop.forget(self.listener)
+    def _stop_accepting(self) -> None:
+        if self.listener and self.is_accepting:
+            self.is_accepting = False
+            self.loop.unregister(self.listener)
 
-    def _acceptable(self, events: int) -> None:
-        self.accept(ACCEPTS_A_TURN)
+    def _on_acceptable(self, events: int) -> None:
+        self.accept_connections(MAX_ACCEPTS_PER_ITERATION)
 
-    def accept(self, count: int, at_end: bool = False) -> None:
-        for _ in range(count):
+    def accept_connections(self, limit: int, is_final: bool = False) -> None:
+        """Accept up to `limit` connections; with `is_final` even if that exceeds the connection limit."""
+        for _ in range(limit):
             if self.listener is None:
                 return
             try:
@@ -167,418 +183,458 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if sockets.out_of_descriptors(error):
+                if sockets.is_out_of_descriptors(error):
                     self.metrics.add("out_of_descriptors")
-                    if not self._make_room():
-                        self._pause()
+                    if not self._free_descriptor():
+                        self._pause_accepting()
                         return
                 continue
-            client = Client(sock, self.loop.clock(), Reader(self.shares, self.longest))
-            self.clients[client] = self.strangers[client] = None
+            client = ClientConnection(sock, self.loop.clock(), RequestReader(self.shares, self.max_body_bytes))
+            self.clients[client] = self.unproven[client] = None
             self.metrics.add("accepted")
-            self._trim()
-            self.loop.register(sock, READ, lambda events, c=client: self._event(c, events))  # type: ignore[misc]
-            self._readable(client)
-            # What waits in the backlog counts as taken: unused connections make room before anything waits there.
-            if self._full() and not self._evict() and not at_end:
-                self._pause()
+            self._trim_half_closed()
+            self.loop.register(sock, READ, lambda events, c=client: self._on_event(c, events))  # type: ignore[misc]
+            self._on_readable(client)
+            # Evict as soon as the limit is reached, so that new connections do not have to wait in the backlog.
+            if self._is_full() and not self._evict() and not is_final:
+                self._pause_accepting()
                 return
 
-    def _full(self) -> bool:
-        return len(self.clients) - len(self.ended) > self.most
+    def _is_full(self) -> bool:
+        return len(self.clients) - len(self.half_closed) > self.max_active
 
-    def _pause(self) -> None:
-        self._accept_off()
-        if self._paused is None:
-            self._paused = self.loop.call_in(PAUSE, self._resume)
+    def _pause_accepting(self) -> None:
+        self._stop_accepting()
+        if self._resume_timer is None:
+            self._resume_timer = self.loop.call_in(ACCEPT_PAUSE_SECONDS, self._resume_accepting)
 
-    def _resume(self) -> None:
-        self._paused = None
-        if not self._full() or self._evict():
-            self._accept_on()
+    def _resume_accepting(self) -> None:
+        self._resume_timer = None
+        if not self._is_full() or self._evict():
+            self._start_accepting()
         else:
-            self._pause()
+            self._pause_accepting()
 
     def _evict(self) -> bool:
-        """End the oldest stranger that sends no whole message, or the longest unused that has nothing to say.
-
-        What it holds is free once another has to make room for it among those that ended."""
-        old = self.loop.clock() - NEW
-        for client in self.shedding:  # these have had their answer
+        """Evict one connection and return whether one was found.
+
+        Candidates are, in this order: connections that are discarding input, the oldest one without a complete message,
+        and the least recently used idle one. The latter two are half-closed, so their descriptors are released when
+        the client closes its side, or when `_trim_half_closed` needs the room.
+        """
+        grace_start = self.loop.clock() - NEW_CONNECTION_GRACE_SECONDS
+        for client in self.discarding:  # already answered
             self.close(client)
             return True
-        for client in self.strangers:  # a crowd of them must not shut out those who come to ask
-            if client.since > old:
+        for client in self.unproven:  # connections that send nothing must not shut out clients with messages
+            if client.last_progress > grace_start:
                 break
-            if not client.busy and not client.out and (client.reader.partial or not self._spoke(client)):
+            if (
+                not client.is_busy
+                and not client.outgoing
+                and (client.reader.is_partial or not self._has_unread_input(client))
+            ):
                 self.metrics.add("strangers_closed")
-                self._end(client)
+                self._half_close(client)
                 return True
         for client in self.clients:
             if (
-                client.serial
-                and not client.busy
-                and not client.reader.partial
-                and not client.out
-                and (not self._spoke(client))
+                client.message_number
+                and not client.is_busy
+                and not client.reader.is_partial
+                and not client.outgoing
+                and (not self._has_unread_input(client))
             ):
-                self._end(client)
+                self._half_close(client)
                 return True
         return False
 
-    def _make_room(self) -> bool:
-        """A descriptor at once: those that have ended go before all others."""
-        for client in self.ended:
+    def _free_descriptor(self) -> bool:
+        """Release a descriptor, half-closed connections first; return whether one was found.
+
+        Closing a half-closed connection releases its descriptor at once.
+        """
+        for client in self.half_closed:
             self.close(client)
             return True
         return self._evict()
 
-    def _spoke(self, client: Client) -> bool:
-        """Something has come that is not read yet: closing now would lose a message."""
-        return bool(sockets.waiting(client.sock))
+    def _has_unread_input(self, client: ClientConnection) -> bool:
+        """Return whether data has arrived that was not read yet: closing now would lose a message."""
+        return bool(sockets.peek(client.sock))
 
-    def _event(self, client: Client, events: int) -> None:
+    def _on_event(self, client: ClientConnection, events: int) -> None:
         if events & WRITE:
             self._flush(client)
-        if events & READ and client.reading and client in self.clients:
-            self._readable(client)
-
-    def _room(self, client: Client, coming: Body) -> int:
-        """Bytes of it that may be read now: a long body is taken no faster than its server takes it."""
-        if client.raw:
-            return SIZE
-        if not (room := coming.space()):
+        if events & READ and client.is_reading and client in self.clients:
+            self._on_readable(client)
+
+    def _readable_bytes(self, client: ClientConnection, open_body: Body) -> int:
+        """Return how many bytes may be read now: backpressure limits a streamed body to the speed of its server."""
+        if client.is_unparsed:
+            return BUFFER_BYTES
+        if not (room := open_body.space()):
             client.pace.hold(self.loop.clock(), True)
-        return min(SIZE, room)
+        return min(BUFFER_BYTES, room)
 
-    def _readable(self, client: Client) -> None:
-        coming = client.reader.coming
-        if not (room := SIZE if coming is None else self._room(client, coming)):
-            self._interest(client)
+    def _on_readable(self, client: ClientConnection) -> None:
+        open_body = client.reader.open_body
+        if not (room := BUFFER_BYTES if open_body is None else self._readable_bytes(client, open_body)):
+            self._update_interest(client)
             return
-        buffer, partial = self.pool.take(), client.reader.partial
-        fault = 0
+        buffer, was_partial = self.pool.acquire(), client.reader.is_partial
+        error_status = 0
         try:
             count = client.sock.recv_into(buffer, room)
-            if count and not client.raw:
+            if count and not client.is_unparsed:
                 client.reader.feed(memoryview(buffer)[:count])
         except BlockingIOError:
             return
         except OSError:
             count = 0
-        except Fault as error:
-            fault = error.status
+        except RequestError as error:
+            error_status = error.status
         finally:
-            self.pool.give(buffer)
+            self.pool.release(buffer)
         if not count:
             self.close(client)
             return
-        if client.shed_by or client.raw:
-            client.shed += count
-            if fault or client.shed > (LINGER_MOST if client.reader.headed else LINGER_BAD):
-                if client.shed_by:
+        if client.discard_until or client.is_unparsed:
+            client.discarded_bytes += count
+            if error_status or client.discarded_bytes > (
+                MAX_DISCARDED_BYTES if client.reader.has_headers else MAX_DISCARDED_UNPARSED_BYTES
+            ):
+                if client.discard_until:
                     self.close(client)
-                else:  # one is in hand still: its end is looked for without reading
-                    client.reading = False
-                    self._interest(client)
+                else:  # a message is in progress: `_check_peers` watches for the end of the connection
+                    client.is_reading = False
+                    self._update_interest(client)
                 return
-        if fault:
-            self._fault(client, fault)
+        if error_status:
+            self._reject_malformed(client, error_status)
             return
-        if client.raw:
+        if client.is_unparsed:
             return
         reader = client.reader
-        if reader.waits_to_continue:
-            self._continue(client)
-        if client.serial and (not reader.partial or not partial):
-            # A message has its time from its first byte, the first one from connecting, however it drips in.
-            client.since = self.loop.clock()
-            client.pace.begin(client.since)
-        if reader.partial and reader.headed:
+        if reader.awaits_continue:
+            self._request_next_body(client)
+        if client.message_number and (not reader.is_partial or not was_partial):
+            # The time limit of a message runs from its first byte, that of the first message from accepting the
+            # connection, however slowly the bytes arrive.
+            client.last_progress = self.loop.clock()
+            client.pace.begin(client.last_progress)
+        if reader.is_partial and reader.has_headers:
             client.pace.body(self.loop.clock())
-        if client.upload is not None and reader.coming is not client.upload:
-            self._taken(client)
-        if client.busy:
-            self._crowd(client)
+        if client.request_body is not None and reader.open_body is not client.request_body:
+            self._on_request_body_complete(client)
+        if client.is_busy:
+            self._limit_pipelining(client)
         else:
-            if reader.whole and (self.loop.late or not client.serial) and sockets.waiting(client.sock) == b"":
-                self.metrics.add("gone_unheard")  # it waited unread, and its client has left meanwhile
+            if (
+                reader.complete
+                and (self.loop.is_lagging or not client.message_number)
+                and sockets.peek(client.sock) == b""
+            ):
+                self.metrics.add("gone_unheard")  # the client disconnected before its message was read
                 self.close(client)
                 return
-            self._next(client)
-        if client in self.clients and (reader.whole or reader.coming is not None):
-            self._interest(client)
-
-    def _crowd(self, client: Client) -> None:
-        """Too many messages wait behind the one in hand: no more of them are read, and these get errors."""
-        if len(client.reader.whole) > PIPELINED:
-            client.crowded = client.raw = True
-
-    def _continue(self, client: Client) -> None:
-        """The body of the next message is asked for, once the one before it has its answer."""
-        if not client.out and not client.busy:
-            client.reader.waits_to_continue = False
-            self._write(client, CONTINUE)
-
-    def _taken(self, client: Client) -> None:
-        """The long body of the message in hand is all there."""
+            self._start_next_message(client)
+        if client in self.clients and (reader.complete or reader.open_body is not None):
+            self._update_interest(client)
+
+    def _limit_pipelining(self, client: ClientConnection) -> None:
+        """Stop parsing if too many messages are queued behind the one in progress; the queued ones are rejected."""
+        if len(client.reader.complete) > MAX_PIPELINED_MESSAGES:
+            client.has_pipeline_overflow = client.is_unparsed = True
+
+    def _request_next_body(self, client: ClientConnection) -> None:
+        """Send 100 Continue for the next message once the previous one is answered."""
+        if not client.outgoing and not client.is_busy:
+            client.reader.awaits_continue = False
+            self._send(client, CONTINUE_RESPONSE)
+
+    def _on_request_body_complete(self, client: ClientConnection) -> None:
+        """Handle the end of a streamed request body: tell the core, or finish discarding it."""
         if client.exchange is not None:
             if client.exchange.message.coming:
                 client.exchange.message.coming = False
                 self.ingress.whole(client.exchange)
             return
-        client.upload = None  # it was let go when its message was answered
-        if client.shed_by:
-            client.shed_by, client.shed = 0.0, 0
-            self.shedding.pop(client, None)
-            self._done(client)
-
-    def _fault(self, client: Client, status: int) -> None:
+        client.request_body = None  # released when its message was answered
+        if client.discard_until:
+            client.discard_until, client.discarded_bytes = 0.0, 0
+            self.discarding.pop(client, None)
+            self._finish_response(client)
+
+    def _reject_malformed(self, client: ClientConnection, status: int) -> None:
+        """Respond with an error to unparsable input, after the response to the message in progress."""
         self.metrics.add("malformed")
-        # Where what has an error ends cannot be told any more: it is read on, and lost.
-        client.raw, client.keep = True, False
-        if client.upload is not None and client.exchange is not None and client.exchange.message.coming:
-            self._give_up(client, status)
-        elif client.busy:  # the answer to the message before it goes first, then the connection ends
-            client.closing = True
-            self._interest(client)
+        # The end of a malformed message cannot be found, so all further input is discarded.
+        client.is_unparsed, client.keep_alive = True, False
+        if client.request_body is not None and client.exchange is not None and client.exchange.message.coming:
+            self._abandon(client, status)
+        elif client.is_busy:  # the message in progress is answered first, then the connection is closed
+            client.close_after_response = True
+            self._update_interest(client)
         else:
-            client.busy = True
-            self._reply(client, status)
+            client.is_busy = True
+            self._respond(client, status)
 
-    def _give_up(self, client: Client, status: int) -> None:
-        """The body of the message in hand will never be whole: nothing has run, and nothing will."""
+    def _abandon(self, client: ClientConnection, status: int) -> None:
+        """Drop the message in progress because its body will stay incomplete; no server has run it or will."""
         exchange, client.exchange = client.exchange, None
         if exchange is not None:
             self.ingress.leave(exchange)
-        self._reply(client, status)
-
-    def _let_go(self, client: Client) -> None:
-        """The one place where the long body of the message in hand is given back."""
-        if client.upload is not None:
-            client.upload.drop()
-            if client.reader.coming is not client.upload:
-                client.upload = None
-
-    def _next(self, client: Client) -> None:
-        """One message of this connection; the one before it has been answered."""
-        if client not in self.clients or client.busy or not client.reader.whole:
+        self._respond(client, status)
+
+    def _release_request_body(self, client: ClientConnection) -> None:
+        """Release the streamed body of the message in progress; no other code does."""
+        if client.request_body is not None:
+            client.request_body.drop()
+            if client.reader.open_body is not client.request_body:
+                client.request_body = None
+
+    def _start_next_message(self, client: ClientConnection) -> None:
+        """Take up the next queued message; the previous one has been answered."""
+        if client not in self.clients or client.is_busy or not client.reader.complete:
             return
-        payload, keep = client.reader.whole.popleft()
-        if client.reader.whole:
-            self._crowd(client)
-        client.busy, client.old = True, payload.old
+        payload, keep_alive = client.reader.complete.popleft()
+        if client.reader.complete:
+            self._limit_pipelining(client)
+        client.is_busy, client.is_http10 = True, payload.is_http10
         if (stream := payload.stream) is not None:
-            client.upload = stream
-            stream.eased = lambda: self._eased(client)
-        client.serial += 1
-        self.strangers.pop(client, None)
-        client.keep = client.keep and keep
-        del self.clients[client]  # used last: now at the end
+            client.request_body = stream
+            stream.eased = lambda: self._on_body_space(client)
+        client.message_number += 1
+        self.unproven.pop(client, None)
+        client.keep_alive = client.keep_alive and keep_alive
+        del self.clients[client]  # re-inserted at the end, as the most recently used
         self.clients[client] = None
         if payload.method == b"GET" and payload.target == b"/ready":
-            self._reply(client, 200 if self.drain.ready(self.ready()) else 503)
+            self._respond(client, 200 if self.drain.ready(self.is_ready()) else 503)
             return
-        serial = client.serial
+        number = client.message_number
         try:
-            if client.crowded:
-                raise MessageError(f"more than {PIPELINED} messages at a time on a connection")
-            asked = message(payload)
+            if client.has_pipeline_overflow:
+                raise MessageError(f"more than {MAX_PIPELINED_MESSAGES} messages at a time on a connection")
+            message = decode_message(payload)
             if stream is not None:
-                asked.coming, asked.again = stream.coming, stream.again
+                message.coming, message.again = stream.coming, stream.again
             exchange = self.ingress.take(
-                asked, lambda answer: self._answer(client, serial, answer), self.south, self.drain.tries(self.ready)
+                message,
+                lambda answer: self._on_answer(client, number, answer),
+                self.south,
+                self.drain.tries(self.is_ready),
             )
         except MessageError as error:
             self.metrics.add("malformed")
-            client.keep = bool(client.reader.whole)  # whoever sends the same thing again connects again
-            self._reply(client, 400, str(error).encode("ascii", "replace"))
+            client.keep_alive = bool(client.reader.complete)  # a client that repeats it has to reconnect
+            self._respond(client, 400, str(error).encode("ascii", "replace"))
             return
         if exchange is None:
-            self._reply(client, 409, b"x-request-id: in hand already")
-        elif client.busy and client.serial == serial and not exchange.over:
+            self._respond(client, 409, b"x-request-id: in hand already")
+        elif client.is_busy and client.message_number == number and not exchange.over:
             client.exchange = exchange
-            if payload.expects and stream is not None and stream.coming and not stream.size:
-                self._write(client, CONTINUE)
+            if payload.expects_continue and stream is not None and stream.coming and not stream.size:
+                self._send(client, CONTINUE_RESPONSE)
 
-    def _eased(self, client: Client) -> None:
-        """There is room in its long body again, or nobody wants it any more."""
+    def _on_body_space(self, client: ClientConnection) -> None:
+        """Resume reading: the streamed body has room again, or is no longer wanted."""
         if client in self.clients:
             client.pace.hold(self.loop.clock(), False)
-            self._interest(client)
+            self._update_interest(client)
 
-    def _answer(self, client: Client, serial: int, answer: Answer) -> None:
-        if not (client in self.clients and client.busy and client.serial == serial):
+    def _on_answer(self, client: ClientConnection, number: int, answer: Answer) -> None:
+        if not (client in self.clients and client.is_busy and client.message_number == number):
             if answer.flows:
                 answer.payload[0].drop()
             return
         if answer.flows:
-            self._flow(client, answer.status, *answer.payload)
+            self._start_streaming(client, answer.status, *answer.payload)
             return
         body, headers = answer.payload or (b"", None)
         client.exchange = None
-        self._reply(client, answer.status, body, answer.after, headers)
+        self._respond(client, answer.status, body, answer.after, headers)
 
-    def _flow(self, client: Client, status: int, body: Body, headers: list[tuple[bytes, bytes]]) -> None:
-        """A long answer: its head now, the rest as it comes and as the client takes it."""
-        self._let_go(client)
-        client.flow, client.chunked = body, body.length < 0 and not client.old
-        self.flowing += 1
+    def _start_streaming(
+        self, client: ClientConnection, status: int, body: Body, headers: list[tuple[bytes, bytes]]
+    ) -> None:
+        """Send the head of a streamed response; the body follows as it arrives and as the client reads it."""
+        self._release_request_body(client)
+        client.response_body, client.is_chunked = body, body.length < 0 and not client.is_http10
+        self.streaming_responses += 1
         framing = b"Content-Length: %d\r\n" % body.length if body.length >= 0 else b""
-        if client.chunked:
+        if client.is_chunked:
             framing = b"Transfer-Encoding: chunked\r\n"
-        client.keep = client.keep and (bool(client.reader.whole) or not self.draining) and bool(framing)
-        client.since = self.loop.clock()
+        client.keep_alive = (
+            client.keep_alive and (bool(client.reader.complete) or not self.is_draining) and bool(framing)
+        )
+        client.last_progress = self.loop.clock()
 
         body.begin()
-        body.changed = self.loop.once_a_turn(lambda: self._woken(client, body))
-        self._write(client, begin(status, framing, client.keep, 0.0, headers))
+        body.changed = self.loop.coalesce(lambda: self._on_body_progress(client, body))
+        self._send(client, encode_head(status, framing, client.keep_alive, 0.0, headers))
 
-    def _woken(self, client: Client, body: Body) -> None:
-        if client.flow is body and client in self.clients:
+    def _on_body_progress(self, client: ClientConnection, body: Body) -> None:
+        if client.response_body is body and client in self.clients:
             self._flush(client)
 
-    def _refill(self, client: Client) -> bool:
-        """The next slice of a long answer; False where there is none, and the client's connection may be closed."""
-        body = client.flow
+    def _append_body_slice(self, client: ClientConnection) -> bool:
+        """Queue the next slice of a streamed response and return whether there was one.
+
+        Closes the connection if the response was cut off.
+        """
+        body = client.response_body
         assert body is not None
-        more = pass_on(body, client.out, client.chunked)
+        has_data = append_body_slice(body, client.outgoing, client.is_chunked)
         if body.whole:
-            self._flowed(client)
-        elif not more and body.state is State.CUT:
-            if not client.chunked and body.length < 0:  # it ends with its connection: only a reset tells that it broke
-                sockets.reset(client.sock)
+            self._release_response_body(client)
+        elif not has_data and body.state is State.CUT:
+            # Without a length or chunks the close marks the end of the body; only a reset shows that it is incomplete.
+            if not client.is_chunked and body.length < 0:
+                sockets.reset_on_close(client.sock)
             self.close(client)
-        return more
+        return has_data
 
-    def _flowed(self, client: Client) -> None:
-        """The one place where a long answer is given back."""
-        if client.flow is not None:
-            body, client.flow, client.exchange = client.flow, None, None
+    def _release_response_body(self, client: ClientConnection) -> None:
+        """Release a streamed response; no other code does."""
+        if client.response_body is not None:
+            body, client.response_body, client.exchange = client.response_body, None, None
             body.drop()
-            self.flowing -= 1
+            self.streaming_responses -= 1
 
-    def _reply(
+    def _respond(
         self,
-        client: Client,
+        client: ClientConnection,
         status: int,
         body: bytes = b"",
-        after: float = 0.0,
+        retry_after: float = 0.0,
         headers: list[tuple[bytes, bytes]] | None = None,
     ) -> None:
-        unasked = client.upload is not None and client.upload is client.reader.coming and not client.upload.size
-        if client.upload is not None:
-            self._let_go(client)
-        # Refused before its body was asked for: whether that comes all the same cannot be told from a next message.
-        # Once no new work is wanted, what has been read and waits behind this one is taken, and answered.
-        client.keep = client.keep and (bool(client.reader.whole) or not self.draining) and not unasked
-        self._write(client, encode(status, body, client.keep, after, headers))
-        if client.out:
-            client.since = self.loop.clock()
-
-    def _write(self, client: Client, data: bytes) -> None:
-        client.out.append(data)
+        is_body_unrequested = (
+            client.request_body is not None
+            and client.request_body is client.reader.open_body
+            and not client.request_body.size
+        )
+        if client.request_body is not None:
+            self._release_request_body(client)
+        # Without 100 Continue a client may still send the body or not, so what follows could not be told from the next
+        # message: the connection is not kept. While draining, messages that were already read are still served.
+        client.keep_alive = (
+            client.keep_alive and (bool(client.reader.complete) or not self.is_draining) and not is_body_unrequested
+        )
+        self._send(client, encode_response(status, body, client.keep_alive, retry_after, headers))
+        if client.outgoing:
+            client.last_progress = self.loop.clock()
+
+    def _send(self, client: ClientConnection, data: bytes) -> None:
+        client.outgoing.append(data)
         self._flush(client)
 
-    def _flush(self, client: Client) -> None:
+    def _flush(self, client: ClientConnection) -> None:
         try:
-            while client.out or client.flow is not None and self._refill(client):
-                if sockets.write(client.sock, client.out) and (client.out or client.flow is not None):
-                    client.since = self.loop.clock()  # slowly, but it takes
-                if client.out:
+            while client.outgoing or client.response_body is not None and self._append_body_slice(client):
+                if sockets.write(client.sock, client.outgoing) and (
+                    client.outgoing or client.response_body is not None
+                ):
+                    client.last_progress = self.loop.clock()  # the client is slow, but reads
+                if client.outgoing:
                     break
         except OSError:
             self.close(client)
         if client not in self.clients:
             return
-        if client.busy and client.exchange is None and client.flow is None and not client.out:
-            self._done(client)
+        if client.is_busy and client.exchange is None and client.response_body is None and not client.outgoing:
+            self._finish_response(client)
         else:
-            self._interest(client)
+            self._update_interest(client)
 
-    def _done(self, client: Client) -> None:
-        """The answer is out whole."""
-        if client.shed_by:
+    def _finish_response(self, client: ClientConnection) -> None:
+        """Go on after a response was fully written: discard, close, or take up the next message."""
+        if client.discard_until:
             return
-        if client.upload is not None and client.reader.coming is client.upload:
-            self._shed(client)
+        if client.request_body is not None and client.reader.open_body is client.request_body:
+            self._discard_rest(client)
             return
-        client.upload = None
-        client.busy, client.since = False, self.loop.clock()
-        if not client.keep or client.closing:
-            self._end(client)
-        elif client.reader.whole:
-            self.loop.call_soon(lambda: self._next(client))
-        elif client.raw:
-            self._end(client)
+        client.request_body = None
+        client.is_busy, client.last_progress = False, self.loop.clock()
+        if not client.keep_alive or client.close_after_response:
+            self._half_close(client)
+        elif client.reader.complete:
+            self.loop.call_soon(lambda: self._start_next_message(client))
+        elif client.is_unparsed:
+            self._half_close(client)
         else:
-            if client.reader.waits_to_continue:
-                self._continue(client)
-            self._interest(client)
-
-    def _shed(self, client: Client) -> None:
-        """Answered before the end of what it sends: the rest is read and lost, else a reset would take the answer."""
-        if not client.keep or client.raw:
-            self._end(client)
+            if client.reader.awaits_continue:
+                self._request_next_body(client)
+            self._update_interest(client)
+
+    def _discard_rest(self, client: ClientConnection) -> None:
+        """Discard the rest of a request that was answered early; a close could destroy the response by a reset."""
+        if not client.keep_alive or client.is_unparsed:
+            self._half_close(client)
             return
-        self.shedding[client] = None
-        client.shed_by = self.loop.clock() + SHED
-        self._interest(client)
-
-    def _end(self, client: Client) -> None:
-        """The one way in which we end a connection: our side is shut down, and what still comes is read and lost until
-        the client ends its own. Nothing that is read after this is sent on: the client asks again elsewhere."""
-        if client in self.ended:
+        self.discarding[client] = None
+        client.discard_until = self.loop.clock() + DISCARD_SECONDS
+        self._update_interest(client)
+
+    def _half_close(self, client: ClientConnection) -> None:
+        """End a connection: shut down the sending side, and discard input until the client closes its side.
+
+        Nothing that is read after this is forwarded, so the client can safely repeat it on another connection.
+        """
+        if client in self.half_closed:
             return
-        self.ended[client] = None
-        self.strangers.pop(client, None)
-        self.shedding.pop(client, None)
-        client.busy = client.raw = client.reading = True
-        client.keep, client.shed = False, 0
-        client.shed_by = self.loop.clock() + (LINGER_AT_END if self.drain.ending else LINGER)
-        sockets.finish(client.sock)
-        self._interest(client)
-        self._trim()
-        if not self._full():
-            self._accept_on()
-
-    def _trim(self) -> None:
-        """What only waits for its client's end takes no more descriptors than are spare for it."""
-        while self.ended and len(self.clients) > self.most + self.lingering:
-            self.close(next(iter(self.ended)))
-
-    def _interest(self, client: Client) -> None:
-        """Read unless what waits already is all there is room for; write while something waits to be written."""
-        reader, wanted = client.reader, WRITE if client.out else 0
-        coming = reader.coming
-        if client.reading and (
-            client.raw
-            or client.shed_by
-            or not (client.busy and reader.whole and reader.waiting() > WAITING)
-            and (coming is None or self._room(client, coming))
+        self.half_closed[client] = None
+        self.unproven.pop(client, None)
+        self.discarding.pop(client, None)
+        client.is_busy = client.is_unparsed = client.is_reading = True
+        client.keep_alive, client.discarded_bytes = False, 0
+        client.discard_until = self.loop.clock() + (DRAIN_LINGER_SECONDS if self.drain.ending else LINGER_SECONDS)
+        sockets.shutdown_write(client.sock)
+        self._update_interest(client)
+        self._trim_half_closed()
+        if not self._is_full():
+            self._start_accepting()
+
+    def _trim_half_closed(self) -> None:
+        """Close half-closed connections beyond the descriptors reserved for them."""
+        while self.half_closed and len(self.clients) > self.max_active + self.max_lingering:
+            self.close(next(iter(self.half_closed)))
+
+    def _update_interest(self, client: ClientConnection) -> None:
+        """Wait for input while there is room for it, and for writability while there is output."""
+        reader, events = client.reader, WRITE if client.outgoing else 0
+        open_body = reader.open_body
+        if client.is_reading and (
+            client.is_unparsed
+            or client.discard_until
+            or not (client.is_busy and reader.complete and reader.count_queued_bytes() > MAX_QUEUED_BODY_BYTES)
+            and (open_body is None or self._readable_bytes(client, open_body))
         ):
-            wanted |= READ
-            if self.unread:
-                self.unread.pop(client, None)
+            events |= READ
+            if self.read_paused:
+                self.read_paused.pop(client, None)
         else:
-            self.unread[client] = None
-            if self._looks is None:
-                self._looks = self.loop.call_in(LOOK, self._look)
-        self.loop.want(client.sock, wanted, lambda events: self._event(client, events))
-
-    def _look(self) -> None:
-        """A client whose bytes are not read can be gone all the same: nothing is begun for it then."""
-        self._looks = None
-        for client in list(self.unread):
-            if not client.reading:  # its end may wait behind what has no room here: a little is read, and lost
-                self._lose(client)
-            if client in self.clients and sockets.left(client.sock):
+            self.read_paused[client] = None
+            if self._peer_check_timer is None:
+                self._peer_check_timer = self.loop.call_in(PEER_CHECK_INTERVAL_SECONDS, self._check_peers)
+        self.loop.set_interest(client.sock, events, lambda events: self._on_event(client, events))
+
+    def _check_peers(self) -> None:
+        """Close connections whose clients left while reading was paused, so that no work is started for them."""
+        self._peer_check_timer = None
+        for client in list(self.read_paused):
+            if not client.is_reading:  # the end may be behind unread input: discard some of it
+                self._discard_input(client)
+            if client in self.clients and sockets.has_peer_closed(client.sock):
                 self.close(client)
-        if self.unread:
-            self._looks = self.loop.call_in(LOOK, self._look)
+        if self.read_paused:
+            self._peer_check_timer = self.loop.call_in(PEER_CHECK_INTERVAL_SECONDS, self._check_peers)
 
-    def _lose(self, client: Client) -> None:
-        buffer = self.pool.take()
+    def _discard_input(self, client: ClientConnection) -> None:
+        """Read and discard one buffer of input."""
+        buffer = self.pool.acquire()
         try:
             if not client.sock.recv_into(buffer):
                 self.close(client)
@@ -587,86 +643,100 @@
         except OSError:
             self.close(client)
         finally:
-            self.pool.give(buffer)
+            self.pool.release(buffer)
 
-    def close(self, client: Client) -> None:
-        """The one place where a client's connection is given back."""
+    def close(self, client: ClientConnection) -> None:
+        """Close a connection and release all it holds; no other code closes one."""
         if client not in self.clients:
             return
         del self.clients[client]
-        for kind in (self.strangers, self.shedding, self.ended, self.unread):
-            kind.pop(client, None)
-        self.loop.want(client.sock, 0, lambda events: None)
+        for group in (self.unproven, self.discarding, self.half_closed, self.read_paused):
+            group.pop(client, None)
+        self.loop.set_interest(client.sock, 0, lambda events: None)
         client.sock.close()
         self.metrics.add("closed")
         if client.exchange is not None:
             exchange, client.exchange = client.exchange, None
             self.ingress.leave(exchange)
-        self._flowed(client)
+        self._release_response_body(client)
         client.reader.close()
-        self._let_go(client)
-        if not self._full():
-            self._accept_on()
+        self._release_request_body(client)
+        if not self._is_full():
+            self._start_accepting()
 
     def _sweep(self) -> None:
-        """Connections that stand still: half a message, an answer nobody takes, no message for long."""
+        """Time out stalled connections: partial messages, unread responses, and idle connections."""
         now = self.loop.clock()
-        untaken = UNTAKEN_AT_END if self.draining else UNTAKEN
+        write_timeout = DRAIN_WRITE_TIMEOUT_SECONDS if self.is_draining else WRITE_TIMEOUT_SECONDS
         for client in list(self.clients):
-            still = now - client.since
-            if client.shed_by:
-                if now > client.shed_by or not client.raw and client.pace.stands(now, client.reader.size):
+            stalled_for = now - client.last_progress
+            if client.discard_until:
+                if (
+                    now > client.discard_until
+                    or not client.is_unparsed
+                    and client.pace.stands(now, client.reader.body_bytes)
+                ):
                     self.close(client)
-            elif client.out:
-                if still > untaken:
+            elif client.outgoing:
+                if stalled_for > write_timeout:
                     self.close(client)
-            elif not client.busy and client.reader.partial and client.pace.stands(now, client.reader.size):
-                client.busy, client.keep = True, False
-                self._reply(client, 408)
+            elif not client.is_busy and client.reader.is_partial and client.pace.stands(now, client.reader.body_bytes):
+                client.is_busy, client.keep_alive = True, False
+                self._respond(client, 408)
             elif (
-                client.busy
+                client.is_busy
                 and client.exchange is not None
                 and client.exchange.message.coming
-                and (client.pace.stands(now, client.reader.size))
+                and (client.pace.stands(now, client.reader.body_bytes))
             ):
-                client.keep = False
-                self._give_up(client, 408)
+                client.keep_alive = False
+                self._abandon(client, 408)
             elif (
-                not client.busy
-                and not client.reader.partial
-                and not self._spoke(client)
-                and (self.draining or still > (IDLE if client.serial else SILENT))
+                not client.is_busy
+                and not client.reader.is_partial
+                and not self._has_unread_input(client)
+                and (
+                    self.is_draining
+                    or stalled_for > (IDLE_TIMEOUT_SECONDS if client.message_number else FIRST_MESSAGE_TIMEOUT_SECONDS)
+                )
             ):
-                self._end(client)
+                self._half_close(client)
         if self.listener is not None or self.clients:
-            self.loop.call_in(SWEEP, self._sweep)
+            self.loop.call_in(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def stop_listening(self) -> None:
-        """What has reached the backlog is taken in first."""
-        self.accept(4096, at_end=True)
-        self._accept_off()
+        """Close the listener after accepting all connections in its backlog."""
+        self.accept_connections(4096, is_final=True)
+        self._stop_accepting()
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def stop(self) -> None:
+        """Close the listener and all connections at once."""
         if self.listener is not None:
-            self._accept_off()
+            self._stop_accepting()
             self.listener.close()
             self.listener = None
         for client in list(self.clients):
             self.close(client)
 
-    def close_unused(self) -> None:
+    def close_idle(self) -> None:
+        """Half-close all idle connections."""
         for client in list(self.clients):
-            if not client.busy and not client.reader.partial and not client.out and not self._spoke(client):
-                self._end(client)
+            if (
+                not client.is_busy
+                and not client.reader.is_partial
+                and not client.outgoing
+                and not self._has_unread_input(client)
+            ):
+                self._half_close(client)
 
-    def give_up_halves(self) -> None:
-        """What is not whole by now could not be answered any more before the process is killed."""
+    def reject_partial_requests(self) -> None:
+        """Respond 408 to partial requests, which could no longer be answered before the process is killed."""
         for client in list(self.clients):
-            if not client.busy and client.reader.partial and self._spoke(client):
-                self._readable(client)  # its end may be here already
-            if client in self.clients and not client.busy and client.reader.partial:
-                client.busy, client.keep = True, False
-                self._reply(client, 408)
+            if not client.is_busy and client.reader.is_partial and self._has_unread_input(client):
+                self._on_readable(client)  # the rest may have arrived
+            if client in self.clients and not client.is_busy and client.reader.is_partial:
+                client.is_busy, client.keep_alive = True, False
+                self._respond(client, 408)
--- a/brackenpulley/net/pool.py
+++ b/brackenpulley/net/pool.py
@@ -1,21 +1,25 @@
-"""Buffers of one size, used again. Whoever takes one gives it back in the same read."""
+"""Pool of fixed-size read buffers, shared by all connections of a process."""
 
 from __future__ import annotations
 
-SIZE = 65536
-KEEP = 8
+BUFFER_BYTES = 65536
+MAX_FREE_BUFFERS = 8
 
 
 class Pool:
+    """Reuses read buffers. A buffer is released in the same read operation that acquired it."""
+
     def __init__(self) -> None:
         self._free: list[bytearray] = []
-        self.lent = 0
+        self.in_use = 0
 
-    def take(self) -> bytearray:
-        self.lent += 1
-        return self._free.pop() if self._free else bytearray(SIZE)
+    def acquire(self) -> bytearray:
+        """Return a buffer of BUFFER_BYTES with arbitrary content."""
+        self.in_use += 1
+        return self._free.pop() if self._free else bytearray(BUFFER_BYTES)
 
-    def give(self, buffer: bytearray) -> None:
-        self.lent -= 1
-        if len(self._free) < KEEP:
+    def release(self, buffer: bytearray) -> None:
+        """Return a buffer to the pool."""
+        self.in_use -= 1
+        if len(self._free) < MAX_FREE_BUFFERS:
             self._free.append(buffer)
--- a/brackenpulley/net/requests.py
+++ b/brackenpulley/net/requests.py
@@ -1,4 +1,7 @@
-"""Bytes of a client to messages, and answers to bytes."""
+"""HTTP/1.1 server codec: parses a client's bytes into messages and encodes responses.
+
+The north side uses all of it; the control API and the stand-ins use the reader and the encoders.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,22 @@
 from ..bodies.body import Body
 from ..bodies.shares import Shares
 from ..core.message import CONTROL, Message, MessageError, decode
-from .http import BODY, HEAD, HOP, KEPT, LONGEST, Payload
+from .http import (
+    DEFAULT_MAX_BODY_BYTES,
+    END_TO_END_HEADERS,
+    HOP_BY_HOP_HEADERS,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEADER_BYTES,
+    Payload,
+)
 
-TARGET = 8192  # most bytes of a message's target
-WIRE = 8 * BODY  # and of all it takes on the wire, however it is cut into chunks
-NOTED = frozenset((b"content-length", b"transfer-encoding", b"connection", b"expect"))  # what is read before its body
-READ = {name.encode(): name for name in (*CONTROL, "x-retried", "x-reservation", "connection")}  # the rest passes by
-REASON = {
+MAX_TARGET_BYTES = 8192
+MAX_WIRE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # one request as received, including its chunk framing
+# Headers that decide how the body is framed and whether the connection persists.
+FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"connection", b"expect"))
+# Headers that the ingress interprets; all others are only forwarded.
+INTERPRETED_HEADERS = {name.encode(): name for name in (*CONTROL, "x-retried", "x-reservation", "connection")}
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     403: b"Forbidden",
@@ -33,200 +45,222 @@
 }
 
 
-class Fault(Exception):
-    """Bytes that get an error answer; carries the status."""
+class RequestError(Exception):
+    """A request that cannot be parsed or exceeds a limit; `status` is the HTTP status to respond with."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
         self.status = status
 
 
-class Reader:
-    """Bytes of one connection to messages; every part is bounded.
+class RequestReader:
+    """Incremental parser of the requests on one connection; every part of a request is bounded.
 
-    A message stands in `whole` once it is there, or, where its body is longer than `BODY` and there are `shares` for
-    it, once it is plain that it is; its body then comes through its `stream`, which is also `coming` until its end."""
+    A request is appended to `complete` once its last byte has arrived. If its body exceeds MAX_BUFFERED_BODY_BYTES and
+    `shares` were given, it is appended as soon as that is known; its body then arrives through the payload's `stream`,
+    which is also `open_body` until it ends.
+    """
 
-    def __init__(self, shares: Shares | None = None, longest: int = LONGEST) -> None:
+    def __init__(self, shares: Shares | None = None, max_body_bytes: int = DEFAULT_MAX_BODY_BYTES) -> None:
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.whole: deque[tuple[Payload, bool]] = deque()  # and whether the connection is kept after it
-        self.coming: Body | None = None
-        self.waits_to_continue = False
-        self._shares, self._longest = shares, longest if shares is not None else BODY
+        self.complete: deque[tuple[Payload, bool]] = deque()  # with whether the connection persists after the request
+        self.open_body: Body | None = None
+        self.awaits_continue = False
+        self._shares, self._max_body_bytes = (
+            shares,
+            max_body_bytes if shares is not None else MAX_BUFFERED_BODY_BYTES,
+        )
         self._clear()
 
     def _clear(self) -> None:
-        self.partial = self.headed = False
-        self.size = 0  # of the body so far
+        self.is_partial = self.has_headers = False
+        self.body_bytes = 0  # received so far
         self._target = b""
         self._headers: list[tuple[bytes, bytes]] = []
-        self._noted: list[tuple[bytes, bytes]] = []  # of these, what says how the message goes on
-        self._parts: list[bytes] = []
-        self._head = self._fed = 0
-        self._length = -1  # of the body, where it is told
+        self._framing_headers: list[tuple[bytes, bytes]] = []  # those of `_headers` that are in FRAMING_HEADERS
+        self._body_parts: list[bytes] = []
+        self._header_bytes = self._fed_bytes = 0
+        self._content_length = -1  # -1 if not declared
 
     def feed(self, data: memoryview) -> None:
-        """Raises Fault. What came whole before the fault stands in `whole`."""
+        """Parse received bytes. Raises RequestError; requests that ended before the error are in `complete`."""
         assert self._parser is not None
-        before = len(self.whole)
+        complete_before = len(self.complete)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise Fault(400) from None
+            raise RequestError(400) from None
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            raise Fault(cause.status if isinstance(cause, Fault) else 400) from None
+            raise RequestError(cause.status if isinstance(cause, RequestError) else 400) from None
         except httptools.HttpParserError:
-            raise Fault(400) from None
-        if self.partial and len(self.whole) == before:
-            # httptools keeps an unfinished header or trailer to itself, so the bytes fed are counted, but for a piece
-            # that also holds the end of the message before: most of it may be that one's body.
-            self._fed += len(data)
-            if self._fed > (WIRE if self.headed else HEAD):
-                raise Fault(413 if self.headed else 431)
-
-    def waiting(self) -> int:
-        """Bytes of the bodies of what is whole and waits."""
-        return sum(len(payload.body) for payload, _ in self.whole)
+            raise RequestError(400) from None
+        if self.is_partial and len(self.complete) == complete_before:
+            # httptools buffers an unfinished header or trailer internally, so the bytes fed to it are counted here.
+            # Data that also completes a previous request is not counted: most of it may be that request's body.
+            self._fed_bytes += len(data)
+            if self._fed_bytes > (MAX_WIRE_BYTES if self.has_headers else MAX_HEADER_BYTES):
+                raise RequestError(413 if self.has_headers else 431)
+
+    def count_queued_bytes(self) -> int:
+        """Return the number of body bytes in the complete requests that are still queued."""
+        return sum(len(payload.body) for payload, _ in self.complete)
 
     def close(self) -> None:
-        """The parser holds this object: together they would wait for the garbage collector."""
+        """Release the bodies and break the reference cycle with the parser, which would need the garbage collector."""
         self._parser = None
-        if self.coming is not None:
-            self.coming.cut()
-            self.coming = None
-        for payload, _ in self.whole:
+        if self.open_body is not None:
+            self.open_body.cut()
+            self.open_body = None
+        for payload, _ in self.complete:
             if payload.stream is not None:
                 payload.stream.drop()
-        self.whole.clear()
+        self.complete.clear()
 
     def on_message_begin(self) -> None:
-        self.partial = True
+        """Handle the start of a request (callback of httptools)."""
+        self.is_partial = True
 
     def on_url(self, part: bytes) -> None:
+        """Handle a part of the request target (callback of httptools)."""
         self._target += part
-        if len(self._target) > TARGET:
-            raise Fault(431)
+        if len(self._target) > MAX_TARGET_BYTES:
+            raise RequestError(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.headed:  # a trailer: it must not pass for a header
+        """Handle a header or a trailer (callback of httptools)."""
+        if self.has_headers:  # a trailer must not be taken for a header
             return
-        self._head += len(name) + len(value)
-        if self._head > HEAD:
-            raise Fault(431)
+        self._header_bytes += len(name) + len(value)
+        if self._header_bytes > MAX_HEADER_BYTES:
+            raise RequestError(431)
         if value and value[-1] <= 32:
-            value = value.strip(b" \t")  # white space round a value is no part of it; the parser leaves what is behind
+            value = value.strip(b" \t")  # optional white space around the value; httptools leaves it at the end
         header = name.lower(), value
         self._headers.append(header)
-        if header[0] in NOTED:
-            self._noted.append(header)
+        if header[0] in FRAMING_HEADERS:
+            self._framing_headers.append(header)
 
     def on_headers_complete(self) -> None:
-        self.headed = True
-        if not self._noted:
+        """Check the framing headers (callback of httptools)."""
+        self.has_headers = True
+        if not self._framing_headers:
             return
-        named = [name for name, _ in self._noted]
-        lengths, codings = named.count(b"content-length"), named.count(b"transfer-encoding")
-        if lengths + codings > 1:  # two framings may hide a message in a body; nothing of it is passed on
-            raise Fault(400)
-        for name, value in self._noted:
+        names = [name for name, _ in self._framing_headers]
+        lengths, codings = names.count(b"content-length"), names.count(b"transfer-encoding")
+        if lengths + codings > 1:  # conflicting framings allow request smuggling, so nothing is forwarded
+            raise RequestError(400)
+        for name, value in self._framing_headers:
             if name == b"content-length" and (length := int(value)) > 0:
-                self._length = length
-                if length > self._longest:
-                    raise Fault(413)
+                self._content_length = length
+                if length > self._max_body_bytes:
+                    raise RequestError(413)
             if name == b"transfer-encoding" and value.strip().lower() != b"chunked":
-                raise Fault(400)
+                raise RequestError(400)
             if name == b"expect":
-                self.waits_to_continue = True
-        if self.waits_to_continue and self._shares is not None and (codings or self._length > 0):
-            self._stream(expects=True)  # the message is decided on before its body is asked for
+                self.awaits_continue = True
+        if self.awaits_continue and self._shares is not None and (codings or self._content_length > 0):
+            self._start_streaming(expects_continue=True)  # the message is decided on before its body is requested
 
     def on_body(self, part: bytes) -> None:
-        self.size += len(part)
-        if self.size > self._longest:
-            raise Fault(413)
-        if self.coming is not None:
-            self._fed = 0  # what is counted is what comes between bytes of the body: extensions, trailers
-            self.coming.put(part)
+        """Handle a part of the body (callback of httptools)."""
+        self.body_bytes += len(part)
+        if self.body_bytes > self._max_body_bytes:
+            raise RequestError(413)
+        if self.open_body is not None:
+            self._fed_bytes = 0  # only the bytes between body data are limited: chunk extensions and trailers
+            self.open_body.put(part)
             return
-        self._parts.append(part)
-        if self.size > BODY:
-            self._stream()
+        self._body_parts.append(part)
+        if self.body_bytes > MAX_BUFFERED_BODY_BYTES:
+            self._start_streaming()
 
-    def _stream(self, expects: bool = False) -> None:
-        """From here on the body passes through, and its message stands in `whole`."""
+    def _start_streaming(self, expects_continue: bool = False) -> None:
+        """Queue the request now and pass the rest of its body through a stream."""
         assert self._shares is not None and self._parser is not None
-        self.coming = Body(self._shares, self._length, keep=True)
-        for held in self._parts:
-            self.coming.put(held)
-        self._parts = []
-        self._found(Payload(self._parser.get_method(), self._target, self._headers, b"", self.coming, expects=expects))
+        self.open_body = Body(self._shares, self._content_length, keep=True)
+        for part in self._body_parts:
+            self.open_body.put(part)
+        self._body_parts = []
+        self._queue(
+            Payload(
+                self._parser.get_method(),
+                self._target,
+                self._headers,
+                b"",
+                self.open_body,
+                expects_continue=expects_continue,
+            )
+        )
 
-    def _found(self, payload: Payload) -> None:
+    def _queue(self, payload: Payload) -> None:
         assert self._parser is not None
-        keep = self._parser.should_keep_alive()
-        if self._noted or not keep:  # without a word on it HTTP/1.1 keeps, and HTTP/1.0 does not
-            payload.old = self._parser.get_http_version() == "1.0"
-        self.whole.append((payload, keep))
-        self.waits_to_continue = False
+        keep_alive = self._parser.should_keep_alive()
+        if self._framing_headers or not keep_alive:  # otherwise it is HTTP/1.1, which persists by default
+            payload.is_http10 = self._parser.get_http_version() == "1.0"
+        self.complete.append((payload, keep_alive))
+        self.awaits_continue = False
 
     def on_message_complete(self) -> None:
+        """Queue the request or end its stream (callback of httptools)."""
         assert self._parser is not None
-        if self.coming is not None:
-            body, self.coming = self.coming, None
+        if self.open_body is not None:
+            body, self.open_body = self.open_body, None
             self._clear()
             body.end()
             return
-        held = b"".join(self._parts) if self._parts else b""
-        self._found(Payload(self._parser.get_method(), self._target, self._headers, held))
+        buffered = b"".join(self._body_parts) if self._body_parts else b""
+        self._queue(Payload(self._parser.get_method(), self._target, self._headers, buffered))
         self._clear()
 
 
-def message(payload: Payload) -> Message:
-    named: dict[str, str] = {}
-    headers: list[tuple[bytes, bytes]] = []
+def decode_message(payload: Payload) -> Message:
+    """Build a message from a request and remove the hop-by-hop headers from `payload`. Raises MessageError."""
+    interpreted: dict[str, str] = {}
+    forwarded: list[tuple[bytes, bytes]] = []
     for header in payload.headers:
         field, value = header
         if not (value.isascii() and field.isascii()):
             raise MessageError("headers: not ASCII")
-        if field in READ:
-            name = READ[field]
-            if name in named and name in CONTROL:  # two readers of it could take two different ones
+        if field in INTERPRETED_HEADERS:
+            name = INTERPRETED_HEADERS[field]
+            if name in interpreted and name in CONTROL:  # two recipients could each pick a different one
                 raise MessageError(f"{name}: twice")
-            named[name] = value.decode("ascii")
-        if field not in HOP:
-            headers.append(header)
+            interpreted[name] = value.decode("ascii")
+        if field not in HOP_BY_HOP_HEADERS:
+            forwarded.append(header)
     if not payload.target.isascii():
         raise MessageError("headers: not ASCII")
-    if "connection" in named:  # what it names is this hop's own
-        own = {part.strip().encode() for part in named["connection"].lower().split(",")}
-        headers = [h for h in headers if h[0] not in own or h[0] in KEPT]
-    payload.headers = headers
-    return decode(named, payload.target.decode("ascii"), payload)
+    if "connection" in interpreted:  # the headers it names are hop-by-hop too
+        hop_by_hop = {part.strip().encode() for part in interpreted["connection"].lower().split(",")}
+        forwarded = [h for h in forwarded if h[0] not in hop_by_hop or h[0] in END_TO_END_HEADERS]
+    payload.headers = forwarded
+    return decode(interpreted, payload.target.decode("ascii"), payload)
 
 
-def encode(
+def encode_response(
     status: int,
     body: bytes,
-    keep: bool,
-    after: float = 0.0,
+    keep_alive: bool,
+    retry_after: float = 0.0,
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> bytes:
-    return begin(status, b"Content-Length: %d\r\n" % len(body), keep, after, headers) + body
+    """Encode a whole response. `retry_after` is in seconds; 0 leaves the header out."""
+    return encode_head(status, b"Content-Length: %d\r\n" % len(body), keep_alive, retry_after, headers) + body
 
 
-def begin(
+def encode_head(
     status: int,
     framing: bytes,
-    keep: bool,
-    after: float = 0.0,
+    keep_alive: bool,
+    retry_after: float = 0.0,
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> bytes:
-    """The head of an answer; `framing` is the line that says how its body ends, or none."""
-    head = b"HTTP/1.1 %d %s\r\n%s" % (status, REASON.get(status, b"Answer"), framing)
-    if after > 0:
-        head += b"Retry-After: %.3f\r\n" % after
-    if not keep:
+    """Encode the head of a response; `framing` is the header line that tells where the body ends, or empty."""
+    head = b"HTTP/1.1 %d %s\r\n%s" % (status, REASON_PHRASES.get(status, b"Answer"), framing)
+    if retry_after > 0:
+        head += b"Retry-After: %.3f\r\n" % retry_after
+    if not keep_alive:
         head += b"Connection: close\r\n"
     if headers:
         head += b"".join([b"%s: %s\r\n" % header for header in headers])
--- a/brackenpulley/net/sockets.py
+++ b/brackenpulley/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets as every part here wants them: non-blocking, without delay, addresses never looked up."""
+"""Non-blocking TCP sockets with TCP_NODELAY, for all network components. Addresses are numeric, never resolved."""
 
 from __future__ import annotations
 
@@ -12,61 +12,68 @@
 
 from ..address import Address
 
-AT_ONCE = 64  # buffers that one call writes
-LEFT = frozenset((6, 7, 8, 9, 11))  # TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING (Linux, include/net/tcp_states.h)
+MAX_BUFFERS_PER_WRITE = 64
+# TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING (Linux, include/net/tcp_states.h)
+PEER_CLOSED_STATES = frozenset((6, 7, 8, 9, 11))
 
 
-def _new(at: Address) -> socket.socket:
-    sock = socket.socket(socket.AF_INET6 if ":" in at[0] else socket.AF_INET, socket.SOCK_STREAM)
+def _new_socket(address: Address) -> socket.socket:
+    sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
 
 
-def listen(at: Address, backlog: int, shared: bool = False) -> socket.socket:
-    """`shared`: a new version of the program binds the same address while this one still serves (hot restart)."""
-    sock = _new(at)
+def listen(address: Address, backlog: int, shared: bool = False) -> socket.socket:
+    """Open a listening socket. Raises OSError.
+
+    With `shared`, another process can bind the same address while this one still serves (hot restart).
+    """
+    sock = _new_socket(address)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if shared:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    sock.bind(at)
+    sock.bind(address)
     sock.listen(backlog)
     return sock
 
 
 def accept(listener: socket.socket) -> socket.socket:
+    """Accept one connection. Raises BlockingIOError if there is none, OSError if it failed."""
     sock, _ = listener.accept()
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def connect(at: Address, source: str = "") -> socket.socket:
-    """Begun; it is up, or has failed, once it can be written to. `source`: the address of ours that it comes from.
-    Raises OSError where it fails at once."""
-    sock = _new(at)
+def connect(address: Address, source: str = "") -> socket.socket:
+    """Start to connect; the socket becomes writable once it has connected or failed (see `connect_error`).
+
+    `source` is the local IP address to connect from. Raises OSError if the connection fails immediately.
+    """
+    sock = _new_socket(address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if source:
-        # Else its port, once it is closed, could not be listened on for a minute, not by a next process either.
+        # Otherwise no process could listen on the local port for a minute after this connection is closed (TIME_WAIT).
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             sock.bind((source, 0))
         except OSError:
             sock.close()
             raise
-    code = sock.connect_ex(at)
+    code = sock.connect_ex(address)
     if code not in (0, errno.EINPROGRESS):
         sock.close()
         raise OSError(code, os.strerror(code))
     return sock
 
 
-def failed(sock: socket.socket) -> int:
-    """Why a connection did not come up; 0 if it did."""
+def connect_error(sock: socket.socket) -> int:
+    """Return the error number of a failed connect, or 0 if it succeeded."""
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
-def waiting(sock: socket.socket) -> bytes | None:
-    """A look at what came and is not read yet: None for nothing, b"" for the end."""
+def peek(sock: socket.socket) -> bytes | None:
+    """Return the first unread byte without consuming it: None if there is none yet, b"" at the end or on an error."""
     try:
         return sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -75,43 +82,51 @@
         return b""
 
 
-def left(sock: socket.socket) -> bool:
-    """The other side has ended or reset it, whatever it sent before and we did not read."""
+def has_peer_closed(sock: socket.socket) -> bool:
+    """Return whether the peer has closed or reset the connection, even if data it sent before is still unread."""
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in LEFT
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in PEER_CLOSED_STATES
     except OSError:
         return False
 
 
 def write(sock: socket.socket, buffers: deque[bytes | memoryview]) -> int:
-    """As much as the socket takes now, in bytes; the rest stays in `buffers`. Raises OSError where it has ended."""
-    taken = 0
+    """Write as much as the socket accepts now and return the number of bytes; the rest stays in `buffers`.
+
+    Raises OSError if the connection is closed.
+    """
+    written = 0
     while buffers:
         try:
-            # Framing and what it frames leave in one call, so that no small segment goes out by itself.
-            sent = sock.send(buffers[0]) if len(buffers) == 1 else sock.sendmsg(list(islice(buffers, AT_ONCE)))
+            # The chunk framing and its payload leave in one call, so that the framing is not sent as a small segment.
+            sent = (
+                sock.send(buffers[0])
+                if len(buffers) == 1
+                else sock.sendmsg(list(islice(buffers, MAX_BUFFERS_PER_WRITE)))
+            )
         except BlockingIOError:
             break
-        taken += sent
+        written += sent
         while buffers and sent >= (size := len(buffers[0])):
             sent -= size
             buffers.popleft()
         if sent:
             buffers[0] = memoryview(buffers[0])[sent:]
-    return taken
+    return written
 
 
-def finish(sock: socket.socket) -> None:
-    """Nothing more will be written; what the other side still sends can be read."""
+def shutdown_write(sock: socket.socket) -> None:
+    """Close the sending direction; what the peer still sends can be read."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
-def reset(sock: socket.socket) -> None:
-    """Its close will be a reset, which cannot pass for an orderly end."""
+def reset_on_close(sock: socket.socket) -> None:
+    """Make `close` send a reset, which the peer cannot take for an orderly end."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-def out_of_descriptors(error: OSError) -> bool:
+def is_out_of_descriptors(error: OSError) -> bool:
+    """Return whether an error means that descriptors or socket memory are exhausted."""
     return error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
--- a/brackenpulley/net/south.py
+++ b/brackenpulley/net/south.py
@@ -14,10 +14,10 @@
 from ..metrics import Metrics
 from . import sockets
 from .answers import Malformed, Reply, TooMuch, outcome
-from .http import LONGEST, Payload, pass_on
+from .http import DEFAULT_MAX_BODY_BYTES, Payload, append_body_slice
 from .inventory import Inventory
 from .loop import READ, WRITE, Loop, Timer
-from .pool import SIZE, Pool
+from .pool import BUFFER_BYTES, Pool
 
 RETIRE = 0.6  # of the time after which a sim server closes an unused connection: a message must never cross that
 SWEEP = 1.0
@@ -189,7 +189,7 @@
                 conn, rested.age = rested, now - rested.since
             kept.remove(conn)
             if (
-                conn.age < self.retire and self.trust.allows(conn.age) and (sockets.waiting(conn.sock) is None)
+                conn.age < self.retire and self.trust.allows(conn.age) and (sockets.peek(conn.sock) is None)
             ):  # else it has ended, or says what nobody asked for
                 return conn
             self.close(conn)
@@ -208,7 +208,7 @@
         try:
             sock = sockets.connect(key[1])
         except OSError as error:
-            if sockets.out_of_descriptors(error):
+            if sockets.is_out_of_descriptors(error):
                 self.metrics.add("out_of_descriptors")
                 self._evict()
             return None
@@ -238,7 +238,7 @@
 
     def _event(self, conn: Conn, events: int) -> None:
         if not conn.up:
-            if sockets.failed(conn.sock):
+            if sockets.connect_error(conn.sock):
                 self._broken(conn)
                 return
             conn.up = True
@@ -271,7 +271,7 @@
             self._end(attempt, RelayEnd("connect_failed"))
             return
         payload: Payload = attempt.message.payload
-        conn.reply = Reply(LONGEST, bodiless=payload.method == b"HEAD")
+        conn.reply = Reply(DEFAULT_MAX_BODY_BYTES, bodiless=payload.method == b"HEAD")
         if payload.stream is not None and not self._stream(conn, attempt, payload.stream):
             self._keep(conn)
             self._end(attempt, RelayEnd("connect_failed"))
@@ -288,7 +288,7 @@
         attempt.moved = self.loop.clock()
 
         # Never from within the read that brought it: what breaks here would end that one too.
-        stream.changed = self.loop.once_a_turn(lambda: self._woken(conn, attempt))
+        stream.changed = self.loop.coalesce(lambda: self._woken(conn, attempt))
         attempt.timer = self.loop.call_in(STALLED, lambda: self._unsent(conn, attempt))
         return True
 
@@ -358,21 +358,23 @@
                 attempt.since = self.loop.clock()
                 if attempt.timer is not None:
                     attempt.timer.cancel()
-        self.loop.want(conn.sock, READ | WRITE if attempt.out else READ, lambda events: self._event(conn, events))
+        self.loop.set_interest(
+            conn.sock, READ | WRITE if attempt.out else READ, lambda events: self._event(conn, events)
+        )
 
     def _refill(self, attempt: Attempt) -> bool:
         """The next slice of a long body; False where there is none yet."""
         assert attempt.stream is not None
-        more = pass_on(attempt.stream, attempt.out, attempt.chunked)
+        more = append_body_slice(attempt.stream, attempt.out, attempt.chunked)
         attempt.ended = attempt.stream.whole
         return more
 
     def _readable(self, conn: Conn) -> None:
         attempt, reply = conn.relay, conn.reply
         flow = attempt.flow if attempt is not None else None
-        room = SIZE if flow is None else min(SIZE, flow.space())
+        room = BUFFER_BYTES if flow is None else min(BUFFER_BYTES, flow.space())
         if not room:  # its client does not take what is there already
-            self.loop.want(conn.sock, 0, lambda events: None)
+            self.loop.set_interest(conn.sock, 0, lambda events: None)
             return
         ours = False
         try:
@@ -418,11 +420,11 @@
         """What has come. A slice that flows goes on to the client as it is, so it is read into bytes of its own."""
         if flows:
             return sock.recv(room)
-        buffer = self.pool.take()
+        buffer = self.pool.acquire()
         try:
             return bytes(memoryview(buffer)[: sock.recv_into(buffer, room)])
         finally:
-            self.pool.give(buffer)
+            self.pool.release(buffer)
 
     def _fits(self, conn: Conn, reply: Reply) -> bool:
         """What is held of an answer that is not whole yet is counted; False where all such are too much together."""
@@ -449,7 +451,7 @@
         def eased() -> None:
             if attempt.conn is conn:
                 attempt.moved = self.loop.clock()
-                self.loop.want(conn.sock, READ, lambda events: self._event(conn, events))
+                self.loop.set_interest(conn.sock, READ, lambda events: self._event(conn, events))
 
         flow.eased = eased
         reply.flow(flow)
@@ -477,7 +479,7 @@
         self._forget(conn)
         conn.since = self.loop.clock()
         self.unused.setdefault(conn.key, []).append(conn)
-        self.loop.want(conn.sock, READ, lambda events: self._event(conn, events))
+        self.loop.set_interest(conn.sock, READ, lambda events: self._event(conn, events))
 
     def _broken(self, conn: Conn, ours: bool = False) -> None:
         """`ours`: it is not the server's fault, and would be so again."""
@@ -505,7 +507,7 @@
         if kept and conn in kept:
             kept.remove(conn)
         self._forget(conn)
-        self.loop.want(conn.sock, 0, lambda events: None)
+        self.loop.set_interest(conn.sock, 0, lambda events: None)
         conn.sock.close()
         self.count -= 1
         self.opened[conn.key[0]] -= 1
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -177,10 +177,10 @@
             if part is not None:
                 part.start()
         if signals:
-            self.loop.on_signal(signal.SIGTERM, self.end)
-            self.loop.on_signal(signal.SIGINT, self.end)
-            self.loop.on_signal(signal.SIGUSR1, self.report)
-            self.loop.on_signal(signal.SIGHUP, self.reload)
+            self.loop.add_signal_handler(signal.SIGTERM, self.end)
+            self.loop.add_signal_handler(signal.SIGINT, self.end)
+            self.loop.add_signal_handler(signal.SIGUSR1, self.report)
+            self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         at = self._listen("listen", self.north, self.config.listen)
         if self.front is not None and self.config.operator.server is not None:
             checks = self._listen("authz.server.listen", self.front, self.config.operator.server.listen)
@@ -228,7 +228,7 @@
 
         def out() -> tuple[int, bytes, bytes]:
             self.drain.out = True
-            self.north.close_unused()
+            self.north.close_idle()
             self.log.info("out of service")
             return 200, b"out of service\n", TEXT
 
@@ -248,7 +248,7 @@
         apart = self.ingress.gateway.servers.apart
         asked = sum(not exchange.over for exchange in self.ingress.held.values())
         return {
-            "active": asked + self.north.flowing,
+            "active": asked + self.north.streaming_responses,
             "pool_size": len(self.inventory),
             "pool_ejected": sum(self.inventory.address(name) is not None for name in apart),
         }
@@ -299,9 +299,9 @@
         self._finish()
 
     def _finish(self) -> None:
-        self.north.close_unused()
+        self.north.close_idle()
         if self.clock() >= self._halves_until:
-            self.north.give_up_halves()
+            self.north.reject_partial_requests()
         if self.north.clients or self.ingress.held or self.front is not None and self.front.peers:
             self.loop.call_in(0.02, self._finish)
         else:
--- a/brackenpulley/standins/billing.py
+++ b/brackenpulley/standins/billing.py
@@ -8,7 +8,7 @@
 
 from ..net.http import Payload
 from ..net.loop import Loop
-from ..net.requests import Fault
+from ..net.requests import RequestError
 from .wire import Line, Listener, header
 
 LARGEST = 8 << 20
@@ -38,7 +38,7 @@
             (int(row.split(b":")[1]) for row in head.split(b"\r\n") if row.lower().startswith(b"content-length")), 0
         )
         if size > LARGEST:
-            raise Fault(413)
+            raise RequestError(413)
         if len(body) >= size:
             line.data = body[size:]
             headers = [
--- a/brackenpulley/standins/clients.py
+++ b/brackenpulley/standins/clients.py
@@ -60,7 +60,7 @@
 
     def _event(self, events: int) -> None:
         if not self.up:
-            if sockets.failed(self.sock):
+            if sockets.connect_error(self.sock):
                 self.close()
                 return
             self.up = True
@@ -82,7 +82,7 @@
         if self.sock.fileno() >= 0 and self.out:
             self._write()
         elif self.sock.fileno() >= 0:
-            self.load.loop.want(self.sock, READ, self._event)
+            self.load.loop.set_interest(self.sock, READ, self._event)
 
     def _write(self) -> None:
         try:
@@ -94,7 +94,7 @@
             return
         if not self.out and self.one is not None:
             self.one.taken = True
-        self.load.loop.want(self.sock, READ | WRITE if self.out else READ, self._event)
+        self.load.loop.set_interest(self.sock, READ | WRITE if self.out else READ, self._event)
 
     def on_message_complete(self) -> None:
         one, self.one = self.one, None
@@ -114,7 +114,7 @@
     def close(self) -> None:
         if self.sock.fileno() < 0:
             return
-        self.load.loop.want(self.sock, 0, self._event)
+        self.load.loop.set_interest(self.sock, 0, self._event)
         self.sock.close()
         idle = self.load.idle.get(self.ingress, [])
         if self in idle:
@@ -180,7 +180,7 @@
     def _client(self, ingress: int) -> Client | None:
         while kept := self.idle.get(ingress):
             client = kept.pop()
-            if sockets.waiting(client.sock) is None:
+            if sockets.peek(client.sock) is None:
                 return client
             client.close()
         try:
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -24,7 +24,7 @@
 from ..members.protocol import Changed
 from ..members.wire import DEAD
 from ..metrics import Metrics
-from ..net.loop import Loop, Ready, Timer, Watchable
+from ..net.loop import EventCallback, Loop, Selectable, Timer
 from ..operator import decode as decode_operator
 from ..serve import Daemon
 
@@ -96,9 +96,9 @@
     def __init__(self, loop: Loop, metrics: Metrics, ended: Callable[[], None]) -> None:
         # Not Loop's own: there is one selector and one heap of timers, those of `loop`.
         self.loop, self.clock, self.log, self.metrics, self.ended = loop, loop.clock, loop.log, metrics, ended
-        self.open, self.late, self.running = True, False, True
+        self.open, self.is_lagging, self.running = True, False, True
         self.busy = 0.0  # s of its calls
-        self._sockets: set[Watchable] = set()
+        self._sockets: set[Selectable] = set()
 
     def _timed(self, call: Callable[[], None]) -> Callable[[], None]:
         def timed() -> None:
@@ -115,7 +115,7 @@
         self.busy += seconds
         self.metrics.most("longest_turn_us", int(seconds * 1e6))
 
-    def _ready(self, ready: Ready) -> Ready:
+    def _ready(self, ready: EventCallback) -> EventCallback:
         def timed(events: int) -> None:
             if self.open:
                 began = time.perf_counter()
@@ -126,18 +126,18 @@
 
         return timed
 
-    def register(self, sock: Watchable, events: int, ready: Ready, urgent: bool = False) -> None:
+    def register(self, sock: Selectable, events: int, ready: EventCallback, urgent: bool = False) -> None:
         self._sockets.add(sock)
         self.loop.register(sock, events, self._ready(ready), urgent)
 
-    def want(self, sock: Watchable, events: int, ready: Ready) -> None:
+    def set_interest(self, sock: Selectable, events: int, ready: EventCallback) -> None:
         if sock.fileno() >= 0:
             (self._sockets.add if events else self._sockets.discard)(sock)
-        self.loop.want(sock, events, self._ready(ready))
+        self.loop.set_interest(sock, events, self._ready(ready))
 
-    def forget(self, sock: Watchable) -> None:
+    def unregister(self, sock: Selectable) -> None:
         self._sockets.discard(sock)
-        self.loop.forget(sock)
+        self.loop.unregister(sock)
 
     def call_at(self, when: float, call: Callable[[], None]) -> Timer:
         return self.loop.call_at(when, self._timed(call))
@@ -152,7 +152,7 @@
         self.open = False
         for sock in self._sockets:
             if sock.fileno() >= 0:
-                self.loop.forget(sock)
+                self.loop.unregister(sock)
                 sock.close()  # type: ignore[attr-defined]
         self._sockets.clear()
 
--- a/brackenpulley/standins/links.py
+++ b/brackenpulley/standins/links.py
@@ -55,7 +55,7 @@
             self.stream.close()
             return
         if self.over and not self.out:
-            sockets.finish(self.to)
+            sockets.shutdown_write(self.to)
         self.stream.want()
 
     def finish(self) -> None:
@@ -85,7 +85,7 @@
         for sock, reads, writes in ((self.accepted, self.there, self.back), (self.connected, self.back, self.there)):
             coming_up = sock is self.connected and not self.up
             events = (0 if reads.over else READ) | (WRITE if writes.out or coming_up else 0)
-            loop.want(sock, events, lambda events, r=reads, w=writes: self.event(r, w, events))  # type: ignore[misc]
+            loop.set_interest(sock, events, lambda events, r=reads, w=writes: self.event(r, w, events))  # type: ignore[misc]
         if self.there.over and self.back.over and not self.there.out and not self.back.out:
             self.close()
 
@@ -95,9 +95,9 @@
         self.closed = True
         self.relays.streams.discard(self)
         for sock in (self.accepted, self.connected):
-            self.relays.loop.want(sock, 0, lambda events: None)
+            self.relays.loop.set_interest(sock, 0, lambda events: None)
             if reset:
-                sockets.reset(sock)
+                sockets.reset_on_close(sock)
             sock.close()
 
 
@@ -156,7 +156,7 @@
         a = self._names.get(source[0])
         link = self.links.of(a or "", to)
         if a is None or link.cut or self.links.of(to, a).cut:
-            sockets.reset(sock)
+            sockets.reset_on_close(sock)
             sock.close()
             return
         try:
@@ -179,7 +179,7 @@
         for stream in list(self.streams):
             stream.close()
         for sock in (*self._sockets.values(), *self._listeners.values()):
-            self.loop.want(sock, 0, lambda events: None)
+            self.loop.set_interest(sock, 0, lambda events: None)
             sock.close()
         self._sockets.clear()
         self._listeners.clear()
--- a/brackenpulley/standins/wire.py
+++ b/brackenpulley/standins/wire.py
@@ -8,9 +8,9 @@
 
 from ..bodies.shares import Shares
 from ..net import sockets
-from ..net.http import LONGEST, Payload
+from ..net.http import DEFAULT_MAX_BODY_BYTES, Payload
 from ..net.loop import READ, WRITE, Loop
-from ..net.requests import Fault, Reader
+from ..net.requests import RequestError, RequestReader
 
 CHUNK = 1 << 18
 Heard = Callable[["Line", Payload], None]
@@ -21,7 +21,7 @@
 
     def __init__(self, server: Listener, sock: socket.socket) -> None:
         self.server, self.sock = server, sock
-        self.reader = Reader(server.shares, LONGEST)
+        self.reader = RequestReader(server.shares, DEFAULT_MAX_BODY_BYTES)
         self.data = b""  # for listeners that speak no HTTP
         self.out: bytes | memoryview = b""
         self.drained: Callable[[], None] | None = None  # called when all that was sent has gone
@@ -56,7 +56,7 @@
         except OSError:
             self.close()
             return
-        self.server.loop.want(self.sock, READ | WRITE if self.out else READ, self._event)
+        self.server.loop.set_interest(self.sock, READ | WRITE if self.out else READ, self._event)
         if not self.out and self.drained is not None:
             call, self.drained = self.drained, None
             self.server.loop.call_soon(call)
@@ -67,13 +67,13 @@
 
     def reset(self) -> None:
         """Break: the other side sees a reset where something of it is unread or unanswered."""
-        sockets.reset(self.sock)
+        sockets.reset_on_close(self.sock)
         self.close()
 
     def close(self) -> None:
         if self.open:
             self.open = False
-            self.server.loop.want(self.sock, 0, self._event)
+            self.server.loop.set_interest(self.sock, 0, self._event)
             self.sock.close()
             self.server.lines.discard(self)
 
@@ -120,16 +120,16 @@
         """HTTP; a stand-in with another protocol has its own."""
         try:
             line.reader.feed(memoryview(data))
-        except Fault as error:
+        except RequestError as error:
             line.answer(error.status, headers="Connection: close\r\n")
             line.close()
             return
-        while line.reader.whole and line.open and self.heard is not None:
-            self.heard(line, line.reader.whole.popleft()[0])
+        while line.reader.complete and line.open and self.heard is not None:
+            self.heard(line, line.reader.complete.popleft()[0])
 
     def stop(self) -> None:
         if self.sock is not None:
-            self.loop.want(self.sock, 0, lambda events: None)
+            self.loop.set_interest(self.sock, 0, lambda events: None)
             self.sock.close()
             self.sock = None
         for line in list(self.lines):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -33,7 +33,7 @@
             try:
                 data = data[self.sock.send(data) :]
             except BlockingIOError:
-                self.rig.turn()
+                self.rig.run_once()
         return self
 
     def _more(self) -> bool:
@@ -144,20 +144,20 @@
         ]
         return {"generation": 7, "reset": True, "instances": rows}
 
-    def turn(self) -> None:
-        self.daemon.loop.turn(0.005)
+    def run_once(self) -> None:
+        self.daemon.loop.run_once(0.005)
 
     def until(self, done: Callable[[], bool]) -> None:
         end = time.monotonic() + PATIENCE
         while not done():
             assert time.monotonic() < end, "waited in vain"
-            self.turn()
+            self.run_once()
 
     def skip(self, seconds: float) -> None:
         """The ingress's clock moves on; what is due then happens."""
         self.skipped += seconds
         for _ in range(3):
-            self.turn()
+            self.run_once()
 
     def freeze(self) -> None:
         """From now on the ingress's clock moves by `skip` and `step` alone."""
@@ -165,7 +165,7 @@
 
     def step(self, seconds: float) -> None:
         self.skipped += seconds
-        self.daemon.loop.turn(0)
+        self.daemon.loop.run_once(0)
 
     def client(self) -> Wire:
         return Wire(self, socket.create_connection(self.at))
@@ -214,6 +214,6 @@
     made = Rig(servers, **more)
     try:
         yield made
-        assert made.count("faults") == 0 and made.daemon.pool.lent == 0
+        assert made.count("faults") == 0 and made.daemon.pool.in_use == 0
     finally:
         made.close()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -23,8 +23,8 @@
 from brackenpulley.bodies.spool import Folder
 from brackenpulley.net import north
 from brackenpulley.net.answers import EARLY, Reply
-from brackenpulley.net.http import BODY
-from brackenpulley.net.requests import Reader
+from brackenpulley.net.http import MAX_BUFFERED_BODY_BYTES
+from brackenpulley.net.requests import RequestReader
 from brackenpulley.operator import decode
 
 from .rig import Rig, Wire, rig
@@ -184,7 +184,17 @@
 
 # Every form, in any pieces.
 
-BODIES = st.one_of(st.integers(0, 300), st.sampled_from([BODY - 1, BODY, BODY + 1, BODY + 70_000]))
+BODIES = st.one_of(
+    st.integers(0, 300),
+    st.sampled_from(
+        [
+            MAX_BUFFERED_BODY_BYTES - 1,
+            MAX_BUFFERED_BODY_BYTES,
+            MAX_BUFFERED_BODY_BYTES + 1,
+            MAX_BUFFERED_BODY_BYTES + 70_000,
+        ]
+    ),
+)
 
 
 def forms(body: bytes, form: str, cut: int) -> bytes:
@@ -206,15 +216,15 @@
     body, account = noise(size), Shares(TOTAL)
     data = b"POST /a/1 HTTP/1.1\r\nX-Tariff:  p \r\n" + forms(body, form, cut)
     data += b"GET /b HTTP/1.1\r\n\r\n"
-    reader, at = Reader(account), 0
+    reader, at = RequestReader(account), 0
     first = data[: len(data) - behind]  # the first piece may end anywhere in the last few hundred bytes
     for piece in [first] if step > 1000 else [data[i : i + step * 40] for i in range(0, len(data), step * 40)]:
         reader.feed(memoryview(piece))
         at += len(piece)
     reader.feed(memoryview(data[at:]))
-    (one, _), (two, _) = reader.whole
+    (one, _), (two, _) = reader.complete
     found = one.body if one.stream is None else b"".join(one.stream.take(1 << 30))
-    assert found == body and (one.stream is not None) == (size > BODY) and two.target == b"/b"
+    assert found == body and (one.stream is not None) == (size > MAX_BUFFERED_BODY_BYTES) and two.target == b"/b"
     assert (b"x-tariff", b"p") in one.headers  # white space round a value is no part of it
     reader.close()
     assert not account.flows and not account.kept
@@ -233,7 +243,7 @@
             reply.flow(stream)
     reply.end()
     assert reply.whole and (stream.take(1 << 30) if stream else [reply.body])
-    assert stream is None or size > BODY or reply.length > BODY
+    assert stream is None or size > MAX_BUFFERED_BODY_BYTES or reply.length > MAX_BUFFERED_BODY_BYTES
     if stream is not None:
         stream.begin()
 
@@ -342,7 +352,7 @@
         # Until neither the two sockets nor the account take more. What is under way between two sockets is on another
         # clock than the ingress: while there is room for it the server may seem to stand still.
         while still < 50 or not all(flow.full for flow in flows(r)):
-            r.turn()
+            r.run_once()
             try:
                 sent, still = sent + server.sock.send(data[sent : sent + 65536]), 0
             except BlockingIOError:
@@ -357,7 +367,7 @@
                     sent += server.sock.send(data[sent : sent + 65536])
                 except BlockingIOError:
                     pass
-            r.turn()
+            r.run_once()
             client._more()
             seen = len(client.seen)
         assert client.answer()[2] == body and r.daemon.metrics.classes["ok", "a"] == 1
@@ -373,14 +383,14 @@
         data = H200 + b"Content-Length: %d\r\n\r\n" % len(body) + body
         sent = 0
         while sent < len(data) or not flows(r) or not flows(r)[0].full:
-            r.turn()
+            r.run_once()
             try:
                 sent += server.sock.send(data[sent:])
             except BlockingIOError:
                 pass
         (flow,) = flows(r)
         while flow.ahead == shares.MOST:
-            r.turn()
+            r.run_once()
             client.seen += client.sock.recv(4096) if select.select([client.sock], [], [], 0)[0] else b""
         assert flow.full and 0 < flow.space() < shares.MOST // 2
         r.skip(6.0)
@@ -389,7 +399,7 @@
 
 
 def flows(r: Rig) -> list[Body]:
-    return [c.flow for c in r.daemon.north.clients if c.flow is not None]
+    return [c.response_body for c in r.daemon.north.clients if c.response_body is not None]
 
 
 def test_a_client_that_leaves_a_long_answer_ends_its_relay() -> None:
@@ -480,7 +490,7 @@
         while sent < shares.KEPT_MOST + 300_000:
             client.send(noise(100_000))
             sent += 100_000
-            r.turn()
+            r.run_once()
             if server is None:
                 server = next((w for p in r.peers.values() if (w := p.connected())), None)
             elif server._more():
@@ -523,7 +533,7 @@
 
 
 def test_what_was_lost_of_one_body_does_not_count_against_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(north, "LINGER_MOST", 320_000)
+    monkeypatch.setattr(north, "MAX_DISCARDED_BYTES", 320_000)
     with rig(servers=0) as r:
         client = r.client()
         for _ in range(3):
@@ -609,7 +619,7 @@
 
 def test_a_body_over_the_limit_gets_413_that_the_client_can_read_after_sending_all_of_it() -> None:
     with rig() as r:
-        r.daemon.north.longest = 200_000
+        r.daemon.north.max_body_bytes = 200_000
         client = r.client().send(post(900_000) + noise(900_000))
         assert client.answer()[0] == 413 and client.ended() and r.count("relays") == 0
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
@@ -634,7 +644,7 @@
                     server.sock.send(b"x" * 65536)
                 except BlockingIOError:
                     pass
-            r.turn()
+            r.run_once()
         ahead = sum(body.ahead for body in flows(r))
         assert len(flows(r)) == 12 and ahead <= account.flow_most and account.held <= account.held_most
 
@@ -741,7 +751,7 @@
             if sent < shares.KEPT_MOST + 600_000:
                 client.send(body[sent : sent + 100_000])
                 sent += 100_000
-            r.turn()
+            r.run_once()
             if first is None:
                 first = next((w for p in r.peers.values() if (w := p.connected())), None)
             else:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -68,7 +68,7 @@
         wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
         wire.send(GONE[how]).close()
         r.until(lambda: not r.daemon.north.clients)
-        r.turn()
+        r.run_once()
         assert r.count("gone") == 1 and r.count("relays") == 1 and not r.daemon.ingress.held
         assert server.ended()
 
@@ -83,17 +83,17 @@
             """Sent until there is no room here, and no more than the system holds for us."""
             if not server and (found := r.peers["s-0"].connected()):
                 server.append(found)
-            if not r.daemon.north.unread:
+            if not r.daemon.north.read_paused:
                 try:
                     wire.sock.send(b"x" * 60000)
                 except BlockingIOError:
                     return False
-            return bool(r.daemon.north.unread)
+            return bool(r.daemon.north.read_paused)
 
         r.until(stuck)
         wire.reset() if reset else wire.close()
         r.until(lambda: not r.daemon.north.clients)
-        assert not r.daemon.north.unread and not r.daemon.ingress.held
+        assert not r.daemon.north.read_paused and not r.daemon.ingress.held
 
 
 def test_a_client_that_left_while_it_waited_to_be_accepted_is_not_sent_on() -> None:
@@ -133,7 +133,7 @@
         server.answer()
         wire.send(head(2) + b"x" * 300000)
         server.send(OK)
-        r.until(lambda: bool(r.daemon.north.ended))
+        r.until(lambda: bool(r.daemon.north.half_closed))
         assert orderly(wire) and wire.seen.startswith(b"HTTP/1.1 200") and r.count("relays") == 1
         wire.close()
         r.until(lambda: not r.daemon.north.clients)
@@ -147,7 +147,7 @@
         wire = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
         assert wire.answer()[0] == 200
         r.freeze()
-        look = sockets.waiting
+        look = sockets.peek
 
         def crossing(sock: socket.socket) -> bytes | None:
             found = look(sock)
@@ -156,14 +156,14 @@
                 r.ask(1, wire=wire)  # in the very moment between the look and the end
             return found
 
-        monkeypatch.setattr(sockets, "waiting", crossing)
+        monkeypatch.setattr(sockets, "peek", crossing)
         if how == "out of service":
-            r.daemon.north.close_unused()
+            r.daemon.north.close_idle()
         elif how == "evicted":
             assert r.daemon.north._evict()
         else:
             r.skip(130.0)
-        r.until(lambda: bool(r.daemon.north.ended))
+        r.until(lambda: bool(r.daemon.north.half_closed))
         assert r.count("crossed") == 1
         r.step(0.1)
         assert orderly(wire) and r.count("messages") == 0
@@ -174,12 +174,12 @@
 def test_what_never_ends_its_side_is_closed_after_a_bound_and_first_where_room_is_short() -> None:
     with rig() as r:
         north, clients = r.daemon.north, []
-        north.most = 2
-        for _ in range(north.lingering + 5):
+        north.max_active = 2
+        for _ in range(north.max_lingering + 5):
             clients.append(r.client().send(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n"))
             assert clients[-1].answer()[0] == 200
-        r.until(lambda: len(north.ended) == north.lingering + 2 == len(north.clients))
-        assert north._make_room() and len(north.ended) == north.lingering + 1
+        r.until(lambda: len(north.half_closed) == north.max_lingering + 2 == len(north.clients))
+        assert north._free_descriptor() and len(north.half_closed) == north.max_lingering + 1
         r.skip(2.3)
         r.until(lambda: not north.clients)
 
@@ -188,12 +188,12 @@
     with rig() as r:
         north = r.daemon.north
         for _ in range(50):
-            north._pause()
-            north._accept_on()
+            north._pause_accepting()
+            north._start_accepting()
         r.skip(0.02)
         assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
         r.freeze()
-        assert sum(timer.call == north._resume for _, _, timer in r.daemon.loop._heap) == 0
+        assert sum(timer.callback == north._resume_accepting for _, _, timer in r.daemon.loop._heap) == 0
 
 
 # SIGTERM.
@@ -212,7 +212,7 @@
         _, server = r.served()
         server.answer()
         r.ask(2, wire=wire)
-        r.until(lambda: any(client.reader.whole for client in r.daemon.north.clients))
+        r.until(lambda: any(client.reader.complete for client in r.daemon.north.clients))
         ends(r, 0.6, 0.2)
         server.send(OK)
         status, first, _ = wire.answer()
@@ -231,9 +231,9 @@
     be lost, one that has its error at 0.7 s is not."""
     with rig() as r:
         wire = r.client().send(head(1)[:30])
-        r.until(lambda: any(client.reader.partial for client in r.daemon.north.clients))
+        r.until(lambda: any(client.reader.is_partial for client in r.daemon.north.clients))
         ends(r, 0.55)
-        assert not r.daemon.north.ended
+        assert not r.daemon.north.half_closed
         r.skip(0.25)
         assert wire.answer()[0] == 408
         wire.send(head(1)[30:])
@@ -245,12 +245,12 @@
 def test_half_a_message_whose_rest_has_come_unread_is_taken() -> None:
     with rig() as r:
         wire = r.client().send(head(1)[:30])
-        r.until(lambda: any(client.reader.partial for client in r.daemon.north.clients))
+        r.until(lambda: any(client.reader.is_partial for client in r.daemon.north.clients))
         ends(r, 0.55)
         r.freeze()
         r.skipped += 0.2
         wire.send(head(1)[30:])
-        r.daemon.north.give_up_halves()  # in the turn whose timer is due, before its sockets are looked at
+        r.daemon.north.reject_partial_requests()  # in the turn whose timer is due, before its sockets are looked at
         _, server = r.served()
         server.answer()
         server.send(OK)
@@ -260,12 +260,12 @@
 def test_many_resting_connections_all_end_in_order_at_sigterm() -> None:
     """Each has a message on its way in the moment of its end: none is reset, none is sent on."""
     with rig() as r:
-        wires = [r.client().send(b"GET /ready HTTP/1.1\r\n\r\n") for _ in range(3 * r.daemon.north.lingering)]
+        wires = [r.client().send(b"GET /ready HTTP/1.1\r\n\r\n") for _ in range(3 * r.daemon.north.max_lingering)]
         assert [wire.answer()[0] for wire in wires] == [200] * len(wires)
         ends(r)
         r.daemon.loop.call_soon(lambda: [r.ask(n, wire=wire) for n, wire in enumerate(wires, 1)] and None)
-        r.daemon.north.close_unused()
-        r.turn()
+        r.daemon.north.close_idle()
+        r.run_once()
         assert all(orderly(wire) for wire in wires) and r.count("messages") == 0
         for wire in wires:
             wire.close()
@@ -325,7 +325,7 @@
             wire.send(said(r.listing()))
         else:
             wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + end)
-        r.turn()
+        r.run_once()
         assert r.daemon.discovery.at == at
         wire, line = asked(new)
         assert line.startswith(b"GET /v1/endpoints HTTP") and r.count("watch_breaks") == 0
@@ -454,7 +454,7 @@
     with with_discovery(limits={"sockets": 64, "memory_mb": 32}, known={}) as (r, place):
         north = r.daemon.north
         crowd = [r.client() for _ in range(64)]
-        r.until(lambda: len(north.clients) >= north.most)
+        r.until(lambda: len(north.clients) >= north.max_active)
         deaf, _ = asked(place)  # never answered: discovery is down
         for _ in range(8):
             r.skip(0.5)
@@ -477,7 +477,7 @@
         server.answer()
         server.send(OK)
         assert client.answer()[0] == 200 and r.count("out_of_descriptors") == 0
-        assert len(north.clients) <= north.most + north.lingering + 1
+        assert len(north.clients) <= north.max_active + north.max_lingering + 1
         for one in crowd:
             one.close()
         deaf.close()
@@ -598,8 +598,8 @@
         server.answer()
         if answer:
             server.send(answer)
-            r.turn()
-            r.turn()
+            r.run_once()
+            r.run_once()
         if not never:
             server.reset()
         if never or effect == "free":
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -103,7 +103,7 @@
         self.service.answer(lambda answer: answered.append(units), Answer("served", 200))
 
     def turn(self) -> None:
-        self.loop.turn(0)
+        self.loop.run_once(0)
 
     def crash(self, torn: bytes) -> None:
         store = self.service.store
--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -54,7 +54,7 @@
         end = time.monotonic() + 15
         while not done():
             assert time.monotonic() < end, [m.status() for m in self.members]
-            self.loop.turn(0.01)
+            self.loop.run_once(0.01)
 
     def agree(self, count: int) -> bool:
         return all(m.protocol is None or m.protocol.size == count for m in self.members)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -17,7 +17,7 @@
             assert new.at == old.at
             wire = new.ask(1)
             for one in (old, new):
-                one.turn()
+                one.run_once()
             assert old.count("accepted") + new.count("accepted") == 1
             wire.close()
         finally:
@@ -50,7 +50,7 @@
         assert call(one, "GET", "", b"GET /" + b"x" * 5000 + b" HTTP/1.1\r\n\r\n")[0] == 400
         assert time.monotonic() - began < 1.0
         one.skip(1.5)  # past their deadline the slow callers are closed, not waited for
-        assert not one.daemon.console.callers
+        assert not one.daemon.console.connections
         for sock in stalled:
             sock.close()
 
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -187,11 +187,11 @@
             elif kind == "pass":
                 core.now += number / 2
             elif kind == "crash":
-                core.loop.turn(0)
+                core.loop.run_once(0)
                 must += core.south.over(core.ingress.held)
                 core.crash()
                 core = Core(folder, core.now)
-            core.loop.turn(0)
+            core.loop.run_once(0)
             must += core.south.over(core.ingress.held)
             heads, store = core.ledger.tally.heads, core.ledger.store
             closed = sum(entry.units for entry in store.entries())
@@ -257,7 +257,7 @@
         end = time.monotonic() + 20
         while not done():
             assert time.monotonic() < end, (tmp_path / "n0.log").read_text()
-            outside.turn(0.02)
+            outside.run_once(0.02)
 
     billing.mode = "taken silently"
     first = start()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -25,7 +25,7 @@
 from brackenpulley.net.answers import Malformed, Reply, outcome
 from brackenpulley.net.counter import Replies
 from brackenpulley.net.counter import encode as encode_call
-from brackenpulley.net.requests import Fault, Reader
+from brackenpulley.net.requests import RequestError, RequestReader
 from brackenpulley.net.south import Trust
 from brackenpulley.policy.interface import Counted, Total
 
@@ -118,7 +118,7 @@
         server.answer()
         server.send(OK)
         assert client.answer()[0] == 200
-        r.daemon.loop.forget(next(iter(r.daemon.south.unused.values()))[0].sock)  # its end is not heard of in time
+        r.daemon.loop.unregister(next(iter(r.daemon.south.unused.values()))[0].sock)  # its end is not heard of in time
         server.close()
         conn = next(iter(r.daemon.south.unused.values()))[0]
         r.daemon.loop.register(conn.sock, 1, lambda events: None)
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize("data", [b"", HEAD])
 def test_a_crowd_of_strangers_makes_room_before_the_usual_clients(data: bytes) -> None:
     with rig() as r:
-        r.daemon.north.most = 3
+        r.daemon.north.max_active = 3
         usual = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
         assert usual.answer()[0] == 200
         crowd = [r.client().send(data) for _ in range(2)]
@@ -274,7 +274,7 @@
         held = next(iter(r.daemon.north.clients))
         real, held.sock = held.sock, Slow(held.sock)  # type: ignore[assignment]
         server.send(OK)
-        r.until(lambda: bool(held.out))
+        r.until(lambda: bool(held.outgoing))
         r.skip(5.0)
         held.sock = real
         assert client.answer()[0] == 200
@@ -372,7 +372,7 @@
 
 def test_parsers_are_given_back_without_the_garbage_collector() -> None:
     # Guards against a cycle for each connection and each chunked answer: they waited for a full collection.
-    reader, reply = Reader(), Reply()
+    reader, reply = RequestReader(), Reply()
     reader.feed(memoryview(HEAD))
     reader.close()
     reply.feed(CHUNKS)
@@ -402,15 +402,15 @@
 
 def test_at_the_cap_an_unused_connection_makes_room() -> None:
     with rig() as r:
-        r.daemon.north.most = 2
+        r.daemon.north.max_active = 2
         old, new = r.client(), r.client()
         r.until(lambda: len(r.daemon.north.clients) == 2)
         r.skip(0.06)
         third = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
         assert third.answer()[0] == 200
-        assert old.ended() and len(r.daemon.north.ended) == 1
+        assert old.ended() and len(r.daemon.north.half_closed) == 1
         old.close()  # what ended our side only waits for the client's
-        r.until(lambda: len(r.daemon.north.clients) == 2 and not r.daemon.north.ended)
+        r.until(lambda: len(r.daemon.north.clients) == 2 and not r.daemon.north.half_closed)
         new.close()
 
 
@@ -457,7 +457,7 @@
 
 def test_what_waits_in_the_backlog_is_taken_in_whatever_the_cap() -> None:
     with rig() as r:
-        r.daemon.north.most = 1
+        r.daemon.north.max_active = 1
         clients = [r.ask(number) for number in (1, 2, 3, 4)]
         r.daemon.north.stop_listening()
         assert len(r.daemon.north.clients) == 4
@@ -469,7 +469,7 @@
 def test_half_a_message_does_not_keep_the_program_from_ending() -> None:
     with rig() as r:
         wire = r.client().send(HEAD)
-        r.until(lambda: any(c.reader.partial for c in r.daemon.north.clients))
+        r.until(lambda: any(c.reader.is_partial for c in r.daemon.north.clients))
         r.daemon.loop.running = True
         r.daemon.end()
         r.skip(0.6)
@@ -647,7 +647,7 @@
         client.tell = lambda e: ends.append(e.status)
         for _ in range(4):
             client.add(1, 1, 4.0)
-            r.turn()
+            r.run_once()
             r.step(0.05)
         r.counter.accept()
         r.until(lambda: len(ends) == 4)
@@ -836,32 +836,32 @@
 
 @pytest.mark.parametrize("step", [1, 3, 1000])
 def test_messages_in_any_pieces(step: int) -> None:
-    reader = Reader()
+    reader = RequestReader()
     data = b"POST /a/1 HTTP/1.1\r\nX-A: 1\r\nContent-Length: 3\r\n\r\nabcGET /b/2?x HTTP/1.1\r\n\r\n"
     for at in range(0, len(data), step):
         reader.feed(memoryview(data[at : at + step]))
-    found = [(p.method, p.target, p.body) for p, _ in reader.whole]
+    found = [(p.method, p.target, p.body) for p, _ in reader.complete]
     assert found == [(b"POST", b"/a/1", b"abc"), (b"GET", b"/b/2?x", b"")]
 
 
 def test_a_long_body_does_not_count_as_the_next_ones_head() -> None:
-    reader = Reader()
+    reader = RequestReader()
     reader.feed(memoryview(b"POST /a/1 HTTP/1.1\r\nContent-Length: 30000\r\n\r\n" + b"x" * 30000 + b"GET /b"))
     reader.feed(memoryview(b"/2 HTTP/1.1\r\n\r\n"))
-    assert len(reader.whole) == 2
+    assert len(reader.complete) == 2
 
 
 def test_a_trailer_does_not_pass_for_a_header() -> None:
-    reader = Reader()
+    reader = RequestReader()
     reader.feed(memoryview(b"POST /a/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Request-ID: 9\r\n\r\n"))
-    assert [n for n, _ in reader.whole[0][0].headers] == [b"transfer-encoding"]
+    assert [n for n, _ in reader.complete[0][0].headers] == [b"transfer-encoding"]
 
 
 def test_a_fault_keeps_what_came_whole_before_it() -> None:
-    reader = Reader()
-    with pytest.raises(Fault):
+    reader = RequestReader()
+    with pytest.raises(RequestError):
         reader.feed(memoryview(b"GET /b/2 HTTP/1.1\r\n\r\nnonsense\r\n"))
-    assert len(reader.whole) == 1
+    assert len(reader.complete) == 1
 
 
 def run(config: Any, tmp_path: Any, *args: str, **env: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -35,7 +35,7 @@
         end = time.monotonic() + patience
         while not done():  # type: ignore[operator]
             assert time.monotonic() < end
-            loop.turn(0.01)
+            loop.run_once(0.01)
 
     def again(one: Try) -> None:
         """Each client sends its next message at once, on the connection it has, for as long as there is one."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -63,7 +63,7 @@
         end = time.monotonic() + PATIENCE
         while not done():
             assert time.monotonic() < end, "waited in vain"
-            self.loop.turn(0.01)
+            self.loop.run_once(0.01)
 
     def close(self) -> None:
         for one in self.there:
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -132,7 +132,7 @@
 
 
 def billed(r: Rig, billing: Billing, count: int) -> bool:
-    billing.loop.turn(0.001)
+    billing.loop.run_once(0.001)
     return len(billing.events) >= count and r.daemon.ledger.tally.heads.backlog == 0
 
 
