--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,7 @@
-"""One ingress on real loopback sockets in the test's own thread; the clock can be moved on, nothing sleeps."""
+"""Test rig: one ingress on loopback sockets in the test's thread, with a clock that the test can advance.
+
+The test plays the clients, the sim servers and the counter. Nothing sleeps: waiting runs the ingress's event loop.
+"""
 
 from __future__ import annotations
 
@@ -18,17 +21,18 @@
 
 from .test_link import SETTINGS
 
-PATIENCE = 10.0  # real s until a test that waits in vain fails
+TIMEOUT_SECONDS = 10.0  # of real time, after which a wait fails the test
 
 
-class Wire:
-    """The test's end of a connection."""
+class RawConnection:
+    """The test's end of a connection, as client or as server."""
 
     def __init__(self, rig: Rig, sock: socket.socket) -> None:
-        self.rig, self.sock, self.seen = rig, sock, b""
+        self.rig, self.sock, self.received = rig, sock, b""
         sock.setblocking(False)
 
-    def send(self, data: bytes) -> Wire:
+    def send(self, data: bytes) -> RawConnection:
+        """Send all of `data`, running the loop while the socket is full."""
         while data:
             try:
                 data = data[self.sock.send(data) :]
@@ -36,40 +40,41 @@
                 self.rig.run_once()
         return self
 
-    def _more(self) -> bool:
-        """False once the other side has ended it."""
+    def receive(self) -> bool:
+        """Append what has arrived to `received`; return False once the peer has closed or reset the connection."""
         try:
             data = self.sock.recv(1 << 20)
         except BlockingIOError:
             return True
         except OSError:
             return False
-        self.seen += data
+        self.received += data
         return bool(data)
 
-    def until(self, text: bytes) -> bytes:
-        """All up to and with this text; the rest stays."""
+    def read_until(self, text: bytes) -> bytes:
+        """Wait for `text` and return the input up to and including it; the rest stays in `received`."""
 
-        def there() -> bool:
-            return text in self.seen or not self._more()
+        def has_arrived() -> bool:
+            return text in self.received or not self.receive()
 
-        self.rig.until(there)
-        assert text in self.seen, self.seen
-        head, self.seen = self.seen.split(text, 1)
+        self.rig.run_until(has_arrived)
+        assert text in self.received, self.received
+        head, self.received = self.received.split(text, 1)
         return head + text
 
-    def answer(self) -> tuple[int, bytes, bytes]:
-        """Status, head and body of one answer or message that names its length."""
-        head = self.until(b"\r\n\r\n")
+    def read_http(self) -> tuple[int, bytes, bytes]:
+        """Read one response or request with a Content-Length; return its status (0 for a request), head and body."""
+        head = self.run_until(b"\r\n\r\n")
         fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
         size = int(fields.get(b"content-length", b"0"))
-        self.rig.until(lambda: len(self.seen) >= size or not self._more())
-        body, self.seen = self.seen[:size], self.seen[size:]
-        first = head.split(b" ")
-        return int(first[1]) if first[0].startswith(b"HTTP") else 0, head, body
-
-    def ended(self) -> bool:
-        self.rig.until(lambda: not self._more())
+        self.rig.run_until(lambda: len(self.received) >= size or not self.receive())
+        body, self.received = self.received[:size], self.received[size:]
+        words = head.split(b" ")
+        return int(words[1]) if words[0].startswith(b"HTTP") else 0, head, body
+
+    def wait_closed(self) -> bool:
+        """Wait until the peer has closed or reset the connection."""
+        self.rig.run_until(lambda: not self.receive())
         return True
 
     def close(self) -> None:
@@ -81,139 +86,162 @@
 
 
 class Peer:
-    """A stand-in that listens; the test speaks for it."""
+    """A listening socket that stands for a server; the test speaks its protocol."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.sock = rig, socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        self.at = f"127.0.0.1:{self.sock.getsockname()[1]}"
+        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
-    def connected(self) -> Wire | None:
+    def try_accept(self) -> RawConnection | None:
+        """Return the next connection, or None if there is none."""
         try:
-            return Wire(self.rig, self.sock.accept()[0])
-        except OSError:  # nobody yet, or it listens no more
+            return RawConnection(self.rig, self.sock.accept()[0])
+        except OSError:  # no connection yet, or the listener is closed
             return None
 
-    def accept(self) -> Wire:
-        found: list[Wire] = []
+    def accept(self) -> RawConnection:
+        """Wait for the next connection."""
+        found: list[RawConnection] = []
 
-        def there() -> bool:
-            if wire := self.connected():
-                found.append(wire)
+        def has_connected() -> bool:
+            if connection := self.try_accept():
+                found.append(connection)
             return bool(found)
 
-        self.rig.until(there)
+        self.rig.run_until(has_connected)
         return found[0]
 
 
 class Rig:
+    """One ingress with its sim servers and counter."""
+
     def __init__(
         self, servers: int = 1, counter: bool = False, effect: str = "free", operator: Any = None, **config: Any
     ) -> None:
-        self.skipped, self.frozen = 0.0, 0.0
-        self.peers = {f"s-{n}": Peer(self) for n in range(servers)}
-        told: dict[str, Any] = copy.deepcopy(SETTINGS)
-        told["Classes"][0].update(Objective=8.0, GiveUp=20.0, Idempotency=effect, Group="all", Window=4.0)
-        told["Extra"] = {"MayCount": counter, "CountWait": 0.03, "Settles": True, "MostUnits": 8}
-        told["Limits"].update(AttemptsCap=3, MayCancel=True, RetryAfter=True, MaxRetryAfter=2.0)
+        self.clock_offset, self.frozen_at = 0.0, 0.0
+        self.servers = {f"s-{n}": Peer(self) for n in range(servers)}
+        settings: dict[str, Any] = copy.deepcopy(SETTINGS)
+        settings["Classes"][0].update(Objective=8.0, GiveUp=20.0, Idempotency=effect, Group="all", Window=4.0)
+        settings["Extra"] = {"MayCount": counter, "CountWait": 0.03, "Settles": True, "MostUnits": 8}
+        settings["Limits"].update(AttemptsCap=3, MayCancel=True, RetryAfter=True, MaxRetryAfter=2.0)
         self.counter = Peer(self)
         raw = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "discovery": "127.0.0.1:1",
-            "counter": self.counter.at,
-            "settings": told,
-            "known": self.listing(),
+            "counter": self.counter.address,
+            "settings": settings,
+            "known": self.make_listing(),
             **config,
         }
         conf = decode(raw, {}, operator_of(operator or {}))
         if "discovery" not in config:
             conf.discovery = None
-        start = time.time() - time.monotonic()
+        clock_start = time.time() - time.monotonic()
         self.log = structlog.wrap_logger(structlog.PrintLogger())
-        self.daemon = Daemon(conf, self.log, lambda: start + (self.frozen or time.monotonic()) + self.skipped)
+        self.daemon = Daemon(
+            conf, self.log, lambda: clock_start + (self.frozen_at or time.monotonic()) + self.clock_offset
+        )
         self.daemon.start(signals=False)
         listener = self.daemon.north.listener
         assert listener is not None
-        self.at = listener.getsockname()
+        self.address = listener.getsockname()
 
-    def listing(self, **state: str) -> dict[str, Any]:
+    def make_listing(self, **state: str) -> dict[str, Any]:
+        """Return discovery's list of the servers; `s_0="DRAINING"` sets the state of server s-0."""
         rows = [
-            {"instanceId": k, "hostPort": p.at, "zone": "z", "lifecycle": state.get(k.replace("-", "_"), "SERVING")}
-            for k, p in self.peers.items()
+            {
+                "instanceId": k,
+                "hostPort": p.address,
+                "zone": "z",
+                "lifecycle": state.get(k.replace("-", "_"), "SERVING"),
+            }
+            for k, p in self.servers.items()
         ]
         return {"generation": 7, "reset": True, "instances": rows}
 
     def run_once(self) -> None:
+        """Run one iteration of the ingress's loop."""
         self.daemon.loop.run_once(0.005)
 
-    def until(self, done: Callable[[], bool]) -> None:
-        end = time.monotonic() + PATIENCE
+    def run_until(self, done: Callable[[], bool]) -> None:
+        """Run the loop until `done` returns True; fail after TIMEOUT_SECONDS."""
+        end = time.monotonic() + TIMEOUT_SECONDS
         while not done():
-            assert time.monotonic() < end, "waited in vain"
+            assert time.monotonic() < end, f"condition not met within {TIMEOUT_SECONDS} s"
             self.run_once()
 
-    def skip(self, seconds: float) -> None:
-        """The ingress's clock moves on; what is due then happens."""
-        self.skipped += seconds
+    def advance_clock(self, seconds: float) -> None:
+        """Advance the ingress's clock and run the loop, so that timers that are due fire."""
+        self.clock_offset += seconds
         for _ in range(3):
             self.run_once()
 
-    def freeze(self) -> None:
-        """From now on the ingress's clock moves by `skip` and `step` alone."""
-        self.frozen = time.monotonic()
+    def freeze_clock(self) -> None:
+        """Stop the ingress's clock: from now on only `advance_clock` and `step_clock` move it."""
+        self.frozen_at = time.monotonic()
 
-    def step(self, seconds: float) -> None:
-        self.skipped += seconds
+    def step_clock(self, seconds: float) -> None:
+        """Advance the ingress's clock and run one iteration that does not wait."""
+        self.clock_offset += seconds
         self.daemon.loop.run_once(0)
 
-    def client(self) -> Wire:
-        return Wire(self, socket.create_connection(self.at))
+    def connect(self) -> RawConnection:
+        """Open a client connection to the ingress."""
+        return RawConnection(self, socket.create_connection(self.address))
 
-    def ask(
+    def send_request(
         self,
         number: int = 1,
         timeout: str = "9000m",
         more: str = "",
         method: str = "GET",
         body: bytes = b"",
-        wire: Wire | None = None,
+        wire: RawConnection | None = None,
         ident: int = 0,
-    ) -> Wire:
-        if wire is not None:  # a client thinks for as long as the connection to the server rests
-            self.skipped += REST
+    ) -> RawConnection:
+        """Send a request of firm `number` on `wire` or on a new connection.
+
+        `more` are further header lines; `ident` is the request id, by default `number`.
+        """
+        if wire is not None:  # a reused client connection: the pause lets the ingress reuse its server connection too
+            self.clock_offset += REST
         head = (
             f"{method} /a/{number:016x}?q=1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: {ident or number:016x}\r\n"
             f"X-Priority-Class: a\r\nX-Tariff: p\r\nX-Timeout: {timeout}\r\n{more}"
         )
         head += f"Content-Length: {len(body)}\r\n" if body else ""
-        return (wire or self.client()).send(head.encode() + b"\r\n" + body)
+        return (wire or self.connect()).send(head.encode() + b"\r\n" + body)
 
-    def served(self) -> tuple[str, Wire]:
-        """The next new connection at any sim server."""
-        found: list[tuple[str, Wire]] = []
+    def accept_relay(self) -> tuple[str, RawConnection]:
+        """Wait for the next new connection to any sim server; return the server's name and the connection."""
+        found: list[tuple[str, RawConnection]] = []
 
-        def there() -> bool:
-            for name, peer in self.peers.items():
-                if not found and (wire := peer.connected()):
-                    found.append((name, wire))
+        def has_connected() -> bool:
+            for name, peer in self.servers.items():
+                if not found and (connection := peer.try_accept()):
+                    found.append((name, connection))
             return bool(found)
 
-        self.until(there)
+        self.run_until(has_connected)
         return found[0]
 
     def count(self, name: str) -> int:
+        """Return the value of a metrics counter."""
         return self.daemon.metrics.counts[name]
 
     def close(self) -> None:
+        """Close the ingress."""
         self.daemon.close()
 
 
 @contextmanager
 def rig(servers: int = 1, **more: Any) -> Iterator[Rig]:
-    made = Rig(servers, **more)
+    """Provide a rig, and check that no callback failed and no buffer leaked."""
+    running = Rig(servers, **more)
     try:
-        yield made
-        assert made.count("faults") == 0 and made.daemon.pool.in_use == 0
+        yield running
+        assert running.count("faults") == 0 and running.daemon.pool.in_use == 0
     finally:
-        made.close()
+        running.close()
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -224,12 +224,12 @@
     scout = Rig()
     source = Peer(scout)
     scout.close()
-    with rig(discovery=source.at, known={}, seed="1") as r:
+    with rig(discovery=source.address, known={}, seed="1") as r:
         source.rig = r
         begin = 0.0
 
         def heard(wire: Any) -> None:
-            line = wire.until(b"\r\n").decode().splitlines()[0]
+            line = wire.read_until(b"\r\n").decode().splitlines()[0]
             told.say(f"{r.daemon.clock() - begin if begin else 0:6.1f} ingress: {line}")
 
         def say(wire: Any, data: bytes, text: str) -> None:
@@ -238,30 +238,30 @@
 
         wire = source.accept()
         heard(wire)
-        body = json.dumps(r.listing(), indent=1).encode()
+        body = json.dumps(r.make_listing(), indent=1).encode()
         say(wire, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body), "the whole list, indented")
         wire = source.accept()
         heard(wire)
-        r.freeze()
+        r.freeze_clock()
         begin = r.daemon.clock()
-        change = {**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}
+        change = {**r.make_listing(s_0="DRAINING"), "reset": False, "generation": 8}
         say(wire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change), "s-0 drains, version 8")
-        r.until(lambda: not r.daemon.inventory.usable("s-0"))
+        r.run_until(lambda: not r.daemon.inventory.usable("s-0"))
         told.say(f"{0:6.1f} ingress: uses s-0: {r.daemon.inventory.usable('s-0')}")
         told.say("       discovery says nothing more")
         for _ in range(2):
             call = None
             while call is None:
-                r.step(0.1)
-                call = source.connected()
+                r.step_clock(0.1)
+                call = source.try_accept()
             heard(call)
         say(
             call,
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + chunk({**r.listing(), "reset": False, "generation": 9}),
+            + chunk({**r.make_listing(), "reset": False, "generation": 9}),
             "s-0 serves, version 9",
         )
-        r.until(lambda: r.daemon.inventory.usable("s-0"))
+        r.run_until(lambda: r.daemon.inventory.usable("s-0"))
         told.say(f"       ingress: uses s-0: {r.daemon.inventory.usable('s-0')}")
     assert told.text() == approved
 
@@ -279,25 +279,25 @@
             client.add(name, amount, 4.0)  # type: ignore[union-attr]
 
         def heard(count: int, said: str) -> None:
-            r.until(lambda: len(ends) == count)
+            r.run_until(lambda: len(ends) == count)
             told.say(f"  {said}: {', '.join(ends[-1:])}")
 
         asked(5, 1.5)
         wire = r.counter.accept()
-        wire.until(b"4000\r\n")
+        wire.read_until(b"4000\r\n")
         wire.send(b"$3\r\n1.5\r\n")
         heard(1, "counter: 1.5")
         for reply in (b"-BUSY\r\n", b"-ERR no\r\n"):
             asked(6, 2)
-            wire.until(b"4000\r\n")
+            wire.read_until(b"4000\r\n")
             wire.send(reply)
             heard(len(ends) + 1, f"counter: {reply.decode().strip()}")
         asked(7, 1)
-        wire.until(b"4000\r\n")
-        r.skip(0.04)
+        wire.read_until(b"4000\r\n")
+        r.advance_clock(0.04)
         heard(4, "counter says nothing in time")
         asked(8, 1)
-        wire.until(b"4000\r\n")
+        wire.read_until(b"4000\r\n")
         wire.reset()
         heard(5, "the connection breaks after the last byte")
     assert told.text() == approved
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -33,7 +33,7 @@
 from brackenpulley.core.message import MessageError
 from brackenpulley.operator import ClientPart, Operator, decode, load
 
-from .rig import Rig, Wire, rig
+from .rig import RawConnection, Rig, rig
 from .test_platform import GOOD, OK
 
 CheckRequest, CheckResponse = external_auth_pb2.CheckRequest, external_auth_pb2.CheckResponse
@@ -62,7 +62,7 @@
 
 def result(r: Rig, call: Any) -> Any:
     """The response of a call, or the error that it ended with."""
-    r.until(call.done)
+    r.run_until(call.done)
     return call.exception() or call.result()
 
 
@@ -72,19 +72,19 @@
         reply = result(r, stub.Check.future(check(), timeout=5))
         assert reply.status.code == 0
         header = reply.ok_response.headers[0].header
-        assert (header.key, header.value) == ("x-envoy-original-dst-host", r.peers["s-0"].at)
+        assert (header.key, header.value) == ("x-envoy-original-dst-host", r.servers["s-0"].address)
         gateway = r.daemon.ingress.gateway
         assert not gateway.reqs and not gateway.servers["s-0"].out and gateway.loops["a"].mean == before
-        assert not r.daemon.ingress.held and r.peers["s-0"].connected() is None
+        assert not r.daemon.ingress.held and r.servers["s-0"].try_accept() is None
 
 
 def test_one_quota_is_spent_over_both_fronts() -> None:
     with rig(operator=SERVER) as r, asker(r) as stub:  # the plan's burst is 10 units
-        client = r.ask(1, more="X-Weight: units=4\r\n")  # customer 1, by the platform's protocol
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1, more="X-Weight: units=4\r\n")  # customer 1, by the platform's protocol
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)  # its true cost is 3
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
         request = check(2, x_weight="units=6")
         request.attributes.request.http.path = "/a/0000000000000001"
         assert result(r, stub.Check.future(request, timeout=5)).status.code == 0
@@ -94,8 +94,8 @@
         assert denied.status.code == http2.RESOURCE_EXHAUSTED and denied.denied_response.status.code == 429
         after = {h.header.key: h.header.value for h in denied.denied_response.headers}["retry-after"]
         assert 0 < float(after) <= 2.0
-        other = r.ask(0x10)  # another customer has a quota of its own
-        r.until(lambda: r.count("relays") == 3)
+        other = r.send_request(0x10)  # another customer has a quota of its own
+        r.run_until(lambda: r.count("relays") == 3)
         other.close()
 
 
@@ -146,27 +146,27 @@
 
 def test_a_draining_endpoint_is_not_named() -> None:
     with rig(2, operator=SERVER) as r, asker(r) as stub:
-        r.daemon.inventory.told(r.listing(s_0="DRAINING"))
+        r.daemon.inventory.told(r.make_listing(s_0="DRAINING"))
         names = {
             result(r, stub.Check.future(check(n), timeout=5)).ok_response.headers[0].header.value for n in range(1, 7)
         }
-        assert names == {r.peers["s-1"].at}
+        assert names == {r.servers["s-1"].address}
 
 
 def test_an_end_finishes_what_is_held_and_turns_new_calls_away() -> None:
     with rig(operator={**STALLED, **{"authz": {**STALLED["authz"], **SERVER["authz"]}}}) as r, asker(r) as stub:
         quiet = r.counter  # accepts and says nothing: the authoriser stalls
-        r.daemon.authoriser.at = ("127.0.0.1", int(quiet.at.rpartition(":")[2]))
+        r.daemon.authoriser.at = ("127.0.0.1", int(quiet.address.rpartition(":")[2]))
         call = stub.Check.future(check(1), timeout=8)
-        r.until(lambda: bool(r.daemon.ingress.held))
+        r.run_until(lambda: bool(r.daemon.ingress.held))
         r.daemon.loop.running = True
         r.daemon.end()
-        r.skip(0.6)
+        r.advance_clock(0.6)
         assert r.daemon.loop.running and not call.done()
-        r.skip(6.0)
+        r.advance_clock(6.0)
         assert result(r, call).denied_response.status.code == 503
-        r.until(lambda: r.daemon.front.peers == set())
-        r.skip(0.1)
+        r.run_until(lambda: r.daemon.front.peers == set())
+        r.advance_clock(0.1)
         assert not r.daemon.loop.running
 
 
@@ -221,7 +221,7 @@
 
 def test_a_denial_is_final_and_takes_no_quota() -> None:
     with authorised(reply=denial(403)) as (r, stand_in):
-        status, head, body = r.ask(1).answer()
+        status, head, body = r.send_request(1).read_http()
         assert (status, body) == (403, b"not you") and b"x-why: because" in head
         assert not r.daemon.ingress.gateway.customers and r.count("relays") == 0
         http = stand_in.seen[0].attributes.request.http
@@ -235,13 +235,13 @@
         reply.ok_response.headers.append(base_pb2.HeaderValueOption(header=base_pb2.HeaderValue(key=key, value=value)))
     reply.ok_response.headers_to_remove.append("x-tariff")
     with authorised(reply=reply) as (r, _):
-        client = r.ask(1)
-        _, server = r.served()
-        _, head, _ = server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        _, head, _ = server.read_http()
         assert b"x-member: firm-7\r\n" in head and b"evil" not in head and b"x-tariff" not in head
         assert b"x-request-id: 0000000000000001\r\n" in head  # guards the id that the client sent
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 # load-sim: a deadline of 4 s, of which a client waits for half up to the whole. The client's own clock is the judge.
@@ -250,26 +250,26 @@
 def test_however_long_the_authoriser_takes_one_answer_comes_in_time(delay: float, wait: float, on_failure: str) -> None:
     with authorised(delay, on_failure=on_failure) as (r, stand_in):
         r.daemon.ingress.gateway.loops["a"].mean = 0.01  # the fleet is known to be quick
-        r.freeze()
-        client = r.ask(1, timeout=f"{int(wait * 1000)}m")
-        r.until(lambda: bool(stand_in.seen))
+        r.freeze_clock()
+        client = r.send_request(1, timeout=f"{int(wait * 1000)}m")
+        r.run_until(lambda: bool(stand_in.seen))
 
         def there() -> bool:
-            if wire := r.peers["s-0"].connected():
-                wire.answer()
+            if wire := r.servers["s-0"].try_accept():
+                wire.read_http()
                 wire.send(OK)
-            return b"\r\n\r\n" in client.seen or not client._more()
+            return b"\r\n\r\n" in client.received or not client.receive()
 
-        while r.skipped < min(delay, wait) and not there():
-            r.step(0.01)
-        if r.skipped >= delay:
+        while r.clock_offset < min(delay, wait) and not there():
+            r.step_clock(0.01)
+        if r.clock_offset >= delay:
             stand_in.over.set()
-        r.until(there)
-        status, _, _ = client.answer()
-        assert r.skipped < wait and status == (200 if delay < wait else 503 if on_failure == "deny" else 429)
+        r.run_until(there)
+        status, _, _ = client.read_http()
+        assert r.clock_offset < wait and status == (200 if delay < wait else 503 if on_failure == "deny" else 429)
         stand_in.over.set()  # a late reply now comes in, and nobody hears of it
         client.send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert client.answer()[0] == 200 and client.seen == b"" and not r.daemon.ingress.held
+        assert client.read_http()[0] == 200 and client.received == b"" and not r.daemon.ingress.held
 
 
 @pytest.mark.parametrize(("on_failure", "status"), [("deny", 503), ("allow", 200)])
@@ -281,41 +281,41 @@
             r.daemon.authoriser.at = ("127.0.0.1", 1)
         if how == "broken":
             r.daemon.authoriser.at = r.counter.sock.getsockname()
-        client = r.ask(1)
+        client = r.send_request(1)
         if how == "broken":
             r.counter.accept().send(b"HTTP/1.1 400 This is no gRPC\r\n\r\n")
         if status == 200:
-            _, server = r.served()
-            server.answer()
+            _, server = r.accept_relay()
+            server.read_http()
             server.send(OK)
-        assert client.answer()[0] == status and r.count("verdict_unknown") == 1
+        assert client.read_http()[0] == status and r.count("verdict_unknown") == 1
 
 
 def test_a_client_gone_before_the_verdict_resets_the_call() -> None:
     with authorised(60.0) as (r, stand_in):
-        client = r.ask(1)
-        r.until(lambda: bool(stand_in.seen))
+        client = r.send_request(1)
+        r.run_until(lambda: bool(stand_in.seen))
         client.close()
-        r.until(stand_in.cancelled.is_set)
+        r.run_until(stand_in.cancelled.is_set)
         assert not r.daemon.ingress.held and r.count("gone") == 1 and not r.daemon.ingress.gateway.customers
 
 
 def test_a_goaway_lets_what_is_out_be_finished_and_the_next_call_goes_elsewhere() -> None:
     with authorised(60.0) as (r, stand_in):
-        client = r.ask(1)
-        r.until(lambda: bool(stand_in.seen))
+        client = r.send_request(1)
+        r.run_until(lambda: bool(stand_in.seen))
         link = r.daemon.authoriser.link
         link._going(http2.LAST)
-        second = r.ask(2)
-        r.until(lambda: len(stand_in.seen) == 2)
+        second = r.send_request(2)
+        r.run_until(lambda: len(stand_in.seen) == 2)
         assert r.daemon.authoriser.link is not link and len(r.daemon.authoriser.links) == 2
         stand_in.over.set()
         for _ in (client, second):
-            _, server = r.served()
-            server.answer()
+            _, server = r.accept_relay()
+            server.read_http()
             server.send(OK)
-        assert [w.answer()[0] for w in (client, second)] == [200, 200]
-        r.until(lambda: link.wire.closed)
+        assert [w.read_http()[0] for w in (client, second)] == [200, 200]
+        r.run_until(lambda: link.wire.closed)
 
 
 @pytest.mark.parametrize(
@@ -440,10 +440,10 @@
         e = servers["127.0.0.1:1"].e
         assert (e.zone, e.size, e.started, e.cell) == ("hall-a", 4.0, 5.0, 2)
         write(path, "{")  # what cannot be used leaves the last good list in force
-        r.skip(0.3)
+        r.advance_clock(0.3)
         assert r.count("xds_errors") == 1 and r.daemon.inventory.usable("127.0.0.1:1")
         write(path, discovery("4", endpoint(1, healthStatus="DRAINING")))
-        r.skip(0.3)
+        r.advance_clock(0.3)
         assert not r.daemon.inventory.usable("127.0.0.1:1") and r.daemon.inventory.version == 4
 
 
@@ -475,7 +475,7 @@
 
     def __init__(self, r: Rig, window: int = 65535) -> None:
         assert r.daemon.front is not None and r.daemon.front.listener is not None
-        self.wire = Wire(r, socket.create_connection(r.daemon.front.listener.getsockname()))
+        self.wire = RawConnection(r, socket.create_connection(r.daemon.front.listener.getsockname()))
         self.h2, self.events = h2.connection.H2Connection(), list[Any]()
         self.h2.initiate_connection()
         self.h2.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: window})
@@ -504,14 +504,14 @@
         found: list[Any] = []
 
         def there() -> bool:
-            more = self.wire._more()
-            data, self.wire.seen = self.wire.seen, b""
+            more = self.wire.receive()
+            data, self.wire.received = self.wire.received, b""
             self.events += self.h2.receive_data(data) if data else []
             self.flush()
             found.extend(e for e in self.events if isinstance(e, kind) and getattr(e, "stream_id", stream) == stream)
             return bool(found) or not more
 
-        self.wire.rig.until(there)
+        self.wire.rig.run_until(there)
         assert found, self.events
         return found[0]
 
@@ -523,8 +523,8 @@
     with rig(operator=SERVER) as r:
         slow = H2(r)
         slow.call(1, None, "100m")
-        r.until(lambda: r.count("checks") == 1)
-        r.skip(0.2)
+        r.run_until(lambda: r.count("checks") == 1)
+        r.advance_clock(0.2)
         assert slow.status(1, h2.events.ResponseReceived) == "4"
         slow.call(3, check(3).SerializeToString())
         assert slow.status(3) == "0"
@@ -535,13 +535,13 @@
         tight = H2(r, window=0)
         tight.call(1, check(1).SerializeToString(), "5S")
         tight.call(3, check(3).SerializeToString(), "9S")
-        r.until(lambda: r.count("granted") == 2)
-        r.skip(5.1)
+        r.run_until(lambda: r.count("granted") == 2)
+        r.advance_clock(5.1)
         assert tight.until(h2.events.StreamReset, 1).error_code == h2.errors.ErrorCodes.CANCEL
         tight.h2.increment_flow_control_window(1000, 3)
         tight.flush()
         assert tight.status(3) == "0" and r.daemon.front.peers
-        r.until(lambda: not next(iter(r.daemon.front.peers)).calls)
+        r.run_until(lambda: not next(iter(r.daemon.front.peers)).calls)
 
 
 def test_streams_over_the_limit_are_turned_away_one_by_one() -> None:
@@ -559,13 +559,13 @@
     with rig(operator=SERVER) as r:
         asking = H2(r)
         asking.call(1, None)
-        r.until(lambda: r.count("checks") == 1)
+        r.run_until(lambda: r.count("checks") == 1)
         r.daemon.front.drain()
         asking.h2.send_headers(3, [(":method", "POST"), (":scheme", "http"), (":path", CHECK), (":authority", "a")])
         asking.h2.send_data(1, http2.frame(check(1).SerializeToString()), end_stream=True)
         asking.flush()
-        asking.wire.ended()
-        frames, _ = http2.split(asking.wire.seen)
+        asking.wire.wait_closed()
+        frames, _ = http2.split(asking.wire.received)
         assert [f[3] for f in frames if f[3] in (3, 7)] == [7, 3]  # GOAWAY, then RST of stream 3
         assert any(f[3] == 0 and int.from_bytes(f[5:9], "big") == 1 for f in frames)  # stream 1 has its answer
         assert not r.daemon.front.peers
@@ -583,8 +583,8 @@
     with rig(operator=SERVER) as r, asker(r) as stub:
         listener = r.daemon.front.listener
         assert listener is not None
-        wire = Wire(r, socket.create_connection(listener.getsockname()))
-        assert wire.send(data).ended()
+        wire = RawConnection(r, socket.create_connection(listener.getsockname()))
+        assert wire.send(data).wait_closed()
         assert result(r, stub.Check.future(check(), timeout=5)).status.code == 0
 
 
@@ -595,23 +595,23 @@
         r.daemon.front.listen(("127.0.0.1", 0))
         with asker(r) as stub:
             call = stub.Check.future(check(), timeout=60)
-            r.until(lambda: bool(stand_in.seen))
+            r.run_until(lambda: bool(stand_in.seen))
             call.cancel()
-            r.until(stand_in.cancelled.is_set)
+            r.run_until(stand_in.cancelled.is_set)
         assert r.count("check_cancelled") == 1 and not r.daemon.ingress.held
 
 
 def test_a_link_that_swallows_calls_is_not_given_another() -> None:
     with authorised(timeout_ms=1000) as (r, stand_in):
         real, r.daemon.authoriser.at = r.daemon.authoriser.at, r.counter.sock.getsockname()
-        first = r.ask(1)
+        first = r.send_request(1)
         swallowed = r.counter.accept()
-        r.until(lambda: r.count("asks") == 1)
-        r.skip(1.1)
-        assert first.answer()[0] == 503
+        r.run_until(lambda: r.count("asks") == 1)
+        r.advance_clock(1.1)
+        assert first.read_http()[0] == 503
         r.daemon.authoriser.at = real
-        second = r.ask(2)
-        _, server = r.served()
-        server.answer()
+        second = r.send_request(2)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert second.answer()[0] == 200 and len(stand_in.seen) == 1 and swallowed.ended()
+        assert second.read_http()[0] == 200 and len(stand_in.seen) == 1 and swallowed.wait_closed()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -27,7 +27,7 @@
 from brackenpulley.net.requests import RequestReader
 from brackenpulley.operator import decode
 
-from .rig import Rig, Wire, rig
+from .rig import RawConnection, Rig, rig
 from .test_platform import H200, OK
 
 TOTAL = 16 << 20
@@ -262,19 +262,19 @@
 # Answers, over sockets.
 
 
-def asked(r: Rig, body: bytes = b"", method: str = "GET") -> tuple[Wire, Wire]:
-    client = r.ask(1, method=method, body=body)
-    _, server = r.served()
-    server.answer()
+def asked(r: Rig, body: bytes = b"", method: str = "GET") -> tuple[RawConnection, RawConnection]:
+    client = r.send_request(1, method=method, body=body)
+    _, server = r.accept_relay()
+    server.read_http()
     return client, server
 
 
-def chunked(client: Wire) -> bytes:
+def chunked(client: RawConnection) -> bytes:
     body = b""
-    while size := int(client.until(b"\r\n"), 16):
-        client.rig.until(lambda size=size: len(client.seen) >= size + 2 or not client._more())  # type: ignore[misc]
-        body, client.seen = body + client.seen[:size], client.seen[size + 2 :]
-    client.until(b"\r\n")
+    while size := int(client.read_until(b"\r\n"), 16):
+        client.rig.run_until(lambda size=size: len(client.received) >= size + 2 or not client.receive())  # type: ignore[misc]
+        body, client.received = body + client.received[:size], client.received[size + 2 :]
+    client.read_until(b"\r\n")
     return body
 
 
@@ -284,23 +284,23 @@
     with rig() as r:
         client, server = asked(r)
         server.send(b"HTTP/1.1 200 OK\r\nX-True-Cost: 1\r\n" + forms(body, form, 1_000_000)[:200_000])
-        r.until(lambda: r.count("flowed") == 1)
-        r.skip(0.9)  # its first bytes are what is timed
+        r.run_until(lambda: r.count("flowed") == 1)
+        r.advance_clock(0.9)  # its first bytes are what is timed
         assert r.daemon.gauges()["active"] == 1 and not r.daemon.ingress.gateway.servers["s-0"].out
         server.send(forms(body, form, 1_000_000)[200_000:])
         if form == "close":
             server.close()
         if form == "length":
-            assert client.answer()[2] == body
+            assert client.read_http()[2] == body
         else:
-            assert b"chunked" in client.until(b"\r\n\r\n") and chunked(client) == body
+            assert b"chunked" in client.read_until(b"\r\n\r\n") and chunked(client) == body
         assert r.daemon.metrics.classes["ok", "a"] == 1 and not r.daemon.ingress.held and not r.daemon.shares.flows
         assert r.daemon.gauges()["active"] == 0 and r.daemon.ingress.gateway.servers["s-0"].err == 0
         if form != "close":
-            r.ask(2, wire=client)
-            assert b"x-request-id" in server.answer()[1]  # both connections are kept
+            r.send_request(2, wire=client)
+            assert b"x-request-id" in server.read_http()[1]  # both connections are kept
             server.send(OK)
-            assert client.answer()[0] == 200
+            assert client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
@@ -309,15 +309,15 @@
     with rig(servers=2) as r:
         client, server = asked(r)
         server.send(b"HTTP/1.1 200 OK\r\n" + forms(noise(500_000), form, 250_000)[:200_000])
-        r.until(lambda: r.count("flowed") == 1)
+        r.run_until(lambda: r.count("flowed") == 1)
         if how == "stall":
-            r.skip(4.0)
+            r.advance_clock(4.0)
             assert r.count("cut_off") == 0
-            r.skip(2.0)
+            r.advance_clock(2.0)
         else:
             getattr(server, how)()
-        assert client.ended() and client.seen.startswith(b"HTTP/1.1 200")
-        assert len(client.seen) < 500_000 and not client.seen.endswith(b"0\r\n\r\n")
+        assert client.wait_closed() and client.received.startswith(b"HTTP/1.1 200")
+        assert len(client.received) < 500_000 and not client.received.endswith(b"0\r\n\r\n")
         assert r.count("cut_off") == 1 and r.daemon.metrics.classes["errors", "a"] == 1 and r.count("relays") == 1
         assert not r.daemon.ingress.held and not r.daemon.shares.flows
 
@@ -325,22 +325,27 @@
 def test_a_close_delimited_answer_to_an_old_client_ends_with_the_connection_or_a_reset() -> None:
     for cut in (False, True):
         with rig() as r:
-            client = r.client().send(b"GET /a/1 HTTP/1.0\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n\r\n")
-            _, server = r.served()
-            server.answer()
+            client = r.connect().send(
+                b"GET /a/1 HTTP/1.0\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n\r\n"
+            )
+            _, server = r.accept_relay()
+            server.read_http()
             server.send(b"HTTP/1.1 200 OK\r\n" + forms(noise(300_000), "chunked", 100)[: 280_000 if cut else None])
-            r.until(lambda: r.count("flowed") == 1)
+            r.run_until(lambda: r.count("flowed") == 1)
             server.close()
-            r.until(lambda: r.count("closed") == 1)
+            r.run_until(lambda: r.count("closed") == 1)
             try:
                 while data := client.sock.recv(1 << 20):
-                    client.seen += data
+                    client.received += data
                 ended = "close"
             except ConnectionResetError:
                 ended = "reset"
             assert ended == ("reset" if cut else "close")
             if not cut:
-                assert client.seen.split(b"\r\n\r\n", 1)[1] == noise(300_000) and b"chunked" not in client.seen[:200]
+                assert (
+                    client.received.split(b"\r\n\r\n", 1)[1] == noise(300_000)
+                    and b"chunked" not in client.received[:200]
+                )
 
 
 def test_a_client_that_does_not_take_stops_its_server_from_being_read_and_is_not_held_against_it() -> None:
@@ -358,7 +363,7 @@
             except BlockingIOError:
                 still += 1
         assert sent < len(data) and max(conn.ahead for conn in flows(r)) <= shares.MOST
-        r.skip(6.0)  # longer than a server may stand still, not than a client may
+        r.advance_clock(6.0)  # longer than a server may stand still, not than a client may
         assert r.count("cut_off") == 0
         seen = 0
         while seen < len(body):
@@ -368,9 +373,9 @@
                 except BlockingIOError:
                     pass
             r.run_once()
-            client._more()
-            seen = len(client.seen)
-        assert client.answer()[2] == body and r.daemon.metrics.classes["ok", "a"] == 1
+            client.receive()
+            seen = len(client.received)
+        assert client.read_http()[2] == body and r.daemon.metrics.classes["ok", "a"] == 1
 
 
 def test_a_client_that_takes_little_at_a_time_is_not_held_against_its_server() -> None:
@@ -391,11 +396,11 @@
         (flow,) = flows(r)
         while flow.ahead == shares.MOST:
             r.run_once()
-            client.seen += client.sock.recv(4096) if select.select([client.sock], [], [], 0)[0] else b""
+            client.received += client.sock.recv(4096) if select.select([client.sock], [], [], 0)[0] else b""
         assert flow.full and 0 < flow.space() < shares.MOST // 2
-        r.skip(6.0)
+        r.advance_clock(6.0)
         assert r.count("answers_stalled") == r.count("cut_off") == 0
-        assert client.answer()[2] == body
+        assert client.read_http()[2] == body
 
 
 def flows(r: Rig) -> list[Body]:
@@ -406,9 +411,9 @@
     with rig() as r:
         client, server = asked(r)
         server.send(H200 + b"Content-Length: 900000\r\n\r\n" + noise(200_000))
-        r.until(lambda: r.count("flowed") == 1)
+        r.run_until(lambda: r.count("flowed") == 1)
         client.reset()
-        assert server.ended() and not r.daemon.ingress.held and not r.daemon.shares.flows
+        assert server.wait_closed() and not r.daemon.ingress.held and not r.daemon.shares.flows
         assert r.daemon.ingress.gateway.servers["s-0"].err == 0 and r.count("relay_cancelled") == 1
 
 
@@ -416,12 +421,12 @@
 def test_an_answer_longer_than_we_can_take_speaks_against_no_server(told: int, status: int, tries: int) -> None:
     """Over the limit it is ours: not tried again, nobody judged. Said to have 3 GB it is spoilt, as it always was."""
     with rig(servers=3) as r:
-        client = r.ask(1)
+        client = r.send_request(1)
         for _ in range(tries):
-            _, server = r.served()
-            server.answer()
+            _, server = r.accept_relay()
+            server.read_http()
             server.send(H200 + b"Content-Length: %d\r\n\r\n" % told + noise(EARLY))
-        assert client.answer()[0] == status and r.count("relays") == tries
+        assert client.read_http()[0] == status and r.count("relays") == tries
         assert any(s.err for s in r.daemon.ingress.gateway.servers.values()) == (tries > 1)
 
 
@@ -437,108 +442,108 @@
 def test_a_long_body_flows_and_its_time_begins_with_its_last_byte() -> None:
     body = noise(2_000_000)
     with rig() as r:
-        client = r.client().send(post(len(body)) + body[:100_000])
-        _, server = r.served()
-        server.until(b"\r\n\r\n")
+        client = r.connect().send(post(len(body)) + body[:100_000])
+        _, server = r.accept_relay()
+        server.read_until(b"\r\n\r\n")
         gateway = r.daemon.ingress.gateway
         for n in range(1, 19):  # over three times what the client waits for its answer
-            r.skip(0.7)
+            r.advance_clock(0.7)
             client.send(body[n * 100_000 : (n + 1) * 100_000])
         assert not gateway.servers["s-0"].out and r.daemon.metrics.classes["tries", "a"] == 0
         client.send(body[1_900_000:])
-        r.until(lambda: r.daemon.metrics.classes["tries", "a"] == 1 or not server._more())
-        r.until(lambda: len(server.seen) >= len(body) or not server._more())
-        assert server.seen == body and gateway.servers["s-0"].out
-        r.skip(3.0)
+        r.run_until(lambda: r.daemon.metrics.classes["tries", "a"] == 1 or not server.receive())
+        r.run_until(lambda: len(server.received) >= len(body) or not server.receive())
+        assert server.received == body and gateway.servers["s-0"].out
+        r.advance_clock(3.0)
         server.send(OK)
-        assert client.answer()[0] == 200 and gateway.loops["a"].mean < 4.0 and not r.daemon.shares.kept
+        assert client.read_http()[0] == 200 and gateway.loops["a"].mean < 4.0 and not r.daemon.shares.kept
         assert not r.daemon.shares.flows and not r.daemon.ingress.held
 
 
 def test_a_long_body_whose_answer_does_not_come_is_given_up_in_its_time() -> None:
     with rig() as r:
-        client = r.client().send(post(200_000) + noise(200_000))
-        _, server = r.served()
-        r.until(lambda: len(server.seen) >= 200_000 or not server._more())
-        r.skip(3.98)
-        assert client.answer()[0] in (502, 503) and server.ended()
+        client = r.connect().send(post(200_000) + noise(200_000))
+        _, server = r.accept_relay()
+        r.run_until(lambda: len(server.received) >= 200_000 or not server.receive())
+        r.advance_clock(3.98)
+        assert client.read_http()[0] in (502, 503) and server.wait_closed()
 
 
 def test_a_server_that_breaks_before_the_last_byte_has_run_nothing_and_the_body_is_sent_again() -> None:
     body = noise(400_000)
     with rig(servers=2, effect="single_shot") as r:
-        client = r.client().send(post(len(body)) + body[:300_000])
-        _, first = r.served()
-        first.until(b"\r\n\r\n")
+        client = r.connect().send(post(len(body)) + body[:300_000])
+        _, first = r.accept_relay()
+        first.read_until(b"\r\n\r\n")
         first.reset()
         client.send(body[300_000:])
-        _, second = r.served()
-        assert b"content-length: 400000" in second.until(b"\r\n\r\n").lower()
-        r.until(lambda: len(second.seen) >= len(body) or not second._more())
-        assert xxhash.xxh3_64(second.seen).digest() == xxhash.xxh3_64(body).digest()
+        _, second = r.accept_relay()
+        assert b"content-length: 400000" in second.read_until(b"\r\n\r\n").lower()
+        r.run_until(lambda: len(second.received) >= len(body) or not second.receive())
+        assert xxhash.xxh3_64(second.received).digest() == xxhash.xxh3_64(body).digest()
         second.send(OK)
-        assert client.answer()[0] == 200 and r.count("relay_connect_failed") == 1 and not r.daemon.shares.kept
+        assert client.read_http()[0] == 200 and r.count("relay_connect_failed") == 1 and not r.daemon.shares.kept
 
 
 def test_a_body_too_long_to_be_kept_is_refused_when_its_server_breaks_and_the_connection_goes_on() -> None:
     """Nothing ran, so a back-off answer is true; what still comes is read and lost, and the next message is served."""
     size = shares.KEPT_MOST + 600_000
     with rig(servers=2, effect="single_shot") as r:
-        client = r.client().send(post(size))
-        r.until(lambda: bool(r.daemon.north.clients))
+        client = r.connect().send(post(size))
+        r.run_until(lambda: bool(r.daemon.north.clients))
         sent, server = 0, None
         while sent < shares.KEPT_MOST + 300_000:
             client.send(noise(100_000))
             sent += 100_000
             r.run_once()
             if server is None:
-                server = next((w for p in r.peers.values() if (w := p.connected())), None)
-            elif server._more():
+                server = next((w for p in r.servers.values() if (w := p.try_accept())), None)
+            elif server.receive():
                 pass
         assert server is not None
-        r.until(lambda: len(server.seen) > shares.KEPT_MOST or not server._more())
+        r.run_until(lambda: len(server.received) > shares.KEPT_MOST or not server.receive())
         server.reset()
         client.send(noise(size - sent))
-        status, head, _ = client.answer()
+        status, head, _ = client.read_http()
         assert status == 503 and b"retry-after" in head.lower() and r.count("relays") == 1
-        r.ask(2, wire=client)
-        _, other = r.served()
-        other.answer()
+        r.send_request(2, wire=client)
+        _, other = r.accept_relay()
+        other.read_http()
         other.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 def test_a_refusal_before_the_end_of_a_body_is_answered_at_once_and_the_rest_is_lost() -> None:
     with rig(servers=0) as r:  # no server at all: refused as soon as it is asked about
-        client = r.client().send(post(300_000) + noise(100_000))
-        assert client.answer()[0] == 429
+        client = r.connect().send(post(300_000) + noise(100_000))
+        assert client.read_http()[0] == 429
         client.send(noise(200_000)).send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert client.answer()[0] == 503 and not r.daemon.shares.flows
+        assert client.read_http()[0] == 503 and not r.daemon.shares.flows
 
 
 def test_what_still_flows_after_a_refusal_is_read_for_as_long_as_it_flows() -> None:
     """Seen on a rough day: 11 clients that sent on at 500 kB/s were cut off 2 s after their 429."""
     with rig(servers=0) as r:
-        client = r.client().send(post(900_000) + noise(100_000))
-        assert client.answer()[0] == 429
+        client = r.connect().send(post(900_000) + noise(100_000))
+        assert client.read_http()[0] == 429
         for _ in range(8):
-            r.skip(1.0)
+            r.advance_clock(1.0)
             client.send(noise(100_000))
-        r.ask(2, wire=client)
-        assert client.answer()[0] == 429
-        client = r.client().send(post(900_000) + noise(100_000))
-        assert client.answer()[0] == 429
-        r.skip(pace.STANDS + pace.HEAD)
-        assert client.ended()
+        r.send_request(2, wire=client)
+        assert client.read_http()[0] == 429
+        client = r.connect().send(post(900_000) + noise(100_000))
+        assert client.read_http()[0] == 429
+        r.advance_clock(pace.STANDS + pace.HEAD)
+        assert client.wait_closed()
 
 
 def test_what_was_lost_of_one_body_does_not_count_against_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(north, "MAX_DISCARDED_BYTES", 320_000)
     with rig(servers=0) as r:
-        client = r.client()
+        client = r.connect()
         for _ in range(3):
             client.send(post(300_000) + noise(300_000))
-            assert client.answer()[0] == 429
+            assert client.read_http()[0] == 429
 
 
 def expecting(size: int) -> bytes:
@@ -547,36 +552,36 @@
 
 def test_a_body_is_asked_for_once_its_message_is_let_in_and_not_before() -> None:
     with rig() as r:
-        client = r.client().send(expecting(1000))
-        assert client.until(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n" and r.count("relays") == 1
+        client = r.connect().send(expecting(1000))
+        assert client.read_until(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n" and r.count("relays") == 1
         client.send(noise(1000))
-        _, server = r.served()
-        assert server.answer()[2] == noise(1000)
+        _, server = r.accept_relay()
+        assert server.read_http()[2] == noise(1000)
         server.send(OK)
-        assert client.answer()[0] == 200
-        r.ask(2, wire=client)  # and the connection is kept
-        server.answer()
+        assert client.read_http()[0] == 200
+        r.send_request(2, wire=client)  # and the connection is kept
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize(("servers", "size", "status"), [(0, 1000, 429), (1, (32 << 20) + 1, 413)])
 def test_a_body_that_is_not_wanted_is_never_asked_for(servers: int, size: int, status: int) -> None:
     with rig(servers=servers) as r:
-        client = r.client().send(expecting(size))
-        found, head, _ = client.answer()
+        client = r.connect().send(expecting(size))
+        found, head, _ = client.read_http()
         assert found == status and b"connection: close" in head.lower()
         client.close()
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
         assert not r.daemon.shares.flows
 
 
 def test_a_body_that_stands_still_gets_408_and_its_relay_is_given_up() -> None:
     with rig() as r:
-        client = r.client().send(post(300_000) + noise(100_000))
-        _, server = r.served()
-        r.skip(3.0)
-        assert client.answer()[0] == 408 and server.ended() and not r.daemon.ingress.held
+        client = r.connect().send(post(300_000) + noise(100_000))
+        _, server = r.accept_relay()
+        r.advance_clock(3.0)
+        assert client.read_http()[0] == 408 and server.wait_closed() and not r.daemon.ingress.held
         assert not r.daemon.shares.flows and r.daemon.ingress.gateway.servers["s-0"].err == 0
 
 
@@ -584,14 +589,14 @@
 def test_a_client_that_breaks_off_in_a_long_body_ends_its_relay(tail: bytes) -> None:
     with rig() as r:
         head = post(0).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-        client = r.client().send(head + b"15f90\r\n" + noise(90_000) + b"\r\n")
-        _, server = r.served()
+        client = r.connect().send(head + b"15f90\r\n" + noise(90_000) + b"\r\n")
+        _, server = r.accept_relay()
         if tail:
             client.send(tail)
-            assert client.answer()[0] == 400
+            assert client.read_http()[0] == 400
         else:
             client.reset()
-        assert server.ended() and not r.daemon.ingress.held and not r.daemon.shares.flows
+        assert server.wait_closed() and not r.daemon.ingress.held and not r.daemon.shares.flows
         assert r.daemon.metrics.classes["tries", "a"] == 0
 
 
@@ -599,32 +604,32 @@
     body = noise(250_000)
     with rig() as r:
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
-        client = r.client().send(head + forms(body, "chunked", 70_000))
-        _, server = r.served()
-        assert b"transfer-encoding: chunked" in server.until(b"\r\n\r\n").lower()
+        client = r.connect().send(head + forms(body, "chunked", 70_000))
+        _, server = r.accept_relay()
+        assert b"transfer-encoding: chunked" in server.read_until(b"\r\n\r\n").lower()
         assert chunked(server) == body
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 def test_a_server_that_turns_a_body_away_before_its_end_is_heard() -> None:
     with rig() as r:
-        client = r.client().send(post(400_000) + noise(100_000))
+        client = r.connect().send(post(400_000) + noise(100_000))
         for _ in range(2):
-            _, server = r.served()
-            server.until(b"\r\n\r\n")
+            _, server = r.accept_relay()
+            server.read_until(b"\r\n\r\n")
             server.send(b"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-        assert client.answer()[0] == 503 and r.count("relay_full") == 2
+        assert client.read_http()[0] == 503 and r.count("relay_full") == 2
 
 
 def test_a_body_over_the_limit_gets_413_that_the_client_can_read_after_sending_all_of_it() -> None:
     with rig() as r:
         r.daemon.north.max_body_bytes = 200_000
-        client = r.client().send(post(900_000) + noise(900_000))
-        assert client.answer()[0] == 413 and client.ended() and r.count("relays") == 0
+        client = r.connect().send(post(900_000) + noise(900_000))
+        assert client.read_http()[0] == 413 and client.wait_closed() and r.count("relays") == 0
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
-        client = r.client().send(head + forms(noise(900_000), "chunked", 300_000))
-        assert client.answer()[0] == 413 and client.ended()
+        client = r.connect().send(head + forms(noise(900_000), "chunked", 300_000))
+        assert client.read_http()[0] == 413 and client.wait_closed()
         assert r.daemon.metrics.classes["tries", "a"] == 0 and not r.daemon.shares.flows
 
 
@@ -633,9 +638,9 @@
         account = r.daemon.shares
         pairs = []
         for n in range(12):
-            client = r.ask(n + 1)
-            _, server = r.served()
-            server.answer()
+            client = r.send_request(n + 1)
+            _, server = r.accept_relay()
+            server.read_http()
             server.send(H200 + b"Content-Length: 8000000\r\n\r\n")
             pairs.append((client, server, bytearray()))
         for _ in range(400):
@@ -745,25 +750,25 @@
 def test_a_body_over_what_memory_keeps_is_sent_again_from_its_file(tmp_path: Path) -> None:
     body = noise(shares.KEPT_MOST + 700_000)
     with rig(servers=2, effect="single_shot", operator={"bodies": {"spool": str(tmp_path)}}) as r:
-        client = r.client().send(post(len(body)))
+        client = r.connect().send(post(len(body)))
         sent, first = 0, None
-        while first is None or len(first.seen) < shares.KEPT_MOST + 100_000:
+        while first is None or len(first.received) < shares.KEPT_MOST + 100_000:
             if sent < shares.KEPT_MOST + 600_000:
                 client.send(body[sent : sent + 100_000])
                 sent += 100_000
             r.run_once()
             if first is None:
-                first = next((w for p in r.peers.values() if (w := p.connected())), None)
+                first = next((w for p in r.servers.values() if (w := p.try_accept())), None)
             else:
-                first._more()
+                first.receive()
         first.reset()
         client.send(body[sent:])
-        _, second = r.served()
-        second.until(b"\r\n\r\n")
-        r.until(lambda: len(second.seen) >= len(body) or not second._more())
-        assert xxhash.xxh3_64(second.seen).digest() == xxhash.xxh3_64(body).digest()
+        _, second = r.accept_relay()
+        second.read_until(b"\r\n\r\n")
+        r.run_until(lambda: len(second.received) >= len(body) or not second.receive())
+        assert xxhash.xxh3_64(second.received).digest() == xxhash.xxh3_64(body).digest()
         second.send(OK)
-        assert client.answer()[0] == 200 and r.count("relays") == 2
+        assert client.read_http()[0] == 200 and r.count("relays") == 2
         folder = r.daemon.shares.folder
         assert folder is not None and folder.used == 0
 
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -78,10 +78,10 @@
     """An election takes seconds, which the clock is moved on by."""
 
     def known() -> bool:
-        r.skip(0.05)
+        r.advance_clock(0.05)
         return bool(r.daemon.configuration.knows())
 
-    r.until(known)
+    r.run_until(known)
 
 
 BAD: list[tuple[dict[str, Any], str]] = [
@@ -141,7 +141,7 @@
         }
         shown = call(r, tmp_path, "GET", "/v1/status")[1]["configuration"]
         assert (shown["revision"], shown["inLog"], shown["from"], shown["firms"]) == (1, 1, "log", 1)
-        r.until(lambda: r.daemon.configuration.status()["byRevision"] == {"1": 1})
+        r.run_until(lambda: r.daemon.configuration.status()["byRevision"] == {"1": 1})
         code, answer = call(r, tmp_path, "POST", "/v1/configuration/revert", {"to": 3, "by": "bob"})
         assert (code, answer["error"]["field"]) == (400, "to")
         for taken in ("now", "before"):  # asked twice
@@ -180,7 +180,7 @@
                     1
                 ]
             )
-        r.until(lambda: r.count("configuration_oversized") == 1)
+        r.run_until(lambda: r.count("configuration_oversized") == 1)
         assert r.count("configuration_torn") == 1 and r.daemon.configuration.force.number == 1
 
 
@@ -188,15 +188,15 @@
     told = operator(tmp_path, voter=False)
     with rig(operator=told) as r:
         assert not r.daemon.ready() and r.daemon.configuration.status()["from"] == "file"
-        r.skip(8.5)
+        r.advance_clock(8.5)
         assert r.daemon.ready() and serve(r, 1) == 200
         status = r.daemon.configuration.status()
         assert status["revision"] == 0 and status["logSilentS"] >= 8.5
         later = r.daemon.control.routes.answer(
             "POST", "/v1/configuration", b'{"base":0,"by":"a","plans":{"p":{"rate":1,"burst":1}}}'
         )
-        r.skip(4.1)
-        r.until(lambda: later.reply is not None)
+        r.advance_clock(4.1)
+        r.run_until(lambda: later.reply is not None)
         assert later.reply.status == 503 and r.daemon.configuration.force.number == 0
 
 
@@ -207,17 +207,17 @@
     with rig(operator=told) as r:
         knows(r)
         change(r, tmp_path, 0, plans={"big": FIGURES, "small": {"rate": 1.0, "burst": 4.0}}, firms={FIRM: "big"})
-        client = r.ask(1, ident=50)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1, ident=50)
+        _, server = r.accept_relay()
+        server.read_http()
         change(r, tmp_path, 1, firms={FIRM: "small"}, plans={"big": {"rate": 2.0, "burst": 2.0}})
         message = next(iter(r.daemon.ingress.held.values())).message
         assert (message.plan, message.revision) == ("big", 1)
         server.send(ok)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
         assert serve(r, 1) == 200
-        r.skip(3.0)
-        r.until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
+        r.advance_clock(3.0)
+        r.run_until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
         rows = [(e.key.plan, e.key.revision) for e in r.daemon.ledger.store.entries()]
         assert rows == [("big", 1), ("small", 2)]
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -54,7 +54,7 @@
         head, end, rest = got.partition(b"\r\n\r\n")
         return bool(end) and len(rest) >= int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
 
-    r.until(done)
+    r.run_until(done)
     sock.close()
     head, _, rest = got.partition(b"\r\n\r\n")
     return int(head.split(b" ")[1]), json.loads(rest)
@@ -145,11 +145,11 @@
 
 
 def serve(r: Rig, number: int, **more: Any) -> int:
-    client = r.ask(number, ident=1000 + number, **more)
-    _, server = r.served()
-    server.answer()
+    client = r.send_request(number, ident=1000 + number, **more)
+    _, server = r.accept_relay()
+    server.read_http()
     server.send(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-    return client.answer()[0]
+    return client.read_http()[0]
 
 
 def test_a_change_due_later_takes_effect_at_its_instant_and_use_is_counted_under_it(tmp_path: Path) -> None:
@@ -159,10 +159,10 @@
         call(r, tmp_path, "POST", "/v1/changes", change(r, kind="set", firm="", plan="big", figures=figures))
         call(r, tmp_path, "POST", "/v1/changes", change(r, revision=2, plan="big", since=now + 60))
         assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "p"
-        r.skip(61.0)
+        r.advance_clock(61.0)
         assert serve(r, 1) == 200 and r.daemon.ingress.gateway.customers[1].plan.name == "big"
-        r.skip(3.0)
-        r.until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
+        r.advance_clock(3.0)
+        r.run_until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
         rows = [(e.key.plan, e.key.revision, e.units) for e in r.daemon.ledger.store.entries()]
         assert rows == [("p", 0, 3_000_000), ("big", 2, 3_000_000)]
 
@@ -199,7 +199,7 @@
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[0] == 200
         assert call(r, tmp_path, "POST", "/v1/reservations/r1/release")[1]["state"] == "released"
         assert r.daemon.ingress.gateway.customers[1].level >= full + 3.0
-        r.skip(6.0)
+        r.advance_clock(6.0)
         assert call(r, tmp_path, "POST", "/v1/reservations/r2/commit", {"units": 1.0})[0] == 410
         assert call(r, tmp_path, "GET", "/v1/reservations")[1]["held"] == 0
         assert r.daemon.ledger.tally.heads.counted == 1_000_000
@@ -233,13 +233,13 @@
         assert serve(r, 1) == 200  # it was taken before anybody knew
         assert r.count("ledger_failures") >= 1 and r.daemon.ledger.failing
         if mode == "refuse":
-            status, head, _ = r.ask(2, ident=7).answer()
+            status, head, _ = r.send_request(2, ident=7).read_http()
             assert status == 503 and b"retry-after" in head.lower()
         else:
             assert serve(r, 2) == 200
         store.env.set_mapsize(4 << 20)  # the operator makes room
-        r.skip(1.1)
-        r.until(lambda: not r.daemon.ledger.failing)
+        r.advance_clock(1.1)
+        r.run_until(lambda: not r.daemon.ledger.failing)
         assert serve(r, 3) == 200 and r.daemon.ledger.tally.heads.counted == (6 + 3 * (mode == "serve")) * 1_000_000
 
 
@@ -279,7 +279,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        r.until(lambda: process.poll() is not None)
+        r.run_until(lambda: process.poll() is not None)
         out, err = process.communicate()
         return process.returncode, out, err
 
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -388,21 +388,21 @@
     with rig(counter=True) as r:
         told, client = heard(r), r.daemon.counter
         assert client is not None
-        r.freeze()
+        r.freeze_clock()
         client.add(5, 1, 4.0, 11)
         wire = r.counter.accept()
-        wire.until(b"4000\r\n")
-        r.step(0.04)
+        wire.read_until(b"4000\r\n")
+        r.step_clock(0.04)
         client.add(5, 2, 4.0, 12)
-        wire.until(b"4000\r\n")
+        wire.read_until(b"4000\r\n")
         wire.send(b"$1\r\n1\r\n")  # the late one, while the second is out under the same name
-        r.until(lambda: len(told) == 2)
+        r.run_until(lambda: len(told) == 2)
         assert told == [("end", 5, "timeout", 0.0), ("total", 11, "ok", 1.0)]
-        r.step(0.04)
+        r.step_clock(0.04)
         client.add(6, 3, 4.0, 13)
-        wire.until(b"4000\r\n")
+        wire.read_until(b"4000\r\n")
         wire.send(b"-BUSY\r\n$1\r\n7\r\n")
-        r.until(lambda: len(told) == 5)
+        r.run_until(lambda: len(told) == 5)
         assert told[2:] == [("end", 5, "timeout", 0.0), ("total", 12, "full", 0.0), ("end", 6, "ok", 7.0)]
         assert r.count("count_late") == 2
 
@@ -411,18 +411,18 @@
     with rig(counter=True) as r:
         told, client = heard(r), r.daemon.counter
         assert client is not None
-        r.freeze()
+        r.freeze_clock()
         client.add(5, 1, 4.0, 11)
         wire = r.counter.accept()
-        wire.until(b"4000\r\n")
-        r.step(0.04)
+        wire.read_until(b"4000\r\n")
+        r.step_clock(0.04)
         wire.reset()
-        r.until(lambda: client._line is None)
+        r.run_until(lambda: client._line is None)
         client.add(5, 2, 4.0, 12)
         wire = r.counter.accept()
-        wire.until(b"4000\r\n")
+        wire.read_until(b"4000\r\n")
         wire.send(b"$1\r\n2\r\n")
-        r.until(lambda: len(told) == 2)
+        r.run_until(lambda: len(told) == 2)
         assert told == [("end", 5, "timeout", 0.0), ("end", 5, "ok", 2.0)] and r.count("count_late") == 0
 
 
@@ -446,18 +446,18 @@
     told = copy.deepcopy(SETTINGS)
     told["Extra"] = {"MayCount": True, "CountWait": WAIT, "MostUnits": 8}
     with rig(counter=True, settings={**told, "NInstances": 3}) as r:
-        r.freeze()
+        r.freeze_clock()
         gateway = r.daemon.ingress.gateway
-        clients = [r.ask(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
-        r.until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
+        clients = [r.send_request(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
+        r.run_until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
         wire = r.counter.accept()
-        wire.until(b"60000\r\n")
+        wire.read_until(b"60000\r\n")
         (c,) = gateway.customers.values()
         (call,) = c.calls
         assert call.amount > 0 and c.read_at < 0
-        r.step(0.035)
+        r.step_clock(0.035)
         assert r.count("count_timeout") == 1 and c.read_at < 0 and c.calls == [call]
-        r.step(0.02)
+        r.step_clock(0.02)
         wire.send(b"$2\r\n40\r\n")
-        r.until(lambda: r.count("count_late") == 1)
+        r.run_until(lambda: r.count("count_late") == 1)
         assert c.read_at == call.at and c.total == 40.0 and c.others > 0 and not c.calls
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,12 +17,12 @@
 from brackenpulley.config import decode
 from brackenpulley.net import sockets
 
-from .rig import Peer, Rig, Wire, rig
+from .rig import Peer, RawConnection, Rig, rig
 from .test_link import SETTINGS
 from .test_platform import OK, chunk
 
 
-def orderly(wire: Wire) -> bool:
+def orderly(wire: RawConnection) -> bool:
     """The other side has ended the connection by an end, not by a reset that may take the last answer with it."""
     found: list[bytes] = []
 
@@ -33,10 +33,10 @@
             return False
         except ConnectionResetError:
             found.append(b"reset")
-        wire.seen += found[-1]
+        wire.received += found[-1]
         return found[-1] in (b"", b"reset")
 
-    wire.rig.until(there)
+    wire.rig.run_until(there)
     return found[-1] == b""
 
 
@@ -62,26 +62,26 @@
 @pytest.mark.parametrize("how", GONE)
 def test_a_client_that_leaves_while_more_of_it_waits_is_noticed(how: str) -> None:
     with rig() as r:
-        wire = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        wire = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         wire.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
         wire.send(GONE[how]).close()
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
         r.run_once()
         assert r.count("gone") == 1 and r.count("relays") == 1 and not r.daemon.ingress.held
-        assert server.ended()
+        assert server.wait_closed()
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_client_that_leaves_while_nothing_of_its_long_body_is_read_is_noticed(reset: bool) -> None:
     with rig() as r:
-        wire = r.client().send(head(1, "Content-Length: 30000000\r\n", "POST"))
-        server: list[Wire] = []
+        wire = r.connect().send(head(1, "Content-Length: 30000000\r\n", "POST"))
+        server: list[RawConnection] = []
 
         def stuck() -> bool:
             """Sent until there is no room here, and no more than the system holds for us."""
-            if not server and (found := r.peers["s-0"].connected()):
+            if not server and (found := r.servers["s-0"].try_accept()):
                 server.append(found)
             if not r.daemon.north.read_paused:
                 try:
@@ -90,36 +90,36 @@
                     return False
             return bool(r.daemon.north.read_paused)
 
-        r.until(stuck)
+        r.run_until(stuck)
         wire.reset() if reset else wire.close()
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
         assert not r.daemon.north.read_paused and not r.daemon.ingress.held
 
 
 def test_a_client_that_left_while_it_waited_to_be_accepted_is_not_sent_on() -> None:
     with rig() as r:
         for number in (1, 2):
-            r.ask(number).close()
-        stays = r.ask(3)
-        _, server = r.served()
-        assert f"x-request-id: {3:016x}".encode() in server.answer()[1]
+            r.send_request(number).close()
+        stays = r.send_request(3)
+        _, server = r.accept_relay()
+        assert f"x-request-id: {3:016x}".encode() in server.read_http()[1]
         server.send(OK)
-        assert stays.answer()[0] == 200
+        assert stays.read_http()[0] == 200
         assert r.count("messages") == 1 and r.count("gone_unheard") == 2
 
 
 def test_a_client_that_left_during_a_long_turn_is_not_sent_on() -> None:
     with rig() as r:
-        wire = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert wire.answer()[0] == 200
-        r.freeze()
+        wire = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert wire.read_http()[0] == 200
+        r.freeze_clock()
 
         def long_turn() -> None:
-            r.ask(1, wire=wire).close()
-            r.skipped += 0.4
+            r.send_request(1, wire=wire).close()
+            r.clock_offset += 0.4
 
         r.daemon.loop.call_soon(long_turn)
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
         assert r.count("messages") == 0 and r.count("gone_unheard") == 1
 
 
@@ -128,15 +128,15 @@
 
 def test_bytes_behind_the_last_message_do_not_take_its_answer_with_them() -> None:
     with rig() as r:
-        wire = r.ask(1, more="Connection: close\r\n")
-        _, server = r.served()
-        server.answer()
+        wire = r.send_request(1, more="Connection: close\r\n")
+        _, server = r.accept_relay()
+        server.read_http()
         wire.send(head(2) + b"x" * 300000)
         server.send(OK)
-        r.until(lambda: bool(r.daemon.north.half_closed))
-        assert orderly(wire) and wire.seen.startswith(b"HTTP/1.1 200") and r.count("relays") == 1
+        r.run_until(lambda: bool(r.daemon.north.half_closed))
+        assert orderly(wire) and wire.received.startswith(b"HTTP/1.1 200") and r.count("relays") == 1
         wire.close()
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
 
 
 @pytest.mark.parametrize("how", ["out of service", "idle", "evicted"])
@@ -144,16 +144,16 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with rig() as r:
-        wire = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert wire.answer()[0] == 200
-        r.freeze()
+        wire = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert wire.read_http()[0] == 200
+        r.freeze_clock()
         look = sockets.peek
 
         def crossing(sock: socket.socket) -> bytes | None:
             found = look(sock)
             if found is None and not r.count("crossed"):
                 r.daemon.metrics.add("crossed")
-                r.ask(1, wire=wire)  # in the very moment between the look and the end
+                r.send_request(1, wire=wire)  # in the very moment between the look and the end
             return found
 
         monkeypatch.setattr(sockets, "peek", crossing)
@@ -162,13 +162,13 @@
         elif how == "evicted":
             assert r.daemon.north._evict()
         else:
-            r.skip(130.0)
-        r.until(lambda: bool(r.daemon.north.half_closed))
+            r.advance_clock(130.0)
+        r.run_until(lambda: bool(r.daemon.north.half_closed))
         assert r.count("crossed") == 1
-        r.step(0.1)
+        r.step_clock(0.1)
         assert orderly(wire) and r.count("messages") == 0
         wire.close()
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
 
 
 def test_what_never_ends_its_side_is_closed_after_a_bound_and_first_where_room_is_short() -> None:
@@ -176,12 +176,12 @@
         north, clients = r.daemon.north, []
         north.max_active = 2
         for _ in range(north.max_lingering + 5):
-            clients.append(r.client().send(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n"))
-            assert clients[-1].answer()[0] == 200
-        r.until(lambda: len(north.half_closed) == north.max_lingering + 2 == len(north.clients))
+            clients.append(r.connect().send(b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n"))
+            assert clients[-1].read_http()[0] == 200
+        r.run_until(lambda: len(north.half_closed) == north.max_lingering + 2 == len(north.clients))
         assert north._free_descriptor() and len(north.half_closed) == north.max_lingering + 1
-        r.skip(2.3)
-        r.until(lambda: not north.clients)
+        r.advance_clock(2.3)
+        r.run_until(lambda: not north.clients)
 
 
 def test_accepting_that_pauses_again_and_again_has_one_timer() -> None:
@@ -190,9 +190,9 @@
         for _ in range(50):
             north._pause_accepting()
             north._start_accepting()
-        r.skip(0.02)
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
-        r.freeze()
+        r.advance_clock(0.02)
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
+        r.freeze_clock()
         assert sum(timer.callback == north._resume_accepting for _, _, timer in r.daemon.loop._heap) == 0
 
 
@@ -203,89 +203,89 @@
     r.daemon.loop.running = True
     r.daemon.end()
     for seconds in after:
-        r.skip(seconds)
+        r.advance_clock(seconds)
 
 
 def test_a_message_that_waits_behind_the_one_in_hand_at_sigterm_is_answered_too() -> None:
     with rig() as r:
-        wire = r.ask(1)
-        _, server = r.served()
-        server.answer()
-        r.ask(2, wire=wire)
-        r.until(lambda: any(client.reader.complete for client in r.daemon.north.clients))
+        wire = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
+        r.send_request(2, wire=wire)
+        r.run_until(lambda: any(client.reader.complete for client in r.daemon.north.clients))
         ends(r, 0.6, 0.2)
         server.send(OK)
-        status, first, _ = wire.answer()
+        status, first, _ = wire.read_http()
         assert status == 200 and b"Connection: close" not in first
-        _, server = r.served()
-        server.answer()
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        status, last, _ = wire.answer()
+        status, last, _ = wire.read_http()
         assert status == 200 and b"Connection: close" in last and orderly(wire)
         wire.close()
-        r.until(lambda: not r.daemon.loop.running)
+        r.run_until(lambda: not r.daemon.loop.running)
 
 
 def test_half_a_message_is_given_up_before_its_answer_could_come_too_late() -> None:
     """Where deadlines are half a second, SIGKILL comes 1.2 s after SIGTERM: a message that is whole at 1.1 s would
     be lost, one that has its error at 0.7 s is not."""
     with rig() as r:
-        wire = r.client().send(head(1)[:30])
-        r.until(lambda: any(client.reader.is_partial for client in r.daemon.north.clients))
+        wire = r.connect().send(head(1)[:30])
+        r.run_until(lambda: any(client.reader.is_partial for client in r.daemon.north.clients))
         ends(r, 0.55)
         assert not r.daemon.north.half_closed
-        r.skip(0.25)
-        assert wire.answer()[0] == 408
+        r.advance_clock(0.25)
+        assert wire.read_http()[0] == 408
         wire.send(head(1)[30:])
         assert orderly(wire) and r.count("messages") == 0
         wire.close()
-        r.until(lambda: not r.daemon.loop.running)
+        r.run_until(lambda: not r.daemon.loop.running)
 
 
 def test_half_a_message_whose_rest_has_come_unread_is_taken() -> None:
     with rig() as r:
-        wire = r.client().send(head(1)[:30])
-        r.until(lambda: any(client.reader.is_partial for client in r.daemon.north.clients))
+        wire = r.connect().send(head(1)[:30])
+        r.run_until(lambda: any(client.reader.is_partial for client in r.daemon.north.clients))
         ends(r, 0.55)
-        r.freeze()
-        r.skipped += 0.2
+        r.freeze_clock()
+        r.clock_offset += 0.2
         wire.send(head(1)[30:])
         r.daemon.north.reject_partial_requests()  # in the turn whose timer is due, before its sockets are looked at
-        _, server = r.served()
-        server.answer()
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert wire.answer()[0] == 200
+        assert wire.read_http()[0] == 200
 
 
 def test_many_resting_connections_all_end_in_order_at_sigterm() -> None:
     """Each has a message on its way in the moment of its end: none is reset, none is sent on."""
     with rig() as r:
-        wires = [r.client().send(b"GET /ready HTTP/1.1\r\n\r\n") for _ in range(3 * r.daemon.north.max_lingering)]
-        assert [wire.answer()[0] for wire in wires] == [200] * len(wires)
+        wires = [r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n") for _ in range(3 * r.daemon.north.max_lingering)]
+        assert [wire.read_http()[0] for wire in wires] == [200] * len(wires)
         ends(r)
-        r.daemon.loop.call_soon(lambda: [r.ask(n, wire=wire) for n, wire in enumerate(wires, 1)] and None)
+        r.daemon.loop.call_soon(lambda: [r.send_request(n, wire=wire) for n, wire in enumerate(wires, 1)] and None)
         r.daemon.north.close_idle()
         r.run_once()
         assert all(orderly(wire) for wire in wires) and r.count("messages") == 0
         for wire in wires:
             wire.close()
-        r.until(lambda: not r.daemon.north.clients)
+        r.run_until(lambda: not r.daemon.north.clients)
 
 
 def test_sigterm_twice_and_a_new_configuration_in_the_same_turn(tmp_path: Any) -> None:
     with rig() as r:
-        wire = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        wire = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         r.daemon.config.path = str(tmp_path / "none.json")
         ends(r)
         r.daemon.reload()  # a file that is gone: one line, nothing else
         r.daemon.end()
-        r.skip(0.6)
+        r.advance_clock(0.6)
         server.send(OK)
-        assert wire.answer()[0] == 200
+        assert wire.read_http()[0] == 200
         wire.close()
-        r.until(lambda: not r.daemon.loop.running)
+        r.run_until(lambda: not r.daemon.loop.running)
         assert r.count("reloads_failed") == 1 and r.count("served") == 1
 
 
@@ -296,15 +296,15 @@
 def with_discovery(**more: Any) -> Iterator[tuple[Rig, Peer]]:
     with rig() as outside:
         place = Peer(outside)
-        with rig(**more, discovery=place.at) as r:
+        with rig(**more, discovery=place.address) as r:
             place.rig = r
             yield r, place
 
 
-def asked(place: Peer) -> tuple[Wire, bytes]:
+def asked(place: Peer) -> tuple[RawConnection, bytes]:
     """The next call to discovery, and its first line."""
     wire = place.accept()
-    return wire, wire.until(b"\r\n\r\n").split(b"\r\n")[0]
+    return wire, wire.read_until(b"\r\n\r\n").split(b"\r\n")[0]
 
 
 def said(told: Any, status: bytes = b"200 OK") -> bytes:
@@ -318,19 +318,19 @@
     with with_discovery(**{"known": {}} if end is None else {}) as (r, place):
         wire, _ = asked(place)
         new = Peer(r)
-        at = address(new.at, "new")
-        r.freeze()
+        at = address(new.address, "new")
+        r.freeze_clock()
         r.daemon.loop.call_soon(lambda: r.daemon.discovery.move(at))  # runs before what this turn puts off
         if end is None:
-            wire.send(said(r.listing()))
+            wire.send(said(r.make_listing()))
         else:
             wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + end)
         r.run_once()
         assert r.daemon.discovery.at == at
         wire, line = asked(new)
         assert line.startswith(b"GET /v1/endpoints HTTP") and r.count("watch_breaks") == 0
-        wire.send(said({**r.listing(), "generation": 9}))
-        r.until(lambda: r.daemon.inventory.version == 9)
+        wire.send(said({**r.make_listing(), "generation": 9}))
+        r.run_until(lambda: r.daemon.inventory.version == 9)
         assert b"from=9 " in asked(new)[1]
 
 
@@ -350,20 +350,20 @@
     with with_discovery() as (r, place):
         wire, line = asked(place)
         assert b"?watch=1&from=7 " in line
-        r.freeze()
+        r.freeze_clock()
         wire.send(answer)
-        r.until(lambda: r.count("watch_breaks") == 1)
-        r.step(0.21)
+        r.run_until(lambda: r.count("watch_breaks") == 1)
+        r.step_clock(0.21)
         wire, line = asked(place)
         assert (b"?watch" not in line) == whole
         if whole:  # nor is an answer without a list the whole list
             wire.send(said(None))
-            r.until(lambda: r.count("watch_breaks") == 2)
-            r.step(0.21)
+            r.run_until(lambda: r.count("watch_breaks") == 2)
+            r.step_clock(0.21)
             wire, line = asked(place)
             assert b"?watch" not in line
-            wire.send(said({**r.listing(), "generation": 9, "reset": False, "instances": []}))
-            r.until(lambda: r.daemon.inventory.version == 9)
+            wire.send(said({**r.make_listing(), "generation": 9, "reset": False, "instances": []}))
+            r.run_until(lambda: r.daemon.inventory.version == 9)
             assert len(r.daemon.inventory) == 0  # whatever it calls itself, it is the whole list
 
 
@@ -371,14 +371,14 @@
     with with_discovery() as (r, place):
         wire, _ = asked(place)
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        r.until(lambda: r.daemon.discovery.heard_at > 0)
-        r.freeze()
+        r.run_until(lambda: r.daemon.discovery.heard_at > 0)
+        r.freeze_clock()
         wire.send(b'd\r\n{"generation"\r\n')
-        r.until(lambda: r.daemon.discovery._objects.open)
+        r.run_until(lambda: r.daemon.discovery._objects.open)
         for _ in range(4):
             wire.send(b"1\r\n\n\r\n")
-            r.step(0.3)
-        r.until(lambda: r.count("watch_breaks") == 1)
+            r.step_clock(0.3)
+        r.run_until(lambda: r.count("watch_breaks") == 1)
 
 
 BAD: list[dict[str, Any]] = [
@@ -399,31 +399,31 @@
 def test_an_entry_that_cannot_be_read_costs_its_server_alone(bad: dict[str, Any]) -> None:
     with with_discovery(servers=2) as (r, place):
         wire, _ = asked(place)
-        rows = r.listing()["instances"]
+        rows = r.make_listing()["instances"]
         wire.send(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             + chunk({"generation": 8, "instances": [{**rows[0], **bad}, rows[1]]})
         )
-        r.until(lambda: r.daemon.inventory.version == 8)
+        r.run_until(lambda: r.daemon.inventory.version == 8)
         assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
         assert r.count("list_entries_unread") == 1 and r.count("watch_breaks") == 0
-        client = r.ask(1)
-        name, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        name, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert name == "s-1" and client.answer()[0] == 200
+        assert name == "s-1" and client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize("how", ["drains", "gone", "left out", "elsewhere", "another there"])
 def test_no_first_byte_goes_where_the_list_says_no_while_a_connection_comes_up(how: str) -> None:
     with rig(servers=1) as r:
         other = Peer(r)
-        row = r.listing()["instances"][0]
+        row = r.make_listing()["instances"][0]
         told = {
             "drains": [{**row, "lifecycle": "DRAINING"}],
             "gone": [{"instanceId": "s-0", "lifecycle": "DELETED"}],
             "left out": [],
-            "elsewhere": [{**row, "hostPort": other.at}],
+            "elsewhere": [{**row, "hostPort": other.address}],
             "another there": [{**row, "lifecycle": "DELETED"}, {**row, "instanceId": "s-9"}],
         }[how]
         began = r.daemon.south._begin
@@ -435,48 +435,48 @@
             began(conn, attempt)
 
         r.daemon.south._begin = crossing  # type: ignore[method-assign]
-        client = r.ask(1)
-        r.until(lambda: r.count("drained_before_send") == 1)
-        old = r.peers["s-0"].accept()
+        client = r.send_request(1)
+        r.run_until(lambda: r.count("drained_before_send") == 1)
+        old = r.servers["s-0"].accept()
         if how in ("elsewhere", "another there"):
-            new = other.accept() if how == "elsewhere" else r.peers["s-0"].accept()
-            new.answer()
+            new = other.accept() if how == "elsewhere" else r.servers["s-0"].accept()
+            new.read_http()
             new.send(OK)
-            assert client.answer()[0] == 200
+            assert client.read_http()[0] == 200
         else:
-            assert client.answer()[0] == 503
-        r.skip(1.1)
-        assert old.ended() and not old.seen  # nor is the connection kept
+            assert client.read_http()[0] == 503
+        r.advance_clock(1.1)
+        assert old.wait_closed() and not old.received  # nor is the connection kept
 
 
 def test_descriptors_full_of_idle_clients_while_discovery_is_down() -> None:
     """Its return is heard, servers are connected to, /ready and a new message are answered."""
     with with_discovery(limits={"sockets": 64, "memory_mb": 32}, known={}) as (r, place):
         north = r.daemon.north
-        crowd = [r.client() for _ in range(64)]
-        r.until(lambda: len(north.clients) >= north.max_active)
+        crowd = [r.connect() for _ in range(64)]
+        r.run_until(lambda: len(north.clients) >= north.max_active)
         deaf, _ = asked(place)  # never answered: discovery is down
         for _ in range(8):
-            r.skip(0.5)
-        calls: list[Wire] = []
+            r.advance_clock(0.5)
+        calls: list[RawConnection] = []
 
         def back() -> bool:
             """It answers whatever comes from now on, and what came while it was down."""
-            if wire := place.connected():
+            if wire := place.try_accept():
                 calls.append(wire)
             for wire in calls:
-                if wire._more() and b"\r\n\r\n" in wire.seen:
-                    wire.seen = b""
-                    wire.send(said(r.listing()))
+                if wire.receive() and b"\r\n\r\n" in wire.received:
+                    wire.received = b""
+                    wire.send(said(r.make_listing()))
             return bool(r.daemon.discovery.heard)
 
-        r.until(back)
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        r.run_until(back)
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200 and r.count("out_of_descriptors") == 0
+        assert client.read_http()[0] == 200 and r.count("out_of_descriptors") == 0
         assert len(north.clients) <= north.max_active + north.max_lingering + 1
         for one in crowd:
             one.close()
@@ -488,67 +488,67 @@
 
 def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_messages() -> None:
     with rig() as r:
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
-        r.freeze()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
+        r.freeze_clock()
         server.send(OK)
-        assert client.answer()[0] == 200
-        r.step(0.005)
-        other = r.ask(2)  # in hand before the second answer comes
-        _, fresh = r.served()
+        assert client.read_http()[0] == 200
+        r.step_clock(0.005)
+        other = r.send_request(2)  # in hand before the second answer comes
+        _, fresh = r.accept_relay()
         server.send(OK.replace(b"ok", b"no") if b"ok" in OK else OK)
-        fresh.answer()
-        r.until(lambda: server.ended())
-        assert r.count("served") == 1 and not other.seen
+        fresh.read_http()
+        r.run_until(lambda: server.wait_closed())
+        assert r.count("served") == 1 and not other.received
         fresh.send(OK)
-        assert other.answer()[0] == 200 and not fresh.seen
+        assert other.read_http()[0] == 200 and not fresh.received
 
 
 def test_where_connections_are_bounded_one_that_has_not_rested_makes_room_for_a_new_one() -> None:
     with rig() as r:
         r.daemon.south.caps = {"s-0": 1}
-        r.freeze()
+        r.freeze_clock()
         for number in (1, 2):
-            client = r.ask(number)
-            _, server = r.served()
-            server.answer()
+            client = r.send_request(number)
+            _, server = r.accept_relay()
+            server.read_http()
             server.send(OK)
-            assert client.answer()[0] == 200
+            assert client.read_http()[0] == 200
         assert r.daemon.south.count == 1 and r.count("south_over_share") == 0
 
 
 def test_a_connection_that_has_rested_is_used_before_a_fresh_one() -> None:
     with rig() as r:
-        r.freeze()
-        clients = [r.ask(number) for number in (1, 2)]
-        servers = [r.served()[1] for _ in clients]
+        r.freeze_clock()
+        clients = [r.send_request(number) for number in (1, 2)]
+        servers = [r.accept_relay()[1] for _ in clients]
         for client, server in zip(clients, servers, strict=True):
-            server.answer()
+            server.read_http()
             server.send(OK)
-            assert client.answer()[0] == 200
-            r.step(0.008)  # the first one rests by now, the second one not yet
-        third = r.ask(3)
-        servers[0].answer()
-        assert r.count("connects") == 2 and not third.seen
+            assert client.read_http()[0] == 200
+            r.step_clock(0.008)  # the first one rests by now, the second one not yet
+        third = r.send_request(3)
+        servers[0].read_http()
+        assert r.count("connects") == 2 and not third.received
 
 
 @pytest.mark.parametrize("effect", ["guarded", "single_shot"])
 def test_a_repeat_that_would_reach_its_server_after_the_window_is_none(effect: str) -> None:
     """Its connection comes up only then."""
     with rig(servers=2, effect=effect) as r:
-        client = r.ask(1, method="POST", more="Idempotency-Key: k\r\n", body=b"x")
-        name, server = r.served()
-        server.answer()
-        r.freeze()
+        client = r.send_request(1, method="POST", more="Idempotency-Key: k\r\n", body=b"x")
+        name, server = r.accept_relay()
+        server.read_http()
+        r.freeze_clock()
         server.reset()
-        r.until(lambda: r.count("relays") == 2 or bool(client._more() and client.seen))
-        r.skip(4.0)
-        status = client.answer()[0]
-        other = next(peer for key, peer in r.peers.items() if key != name)
-        wire = other.connected()
+        r.run_until(lambda: r.count("relays") == 2 or bool(client.receive() and client.received))
+        r.advance_clock(4.0)
+        status = client.read_http()[0]
+        other = next(peer for key, peer in r.servers.items() if key != name)
+        wire = other.try_accept()
         assert r.count("window_over") == (effect == "guarded") and (wire is None) == (effect == "single_shot")
-        assert wire is None or not (wire._more() and wire.seen)
+        assert wire is None or not (wire.receive() and wire.received)
         assert status == (503 if effect == "guarded" else 502)  # where all drop repeats, another try is harmless
 
 
@@ -556,26 +556,26 @@
     with rig() as r:
         r.daemon.ingress.gateway.s.cancel = False
         event, r.daemon.south._event = r.daemon.south._event, lambda conn, events: None  # it does not come up yet
-        client = r.ask(1)
-        r.until(lambda: r.count("relays") == 1)
+        client = r.send_request(1)
+        r.run_until(lambda: r.count("relays") == 1)
         client.close()
-        r.until(lambda: r.count("gone") == 1)
+        r.run_until(lambda: r.count("gone") == 1)
         r.daemon.south._event = event  # type: ignore[method-assign]
-        wire = r.peers["s-0"].accept()
-        assert wire.ended() and not wire.seen and not r.daemon.ingress.held and not r.daemon.south.count
+        wire = r.servers["s-0"].accept()
+        assert wire.wait_closed() and not wire.received and not r.daemon.ingress.held and not r.daemon.south.count
 
 
 def test_an_attempt_that_has_begun_goes_on_where_none_is_cancelled() -> None:
     with rig() as r:
         r.daemon.ingress.gateway.s.cancel = False
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         client.close()
-        r.until(lambda: r.count("gone") == 1)
+        r.run_until(lambda: r.count("gone") == 1)
         assert r.daemon.south.count == 1
         server.send(OK)
-        r.until(lambda: not r.daemon.ingress.held)
+        r.run_until(lambda: not r.daemon.ingress.held)
 
 
 @pytest.mark.parametrize(
@@ -593,9 +593,9 @@
     effect: str, answer: bytes, never: bool
 ) -> None:
     with rig(servers=2, effect=effect) as r:
-        client = r.ask(1, method="POST", body=b"x")
-        name, server = r.served()
-        server.answer()
+        client = r.send_request(1, method="POST", body=b"x")
+        name, server = r.accept_relay()
+        server.read_http()
         if answer:
             server.send(answer)
             r.run_once()
@@ -603,23 +603,23 @@
         if not never:
             server.reset()
         if never or effect == "free":
-            other, again = r.served()
-            again.answer()
+            other, again = r.accept_relay()
+            again.read_http()
             again.send(OK)
-            assert other != name and client.answer()[0] == 200
+            assert other != name and client.read_http()[0] == 200
         else:
-            assert client.answer()[0] == 502 and r.count("relays") == 1
+            assert client.read_http()[0] == 502 and r.count("relays") == 1
 
 
 def test_an_answer_that_comes_in_the_turn_of_the_time_out_is_taken_or_may_have_run() -> None:
     with rig(servers=2, effect="single_shot") as r:
-        client = r.ask(1, timeout="4030m", method="POST", body=b"x")
-        _, server = r.served()
-        server.answer()
-        r.freeze()
+        client = r.send_request(1, timeout="4030m", method="POST", body=b"x")
+        _, server = r.accept_relay()
+        server.read_http()
+        r.freeze_clock()
         server.send(OK)
-        r.skip(4.0)  # its bytes and its end are due in one turn
-        assert client.answer()[0] == 200 and r.count("served") == 1 and r.count("relays") == 1
+        r.advance_clock(4.0)  # its bytes and its end are due in one turn
+        assert client.read_http()[0] == 200 and r.count("served") == 1 and r.count("relays") == 1
 
 
 # Settings of another customer: names that nothing in the program knows, and what cannot be meant.
@@ -696,25 +696,27 @@
     told["Limits"].update(AttemptsCap=2, MayCancel=False, RetryAfter=False)
     with rig(servers=4, settings=told) as r:  # one that is set aside for its resets leaves others
         for number, effect in enumerate(effects, 1):
-            client = r.client().send(
+            client = r.connect().send(
                 (
                     f"POST /zx-{number - 1}/{number:016x} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {number:016x}\r\n"
                     f"X-Tariff: qq\r\nX-Timeout: 19000m\r\nX-Weight: units=3\r\nContent-Length: 1\r\n\r\nx"
                 ).encode()
             )
-            _, server = r.served()
-            server.answer()
+            _, server = r.accept_relay()
+            server.read_http()
             server.reset()
             if effect == "single_shot":
-                assert client.answer()[0] == 502  # it may have run: nothing says that another try is harmless
+                assert client.read_http()[0] == 502  # it may have run: nothing says that another try is harmless
             else:
-                _, again = r.served()
-                again.answer()
+                _, again = r.accept_relay()
+                again.read_http()
                 again.send(OK)
-                assert client.answer()[0] == 200
+                assert client.read_http()[0] == 200
                 again.close()
-                r.until(lambda: not r.daemon.south.count)  # else the next message goes over it, to no new connection
-            r.skip(0.5)
+                r.run_until(
+                    lambda: not r.daemon.south.count
+                )  # else the next message goes over it, to no new connection
+            r.advance_clock(0.5)
         assert r.count("relays") == sum(1 if effect == "single_shot" else 2 for effect in effects)
 
 
@@ -723,22 +725,23 @@
 
 def test_what_the_agent_has_goes_before_the_old_list_from_the_first_message_on() -> None:
     with with_discovery(servers=2) as (r, place):
-        early = r.ask(1)  # before the agent has said a word: not sent by the old list
-        assert early.answer()[0] == 429 and r.count("relays") == 0
+        early = r.send_request(1)  # before the agent has said a word: not sent by the old list
+        assert early.read_http()[0] == 429 and r.count("relays") == 0
         wire, line = asked(place)
         assert b"?watch=1&from=7 " in line
         wire.send(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + chunk({**r.listing(s_0="DRAINING"), "reset": False, "generation": 8})
+            + chunk({**r.make_listing(s_0="DRAINING"), "reset": False, "generation": 8})
         )
-        r.until(lambda: r.daemon.inventory.version == 8)
-        r.freeze()  # no connection rests long enough to be used again: each message is seen to arrive at its server
+        r.run_until(lambda: r.daemon.inventory.version == 8)
+        # no connection rests long enough to be used again: each message is seen to arrive at its server
+        r.freeze_clock()
         for number in range(2, 8):
-            client = r.ask(number)
-            name, server = r.served()
-            server.answer()
+            client = r.send_request(number)
+            name, server = r.accept_relay()
+            server.read_http()
             server.send(OK)
-            assert name == "s-1" and client.answer()[0] == 200
+            assert name == "s-1" and client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize("how", ["silent", "refused", "busy"])
@@ -747,12 +750,12 @@
         if how == "refused":
             place.sock.close()
         for _ in range(18):
-            r.skip(0.1)
-            if how == "busy" and (wire := place.connected()):
+            r.advance_clock(0.1)
+            if how == "busy" and (wire := place.try_accept()):
                 wire.send(said(None, b"503 Busy"))
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -80,14 +80,14 @@
     with rig(operator={"log": {"seconds": True}}) as r:
         log = make_log(Output())
         r.daemon.tally.log = log
-        r.freeze()  # else a slow machine comes past one more full second, and its line is counted
-        client = r.ask()
-        name, wire = r.served()
-        wire.answer()
+        r.freeze_clock()  # else a slow machine comes past one more full second, and its line is counted
+        client = r.send_request()
+        name, wire = r.accept_relay()
+        wire.read_http()
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-        assert client.answer()[0] == 200
-        r.skip(1.0)
-        r.skip(1.0)
+        assert client.read_http()[0] == 200
+        r.advance_clock(1.0)
+        r.advance_clock(1.0)
     merged = Merged()
     assert merged.add("n0", "".join(lines).splitlines()).records == 2
     row = merged.by("server")[0]
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The latency loop against numbers worked by hand."""
+"""The latency control loop of one class, against values calculated by hand."""
 
 import pytest
 
@@ -6,95 +6,95 @@
 from brackenpulley.policy.interface import ClassSpec
 
 
-def loop(rate: float = 50.0, aim: float = 1.0) -> Loop:
-    made = Loop(ClassSpec("c", aim=aim, deadline=5.0, worth=1.0, effect="safe"), 0.0)
-    made.rate = rate
-    return made
+def make_loop(rate: float = 50.0, aim: float = 1.0) -> Loop:
+    loop = Loop(ClassSpec("c", aim=aim, deadline=5.0, worth=1.0, effect="safe"), 0.0)
+    loop.rate = rate
+    return loop
 
 
-def run(x: Loop, now: float, latencies: list[float] = (), busy: bool = True) -> None:  # type: ignore[assignment]
-    x.samples.clear()
-    x.samples.extend((now, v) for v in latencies)
-    x.busy = busy
-    x.run(now, [])
+def run_loop(loop: Loop, now: float, latencies: list[float] = (), busy: bool = True) -> None:  # type: ignore[assignment]
+    loop.samples.clear()
+    loop.samples.extend((now, latency) for latency in latencies)
+    loop.busy = busy
+    loop.run(now, [])
 
 
-def test_smoothing_and_cut() -> None:
-    x = loop()
-    x.admitted, x.sent = 60.0, 60
-    run(x, 1.0, [5.0] * 10)
-    assert x.cur == pytest.approx(1.5)  # 0.7 x 0 + 0.3 x 5
-    assert x.rate == pytest.approx(50.0 / 1.2)
+def test_latency_is_smoothed_and_the_rate_cut() -> None:
+    loop = make_loop()
+    loop.admitted, loop.sent = 60.0, 60
+    run_loop(loop, 1.0, [5.0] * 10)
+    assert loop.cur == pytest.approx(1.5)  # 0.7 x 0 + 0.3 x 5
+    assert loop.rate == pytest.approx(50.0 / 1.2)
 
 
-def test_rise_is_in_proportion_to_the_error() -> None:
-    x = loop()
-    run(x, 1.0, [0.5])
-    assert x.cur == pytest.approx(0.15)
-    assert x.rate == pytest.approx(50.0 + (0.85 - 0.1) * 2.0)
+def test_a_rise_is_proportional_to_the_error() -> None:
+    loop = make_loop()
+    run_loop(loop, 1.0, [0.5])
+    assert loop.cur == pytest.approx(0.15)
+    assert loop.rate == pytest.approx(50.0 + (0.85 - 0.1) * 2.0)
 
 
-def test_dead_zone_moves_nothing() -> None:
-    x = loop()
-    x.cur = 0.8
-    run(x, 1.0, [0.8])
-    assert x.rate == 50.0
+def test_the_rate_is_unchanged_within_the_dead_zone() -> None:
+    loop = make_loop()
+    loop.cur = 0.8
+    run_loop(loop, 1.0, [0.8])
+    assert loop.rate == 50.0
 
 
 def test_rates_stay_between_their_bounds() -> None:
-    low, high = loop(RATE_MIN), loop(RATE_MAX)
+    low, high = make_loop(RATE_MIN), make_loop(RATE_MAX)
     low.cur = 100.0
-    run(low, 1.0, [5.0])
-    run(high, 1.0, [0.1])
+    run_loop(low, 1.0, [5.0])
+    run_loop(high, 1.0, [0.1])
     assert (low.rate, high.rate) == (RATE_MIN, RATE_MAX)
 
 
-def test_lower_worth_yields_first_and_its_rise_is_barred_then_own_after_twenty() -> None:
-    top, low = loop(), loop()
+def test_a_class_of_lower_worth_is_cut_first_and_the_own_rate_only_after_20_ticks() -> None:
+    top, low = make_loop(), make_loop()
     top.lower = [low]
     top.cur, low.admitted, top.admitted, top.sent = 100.0, 50.0, 1000.0, 1000
-    run(top, 1.0, [5.0])
+    run_loop(top, 1.0, [5.0])
     assert (top.rate, low.rate) == (50.0, 5.0)
-    run(low, 1.0, [0.1])
-    assert low.rate == 5.0  # barred once
-    run(low, 2.0, [0.1])
+    run_loop(low, 1.0, [0.1])
+    assert low.rate == 5.0  # a cut class may not rise in its next tick
+    run_loop(low, 2.0, [0.1])
     assert low.rate > 5.0
     low.rate = RATE_MIN
-    for n in range(2, 21):
+    for tick in range(2, 21):
         top.cur = 100.0
-        run(top, float(n), [5.0])
+        run_loop(top, float(tick), [5.0])
     assert top.rate == 50.0
     top.cur = 100.0
-    run(top, 21.0, [5.0])
+    run_loop(top, 21.0, [5.0])
     assert top.rate < 50.0
 
 
-def test_cut_bites_from_what_is_admitted() -> None:
-    """A starting rate of thousands took dozens of cuts before a single request was refused."""
-    x = loop(RATE_MAX)
-    x.admitted, x.sent = 10.0, 10
-    run(x, 1.0, [9.0])
-    assert x.rate < 10.0
+def test_a_cut_starts_from_the_admitted_rate() -> None:
+    """Guards against cutting the configured rate: from thousands a second, dozens of cuts refused nothing."""
+    loop = make_loop(RATE_MAX)
+    loop.admitted, loop.sent = 10.0, 10
+    run_loop(loop, 1.0, [9.0])
+    assert loop.rate < 10.0
 
 
-def test_little_out_is_no_ground_for_a_cut() -> None:
-    """Samples of a few sick servers pinned every class at the floor while the fleet idled."""
-    x = loop()
-    x.cur = 5.0
-    run(x, 1.0, [9.0], busy=False)
-    assert x.rate > 50.0
+def test_the_rate_is_not_cut_while_little_is_in_flight() -> None:
+    """Guards against a few slow servers holding every class at the minimum rate while the fleet is idle."""
+    loop = make_loop()
+    loop.cur = 5.0
+    run_loop(loop, 1.0, [9.0], busy=False)
+    assert loop.rate > 50.0
 
 
-def test_percentile_of_few_samples_is_not_their_maximum() -> None:
-    x = loop()
-    run(x, 1.0, [0.1, 0.1, 0.1, 9.0])
-    assert x.cur == pytest.approx(0.03)
+def test_the_percentile_of_few_samples_is_not_their_maximum() -> None:
+    loop = make_loop()
+    run_loop(loop, 1.0, [0.1, 0.1, 0.1, 9.0])
+    assert loop.cur == pytest.approx(0.03)
 
 
 def test_a_stretched_aim_widens_the_target() -> None:
-    x, plain = loop(), loop()
-    x.spec.aim_stretch, x.mean = 2.0, 1.0
-    for each in (x, plain):
+    loop, plain = make_loop(), make_loop()
+    loop.spec.aim_stretch, loop.mean = 2.0, 1.0
+    for each in (loop, plain):
         each.admitted, each.sent = 60.0, 60
-        run(each, 1.0, [5.0] * 10)
-    assert x.rate >= 50.0 > plain.rate
+        run_loop(each, 1.0, [5.0] * 10)
+    assert loop.rate >= 50.0 > plain.rate
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -187,16 +187,16 @@
                 calls.append("stopped")
 
         r.daemon.maintenance = Gone()
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         r.daemon.loop.running = True
         r.daemon.end()
-        r.skip(0.6)
+        r.advance_clock(0.6)
         assert calls == [] and r.daemon.loop.running
         server.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        assert client.answer()[0] == 200
-        r.until(lambda: not r.daemon.loop.running)
+        assert client.read_http()[0] == 200
+        r.run_until(lambda: not r.daemon.loop.running)
         assert calls == ["closed", "asked", "asked", "asked"]
 
 
@@ -578,9 +578,9 @@
     }
     with rig(2, operator=operator) as r:
         service = r.daemon.maintenance
-        r.until(lambda: bool(service.clerk.entered))
+        r.run_until(lambda: bool(service.clerk.entered))
         service.propose(Ask("h", "ann", ["s-0"], zone="z"), lambda answer: None, 5.0)
-        r.until(lambda: "s-0" in service.permits.away())
+        r.run_until(lambda: "s-0" in service.permits.away())
         assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
 
 
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -232,7 +232,7 @@
         elif end == "released":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/release")[0] == 200
         else:
-            r.skip(2.1)
+            r.advance_clock(2.1)
         assert heads.counted == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO
         if end != "expired":
             assert r.daemon.ingress.gateway.customers[7].level >= level + 3.0
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -53,41 +53,41 @@
 
 def test_an_answer_passes_unchanged_and_both_connections_are_kept() -> None:
     with rig() as r:
-        client = r.ask(
+        client = r.send_request(
             1,
             method="POST",
             body=b"in",
             more="Idempotency-Key: k1\r\nX-Hop: 1\r\nConnection: keep-alive, X-Hop, X-Request-ID\r\n",
         )
-        _, server = r.served()
-        _, head, body = server.answer()
+        _, server = r.accept_relay()
+        _, head, body = server.read_http()
         assert head.startswith(b"POST /a/0000000000000001?q=1 HTTP/1.1\r\n") and body == b"in"
         assert b"x-request-id: 0000000000000001\r\n" in head and b"idempotency-key: k1\r\n" in head
         assert b"x-hop" not in head  # what the client's Connection names is for this hop alone
         assert b"X-Timeout: 89" in head  # what is left of the 9000m, less the margin
         server.send(OK)
-        status, head, body = client.answer()
+        status, head, body = client.read_http()
         assert (status, body) == (200, b"body") and b"x-kind: k" in head and b"x-true-cost" not in head
-        r.ask(2, wire=client)
+        r.send_request(2, wire=client)
         # Guards against asking the parser about keep-alive too late: it then opened a connection for every relay.
-        server.answer()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200 and r.count("connects") == 1
+        assert client.read_http()[0] == 200 and r.count("connects") == 1
 
 
 @pytest.mark.parametrize("effect", ["free", "single_shot"])
 def test_a_reset_after_the_last_byte_may_have_run(effect: str) -> None:
     with rig(2, effect=effect) as r:
-        client = r.ask()
-        first, server = r.served()
-        server.answer()
+        client = r.send_request()
+        first, server = r.accept_relay()
+        server.read_http()
         server.reset()
         if effect == "free":  # the module may send it again, elsewhere
-            again, server = r.served()
+            again, server = r.accept_relay()
             assert again != first
-            server.answer()
+            server.read_http()
             server.send(OK)
-        assert client.answer()[0] == (200 if effect == "free" else 502)
+        assert client.read_http()[0] == (200 if effect == "free" else 502)
         assert r.count("relay_reset") == 1 and r.count("relays") == (2 if effect == "free" else 1)
 
 
@@ -96,89 +96,89 @@
     closing = b"Connection: close\r\n\r\n"
     with rig(2, effect="single_shot") as r:
         if how == "refused":
-            r.peers["s-0"].sock.close()
-        clients = [r.ask(number) for number in (1, 2)]  # at once: the second goes to the other one
+            r.servers["s-0"].sock.close()
+        clients = [r.send_request(number) for number in (1, 2)]  # at once: the second goes to the other one
         for _ in clients:
-            _, server = r.served()
-            server.answer()
+            _, server = r.accept_relay()
+            server.read_http()
             if how == "turned away" and r.count("relay_full") == 0:
                 server.send(b"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n" + closing)
-                r.until(lambda: r.count("relay_full") == 1)
-                _, server = r.served()
-                server.answer()
+                r.run_until(lambda: r.count("relay_full") == 1)
+                _, server = r.accept_relay()
+                server.read_http()
             server.send(OK.replace(b"\r\n\r\n", b"\r\n" + closing))
-        assert [c.answer()[0] for c in clients] == [200, 200]
+        assert [c.read_http()[0] for c in clients] == [200, 200]
         assert r.count("relay_connect_failed") + r.count("relay_full") >= 1
 
 
 def test_a_kept_connection_that_has_ended_is_not_used_again() -> None:
     with rig() as r:
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
         r.daemon.loop.unregister(next(iter(r.daemon.south.unused.values()))[0].sock)  # its end is not heard of in time
         server.close()
         conn = next(iter(r.daemon.south.unused.values()))[0]
         r.daemon.loop.register(conn.sock, 1, lambda events: None)
-        r.ask(2, wire=client)
-        _, server = r.served()
-        server.answer()
+        r.send_request(2, wire=client)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200 and r.count("relays") == 2
+        assert client.read_http()[0] == 200 and r.count("relays") == 2
 
 
 def test_a_kept_connection_is_retired_well_before_the_idle_limit() -> None:
     with rig() as r:
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200
-        r.skip(20.0)
-        assert server.ended()
+        assert client.read_http()[0] == 200
+        r.advance_clock(20.0)
+        assert server.wait_closed()
 
 
 def test_a_silent_server_is_given_up_on_and_answered_in_time() -> None:
     with rig() as r:
-        client = r.ask(1, timeout="6000m")
-        _, server = r.served()
-        server.answer()
-        r.skip(5.9)
+        client = r.send_request(1, timeout="6000m")
+        _, server = r.accept_relay()
+        server.read_http()
+        r.advance_clock(5.9)
         assert r.daemon.ingress.held
-        r.skip(0.08)  # 20 ms before the client's own time is up
-        status, head, _ = client.answer()
-        assert status in (502, 503) and server.ended() and not r.daemon.ingress.held
+        r.advance_clock(0.08)  # 20 ms before the client's own time is up
+        status, head, _ = client.read_http()
+        assert status in (502, 503) and server.wait_closed() and not r.daemon.ingress.held
 
 
 def test_a_client_that_leaves_ends_its_relay() -> None:
     with rig() as r:
-        client = r.ask()
-        _, server = r.served()
-        server.answer()
+        client = r.send_request()
+        _, server = r.accept_relay()
+        server.read_http()
         client.close()
-        assert server.ended() and r.count("gone") == 1 and not r.daemon.ingress.held
+        assert server.wait_closed() and r.count("gone") == 1 and not r.daemon.ingress.held
 
 
 def test_what_drains_between_choice_and_first_byte_gets_nothing() -> None:
     with rig() as r:
-        client = r.ask()
-        r.until(lambda: r.count("connects") == 1)
-        r.daemon.inventory.told(r.listing(s_0="DRAINING"))  # the connection is not up yet
-        assert client.answer()[0] == 503 and r.count("drained_before_send") == 1
-        assert r.peers["s-0"].accept().seen == b""
+        client = r.send_request()
+        r.run_until(lambda: r.count("connects") == 1)
+        r.daemon.inventory.told(r.make_listing(s_0="DRAINING"))  # the connection is not up yet
+        assert client.read_http()[0] == 503 and r.count("drained_before_send") == 1
+        assert r.servers["s-0"].accept().received == b""
         assert r.count("relay_connect_failed") == 1
 
 
 def test_a_refusal_is_answered_at_once_with_its_advice() -> None:
     with rig() as r:
-        wires = [r.ask(7, more="X-Weight: units=8\r\n", wire=None)]
-        r.served()[1].answer()
-        client = r.ask(0x10, more="X-Weight: units=8\r\n")
+        wires = [r.send_request(7, more="X-Weight: units=8\r\n", wire=None)]
+        r.accept_relay()[1].read_http()
+        client = r.send_request(0x10, more="X-Weight: units=8\r\n")
         client.close()
-        refused = r.ask(7, more="X-Weight: units=8\r\n", ident=8)
-        status, head, _ = refused.answer()
+        refused = r.send_request(7, more="X-Weight: units=8\r\n", ident=8)
+        status, head, _ = refused.read_http()
         after = float(head.split(b"Retry-After: ")[1].split(b"\r\n")[0])
         assert status == 429 and 0 < after <= 2.0 and wires
 
@@ -193,8 +193,8 @@
 )
 def test_an_unknown_class_or_plan_is_answered(head: str) -> None:
     with rig() as r:
-        client = r.client().send(f"{head}\r\nX-Request-ID: 1\r\nX-Timeout: 9000m\r\n\r\n".encode())
-        assert client.answer()[0] == 400 and client.ended() and not r.daemon.ingress.gateway.customers
+        client = r.connect().send(f"{head}\r\nX-Request-ID: 1\r\nX-Timeout: 9000m\r\n\r\n".encode())
+        assert client.read_http()[0] == 400 and client.wait_closed() and not r.daemon.ingress.gateway.customers
 
 
 # Guards against bad units in a usual customer's name: the module took them for that customer's own and kept the set.
@@ -204,7 +204,7 @@
 )
 def test_weights_that_the_settings_leave_no_room_for_touch_no_customer(weight: str) -> None:
     with rig() as r:
-        assert r.ask(7, more=f"X-Weight: {weight}\r\n").answer()[0] == 400
+        assert r.send_request(7, more=f"X-Weight: {weight}\r\n").read_http()[0] == 400
         assert not r.daemon.ingress.gateway.customers and not r.count("relays")
 
 
@@ -219,65 +219,65 @@
 )
 def test_a_bad_client_has_an_error_or_a_close_within_3_s_of_connecting(data: bytes) -> None:
     with rig() as r:
-        wire = r.client()
-        r.until(lambda: bool(r.daemon.north.clients))
-        r.freeze()
-        r.step(1.5)  # its time runs from connecting, not from its first byte
+        wire = r.connect()
+        r.run_until(lambda: bool(r.daemon.north.clients))
+        r.freeze_clock()
+        r.step_clock(1.5)  # its time runs from connecting, not from its first byte
         wire.send(data)
         for _ in range(10):
-            r.step(0.14)
-        wire._more()
-        assert wire.seen[9:12] in (b"408", b"413") or not data and wire.ended()
+            r.step_clock(0.14)
+        wire.receive()
+        assert wire.received[9:12] in (b"408", b"413") or not data and wire.wait_closed()
 
 
 def test_messages_behind_one_in_hand_are_taken_in_order_one_at_a_time() -> None:
     with rig() as r:
-        wire = r.ask(1)
-        r.ask(2, wire=wire)
-        r.ask(3, wire=wire)
+        wire = r.send_request(1)
+        r.send_request(2, wire=wire)
+        r.send_request(3, wire=wire)
         for number in (1, 2, 3):
-            _, server = r.served()  # the connection before has not rested yet
-            assert f"x-request-id: {number:016x}".encode() in server.answer()[1] and not server.seen
+            _, server = r.accept_relay()  # the connection before has not rested yet
+            assert f"x-request-id: {number:016x}".encode() in server.read_http()[1] and not server.received
             assert r.count("relays") == number
             server.send(OK)
-            assert wire.answer()[0] == 200
+            assert wire.read_http()[0] == 200
 
 
 def test_a_crowd_of_messages_at_once_is_answered_with_errors() -> None:
     with rig() as r:
         head = b"GET /a/%d HTTP/1.1\r\nX-Request-ID: %d\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n\r\n"
-        wire = r.client().send(b"".join(head % (n, n) for n in range(1, 12)))
-        assert [wire.answer()[0] for _ in range(11)] == [400] * 11 and r.count("relays") == 0
+        wire = r.connect().send(b"".join(head % (n, n) for n in range(1, 12)))
+        assert [wire.read_http()[0] for _ in range(11)] == [400] * 11 and r.count("relays") == 0
 
 
 @pytest.mark.parametrize("data", [b"", HEAD])
 def test_a_crowd_of_strangers_makes_room_before_the_usual_clients(data: bytes) -> None:
     with rig() as r:
         r.daemon.north.max_active = 3
-        usual = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert usual.answer()[0] == 200
-        crowd = [r.client().send(data) for _ in range(2)]
-        r.until(lambda: len(r.daemon.north.clients) == 3)
-        r.skip(0.06)
-        new = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert new.answer()[0] == 200 and crowd[0].ended() and r.count("strangers_closed") == 1
-        assert usual.send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
+        usual = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert usual.read_http()[0] == 200
+        crowd = [r.connect().send(data) for _ in range(2)]
+        r.run_until(lambda: len(r.daemon.north.clients) == 3)
+        r.advance_clock(0.06)
+        new = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert new.read_http()[0] == 200 and crowd[0].wait_closed() and r.count("strangers_closed") == 1
+        assert usual.send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
 
 
 def test_an_answer_that_took_long_is_not_cut_off_while_it_is_written() -> None:
     # Guards against counting the time that a client takes its answer in from the message's first byte.
     with rig() as r:
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
-        r.skip(6.0)
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
+        r.advance_clock(6.0)
         held = next(iter(r.daemon.north.clients))
         real, held.sock = held.sock, Slow(held.sock)  # type: ignore[assignment]
         server.send(OK)
-        r.until(lambda: bool(held.outgoing))
-        r.skip(5.0)
+        r.run_until(lambda: bool(held.outgoing))
+        r.advance_clock(5.0)
         held.sock = real
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -316,44 +316,44 @@
 )
 def test_malformed_input_gets_its_status_and_harms_nobody(data: bytes, status: int) -> None:
     with rig() as r:
-        assert r.client().send(data).answer()[0] == status
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
+        assert r.connect().send(data).read_http()[0] == status
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
 
 
 def test_a_body_that_waits_to_be_asked_for_is_asked_for() -> None:
     with rig() as r:
-        client = r.client().send(
+        client = r.connect().send(
             b"POST /a/1 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n"
             b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"
         )
-        assert client.until(b"\r\n\r\n").startswith(b"HTTP/1.1 100 ")
+        assert client.read_until(b"\r\n\r\n").startswith(b"HTTP/1.1 100 ")
         client.send(b"in")
-        _, server = r.served()
-        _, head, body = server.answer()
+        _, server = r.accept_relay()
+        _, head, body = server.read_http()
         assert body == b"in" and b"expect" not in head
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 def test_the_same_id_twice_in_hand_is_a_conflict() -> None:
     with rig() as r:
-        first, second = r.ask(1), r.ask(1)
-        assert second.answer()[0] == 409
-        _, server = r.served()
-        server.answer()
+        first, second = r.send_request(1), r.send_request(1)
+        assert second.read_http()[0] == 409
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert first.answer()[0] == 200
+        assert first.read_http()[0] == 200
 
 
 def test_a_message_that_drips_in_gets_its_time_from_its_first_byte() -> None:
     with rig() as r:
-        wire = r.client().send(HEAD)
+        wire = r.connect().send(HEAD)
         for _ in range(6):
-            r.skip(2.1)
-            if b"408" in wire.seen or not wire._more():
+            r.advance_clock(2.1)
+            if b"408" in wire.received or not wire.receive():
                 break
             wire.send(b"X: y\r\n")
-        assert wire.answer()[0] == 408 and wire.ended()
+        assert wire.read_http()[0] == 408 and wire.wait_closed()
 
 
 def test_cancelled_timers_do_not_pile_up() -> None:
@@ -366,7 +366,7 @@
         kept[0].cancel()
         kept[0].cancel()
         assert len(r.daemon.loop._heap) < 1100
-        r.skip(0.02)
+        r.advance_clock(0.02)
         assert seen == [1, 1]
 
 
@@ -391,26 +391,26 @@
         loop, seen = r.daemon.loop, list[str]()
         loop.call_soon(lambda: seen.append("before") or 1 / 0)  # type: ignore[func-returns-value]
         loop.call_in(0.0, lambda: 1 / 0)  # type: ignore[arg-type, return-value]
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
         assert seen and r.daemon.metrics.counts.pop("faults") == 2
 
 
 def test_ready_only_with_a_list() -> None:
     with rig(servers=0) as r:
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 503
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 503
 
 
 def test_at_the_cap_an_unused_connection_makes_room() -> None:
     with rig() as r:
         r.daemon.north.max_active = 2
-        old, new = r.client(), r.client()
-        r.until(lambda: len(r.daemon.north.clients) == 2)
-        r.skip(0.06)
-        third = r.client().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert third.answer()[0] == 200
-        assert old.ended() and len(r.daemon.north.half_closed) == 1
+        old, new = r.connect(), r.connect()
+        r.run_until(lambda: len(r.daemon.north.clients) == 2)
+        r.advance_clock(0.06)
+        third = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert third.read_http()[0] == 200
+        assert old.wait_closed() and len(r.daemon.north.half_closed) == 1
         old.close()  # what ended our side only waits for the client's
-        r.until(lambda: len(r.daemon.north.clients) == 2 and not r.daemon.north.half_closed)
+        r.run_until(lambda: len(r.daemon.north.clients) == 2 and not r.daemon.north.half_closed)
         new.close()
 
 
@@ -425,58 +425,58 @@
             return real(sock)
 
         monkeypatch.setattr(sockets, "accept", accept)
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
         assert r.count("out_of_descriptors") == 3
 
 
 def test_an_end_serves_what_still_arrives_and_finishes_what_is_held() -> None:
     with rig() as r:
-        kept, client = r.client(), r.ask(1)
-        _, server = r.served()
-        server.answer()
+        kept, client = r.connect(), r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         r.daemon.loop.running = True
         r.daemon.end()
-        late = r.ask(2)
-        r.until(lambda: r.count("relays") == 2)
-        r.skip(0.6)
-        assert kept.ended() and r.daemon.loop.running
-        _, second = r.served()
-        second.answer()
+        late = r.send_request(2)
+        r.run_until(lambda: r.count("relays") == 2)
+        r.advance_clock(0.6)
+        assert kept.wait_closed() and r.daemon.loop.running
+        _, second = r.accept_relay()
+        second.read_http()
         for wire in (server, second):
             wire.send(OK)
         for wire in (client, late):
-            status, head, _ = wire.answer()
-            assert status == 200 and b"Connection: close" in head and wire.ended()
+            status, head, _ = wire.read_http()
+            assert status == 200 and b"Connection: close" in head and wire.wait_closed()
         kept.close()
         client.close()
-        r.skip(0.1)
+        r.advance_clock(0.1)
         assert r.daemon.loop.running  # one of them has not ended its side: its answer must not be lost by a reset
         late.close()
-        r.until(lambda: not r.daemon.loop.running)
+        r.run_until(lambda: not r.daemon.loop.running)
 
 
 def test_what_waits_in_the_backlog_is_taken_in_whatever_the_cap() -> None:
     with rig() as r:
         r.daemon.north.max_active = 1
-        clients = [r.ask(number) for number in (1, 2, 3, 4)]
+        clients = [r.send_request(number) for number in (1, 2, 3, 4)]
         r.daemon.north.stop_listening()
         assert len(r.daemon.north.clients) == 4
-        r.until(lambda: r.count("messages") == 4)
+        r.run_until(lambda: r.count("messages") == 4)
         for client in clients:
             client.close()
 
 
 def test_half_a_message_does_not_keep_the_program_from_ending() -> None:
     with rig() as r:
-        wire = r.client().send(HEAD)
-        r.until(lambda: any(c.reader.is_partial for c in r.daemon.north.clients))
+        wire = r.connect().send(HEAD)
+        r.run_until(lambda: any(c.reader.is_partial for c in r.daemon.north.clients))
         r.daemon.loop.running = True
         r.daemon.end()
-        r.skip(0.6)
+        r.advance_clock(0.6)
         assert r.daemon.loop.running
         for _ in range(3):
-            r.skip(2.1)
-        assert wire.answer()[0] == 408 and not r.daemon.loop.running
+            r.advance_clock(2.1)
+        assert wire.read_http()[0] == 408 and not r.daemon.loop.running
 
 
 def test_the_counter_is_told_and_each_way_it_can_fail_has_its_outcome() -> None:
@@ -495,24 +495,24 @@
         client.tell = tell
         client.add(5, 1.5, 4.0, 71)
         wire = r.counter.accept()
-        assert wire.until(b"4000\r\n") == b"*4\r\n$7\r\nCNT.ADD\r\n$1\r\n5\r\n$3\r\n1.5\r\n$4\r\n4000\r\n"
-        r.skip(0.04)
+        assert wire.read_until(b"4000\r\n") == b"*4\r\n$7\r\nCNT.ADD\r\n$1\r\n5\r\n$3\r\n1.5\r\n$4\r\n4000\r\n"
+        r.advance_clock(0.04)
         assert ends == [("timeout", 0.0)]
         client.add(6, 2, 4.0)
         client.add(7, 2, 4.0)
         wire.send(b"$1\r\n3\r\n$2\r\n12\r\n-BUSY\r\n")  # the first one answers the call given up on
-        r.until(lambda: len(ends) == 3)
+        r.run_until(lambda: len(ends) == 3)
         assert ends[1:] == [("ok", 12.0), ("full", 0.0)] and r.count("count_late") == 1
         assert late == [(71, "ok", 3.0)]
         client.add(8, 1, 4.0)
-        wire.until(b"$1\r\n8\r\n")
+        wire.read_until(b"$1\r\n8\r\n")
         wire.reset()
-        r.until(lambda: len(ends) == 4)
+        r.run_until(lambda: len(ends) == 4)
         assert ends[3][0] == "timeout"  # written whole: it may have been added
         r.counter.sock.close()
-        r.skip(0.1)
+        r.advance_clock(0.1)
         client.add(9, 1, 4.0)
-        r.until(lambda: len(ends) == 5)
+        r.run_until(lambda: len(ends) == 5)
         assert ends[4][0] == "connect_failed" and len(late) == 1
 
 
@@ -525,43 +525,43 @@
     scout = Rig()
     source = Peer(scout)
     scout.close()
-    with rig(discovery=source.at, known={}) as r:
+    with rig(discovery=source.address, known={}) as r:
         source.rig = r
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 503
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 503
         wire = source.accept()
-        assert wire.until(b"\r\n\r\n").startswith(b"GET /v1/endpoints HTTP/1.1")
-        body = json.dumps(r.listing()).encode()
+        assert wire.read_until(b"\r\n\r\n").startswith(b"GET /v1/endpoints HTTP/1.1")
+        body = json.dumps(r.make_listing()).encode()
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         wire = source.accept()
-        assert b"?watch=1&from=7 " in wire.until(b"\r\n\r\n")
-        assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
-        change = {**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}
+        assert b"?watch=1&from=7 " in wire.read_until(b"\r\n\r\n")
+        assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
+        change = {**r.make_listing(s_0="DRAINING"), "reset": False, "generation": 8}
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change))
-        r.until(lambda: not r.daemon.inventory.usable("s-0"))
+        r.run_until(lambda: not r.daemon.inventory.usable("s-0"))
         wire.reset()
         wire = source.accept()
-        assert b"from=8 " in wire.until(b"\r\n\r\n")
-        r.skip(4.6)  # two empty lines are missing: the watch is asked for anew
-        assert b"from=8 " in source.accept().until(b"\r\n\r\n")
+        assert b"from=8 " in wire.read_until(b"\r\n\r\n")
+        r.advance_clock(4.6)  # two empty lines are missing: the watch is asked for anew
+        assert b"from=8 " in source.accept().read_until(b"\r\n\r\n")
 
 
 def test_an_ingress_that_starts_with_a_list_watches_from_it_at_once() -> None:
     """Asking for the whole list first, all that are started again ask twice of a discovery that is crowded then."""
     with rig() as outside:
         place = Peer(outside)
-        with rig(discovery=place.at) as r:
+        with rig(discovery=place.address) as r:
             place.rig = r
             wire = place.accept()
             wire.rig = r
-            assert wire.until(b"\r\n").startswith(b"GET /v1/endpoints?watch=1&from=7 ")
+            assert wire.read_until(b"\r\n").startswith(b"GET /v1/endpoints?watch=1&from=7 ")
             wire.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             again = place.accept()
-            assert again.until(b"\r\n").startswith(b"GET /v1/endpoints?watch=1&from=7 ")
+            assert again.read_until(b"\r\n").startswith(b"GET /v1/endpoints?watch=1&from=7 ")
             again.send(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + chunk({"generation": 9, "reset": True, "instances": []})
             )
-            r.until(lambda: r.daemon.discovery.heard)
+            r.run_until(lambda: r.daemon.discovery.heard)
             assert r.daemon.inventory.version == 9 and len(r.daemon.inventory) == 0
 
 
@@ -572,10 +572,10 @@
         with socket.create_server(("127.0.0.1", 0)) as place:
             place.setblocking(False)
             with rig(discovery=f"127.0.0.1:{place.getsockname()[1]}", seed=seed) as r:
-                r.freeze()
+                r.freeze_clock()
                 times: list[float] = []
                 for step in range(600):  # 12 s
-                    r.step(0.02)
+                    r.step_clock(0.02)
                     with contextlib.suppress(BlockingIOError):
                         place.accept()[0].close()
                         times.append(step * 0.02)
@@ -621,19 +621,19 @@
         client = r.daemon.counter
         assert client is not None
         client.tell = lambda e: ends.append((e.name, e.status, e.total))
-        r.freeze()
+        r.freeze_clock()
         for name in (1, 2, 3):
             client.add(name, 1, 4.0)
         wire = r.counter.accept()
-        wire.until(b"$1\r\n3\r\n$1\r\n1\r\n")
+        wire.read_until(b"$1\r\n3\r\n$1\r\n1\r\n")
         wire.send(b"$1\r\n9\r\n$-what\r\n$1\r\n8\r\n")
-        r.until(lambda: len(ends) == 3)
-        assert ends == [(1, "ok", 9.0), (2, "timeout", 0.0), (3, "timeout", 0.0)] and wire.ended()
+        r.run_until(lambda: len(ends) == 3)
+        assert ends == [(1, "ok", 9.0), (2, "timeout", 0.0), (3, "timeout", 0.0)] and wire.wait_closed()
         client.add(4, 1, 4.0)  # at once, on a new connection
         wire = r.counter.accept()
-        wire.until(b"$1\r\n4\r\n")
+        wire.read_until(b"$1\r\n4\r\n")
         wire.send(b"$1\r\n2\r\n")
-        r.until(lambda: len(ends) == 4)
+        r.run_until(lambda: len(ends) == 4)
         assert ends[3] == (4, "ok", 2.0)
 
 
@@ -642,17 +642,17 @@
     with rig(counter=True) as r:
         client = r.daemon.counter
         assert client is not None
-        r.freeze()
+        r.freeze_clock()
         ends: list[str] = []
         client.tell = lambda e: ends.append(e.status)
         for _ in range(4):
             client.add(1, 1, 4.0)
             r.run_once()
-            r.step(0.05)
+            r.step_clock(0.05)
         r.counter.accept()
-        r.until(lambda: len(ends) == 4)
+        r.run_until(lambda: len(ends) == 4)
         client.add(2, 1, 4.0)
-        r.counter.accept().until(b"$1\r\n2\r\n")
+        r.counter.accept().read_until(b"$1\r\n2\r\n")
 
 
 def test_a_counter_that_moves_still_answers_what_is_out() -> None:
@@ -661,17 +661,17 @@
         client = r.daemon.counter
         assert client is not None
         client.tell = lambda e: ends.append((e.name, e.status))
-        r.freeze()
+        r.freeze_clock()
         client.add(1, 1, 4.0)
         old = r.counter.accept()
-        old.until(b"4000\r\n")
+        old.read_until(b"4000\r\n")
         other = Peer(r)
-        client.move(address(other.at, "counter"))
+        client.move(address(other.address, "counter"))
         client.add(2, 1, 4.0)
         new = other.accept()
-        new.until(b"4000\r\n")
+        new.read_until(b"4000\r\n")
         old.send(b"$1\r\n1\r\n")
-        assert old.ended() and ends == [(1, "ok")]
+        assert old.wait_closed() and ends == [(1, "ok")]
 
 
 @pytest.mark.parametrize(("amount", "text"), [(0.0, b"0"), (100.0, b"100"), (-2.5, b"-2.5"), (1e-7, b"0")])
@@ -771,36 +771,36 @@
 @pytest.mark.parametrize("spoilt", [b"nonsense\r\n\r\n", H200 + b"Content-Length: 9\r\n\r\nab", b"HTTP/1.1 200"])
 def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(spoilt: bytes) -> None:
     with rig(2) as r:
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(spoilt)
-        r.until(lambda: r.count("relay_reset") + len(r.daemon.loop._heap) > 0)
+        r.run_until(lambda: r.count("relay_reset") + len(r.daemon.loop._heap) > 0)
         while not r.count("relay_reset"):  # one that never ends costs half a second, not the message's whole time
-            r.skip(0.2)
+            r.advance_clock(0.2)
             assert r.count("relay_timeout") == 0
-        assert server.ended()
-        _, server = r.served()
-        server.answer()
+        assert server.wait_closed()
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(PLAIN + PLAIN)
-        status, _, body = client.answer()
-        assert (status, body) == (200, b"ab") and server.ended()
+        status, _, body = client.read_http()
+        assert (status, body) == (200, b"ab") and server.wait_closed()
 
 
 def test_a_large_answer_passes_and_what_is_larger_than_the_memory_allows_does_not() -> None:
     # Guards against the old limit of 64 KiB: answers of 400 KB, usual on some days, were taken for spoilt.
     with rig(limits={"memory_mb": 64}) as r:
         body = bytes(range(256)) * 1600
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(H200 + b"Content-Length: %d\r\n\r\n" % len(body) + body)
-        assert client.answer()[2] == body and r.daemon.shares.held == 0
+        assert client.read_http()[2] == body and r.daemon.shares.held == 0
         r.daemon.shares.held_most = 10_000  # as if others held the rest
-        r.ask(2, wire=client)
-        server.answer()
+        r.send_request(2, wire=client)
+        server.read_http()
         server.send(H200 + b"Content-Length: %d\r\n\r\n" % 60_000 + body[:15_000])
-        assert client.answer()[0] in (502, 503) and server.ended()
+        assert client.read_http()[0] in (502, 503) and server.wait_closed()
         # Our own limit: no other server is asked, and this one is not judged by it.
         assert r.count("answers_over_memory") == 1 and r.count("relays") == 2 and r.daemon.shares.held == 0
         assert r.daemon.ingress.gateway.servers["s-0"].err == 0
@@ -820,18 +820,18 @@
 
 def test_a_new_id_at_an_old_address_takes_over_no_connection() -> None:
     with rig() as r:
-        client = r.ask(1)
-        _, server = r.served()
-        server.answer()
+        client = r.send_request(1)
+        _, server = r.accept_relay()
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200
-        r.peers["s-9"] = r.peers.pop("s-0")
-        r.daemon.inventory.told(r.listing())
-        r.ask(2, wire=client)
-        _, new = r.served()
-        new.answer()
-        r.skip(1.1)
-        assert server.ended() and r.count("connects") == 2
+        assert client.read_http()[0] == 200
+        r.servers["s-9"] = r.servers.pop("s-0")
+        r.daemon.inventory.told(r.make_listing())
+        r.send_request(2, wire=client)
+        _, new = r.accept_relay()
+        new.read_http()
+        r.advance_clock(1.1)
+        assert server.wait_closed() and r.count("connects") == 2
 
 
 @pytest.mark.parametrize("step", [1, 3, 1000])
@@ -990,16 +990,16 @@
         calls += event in ("call", "c_call") and path.startswith(ours) and not path.endswith(("loop.py", "serve.py"))
 
     with rig() as r:
-        client, server = r.ask(1), None
+        client, server = r.send_request(1), None
         for number in range(1, 40):
             if number == 10:
                 sys.setprofile(count)
             try:
-                client = r.ask(number, wire=client) if number > 1 else client
-                server = server or r.served()[1]
-                server.answer()
+                client = r.send_request(number, wire=client) if number > 1 else client
+                server = server or r.accept_relay()[1]
+                server.read_http()
                 server.send(OK)
-                assert client.answer()[0] == 200
+                assert client.read_http()[0] == 200
             finally:
                 if number == 39:
                     sys.setprofile(None)
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -164,17 +164,17 @@
             def tried(sends: int = sends) -> bool:
                 return billed(r, billing, 12) or r.count("export_sends") > sends + 1
 
-            r.until(tried)
-            r.skip(2.0)
+            r.run_until(tried)
+            r.advance_clock(2.0)
         billing.mode = "takes"
-        r.until(lambda: billed(r, billing, 12))
+        r.run_until(lambda: billed(r, billing, 12))
         assert len(billing.events) == 12 and billing.faults == []
         assert sum(billing.units().values()) == 12 * 1_500_000 and faults(r.daemon.ledger.store) == []
         # Billing is restored from a backup: what it lost goes again, under the ids that it had.
         before = dict(billing.events)
         billing.restore(7)
         r.daemon.ledger.replay(8)
-        r.until(lambda: billed(r, billing, 12))
+        r.run_until(lambda: billed(r, billing, 12))
         assert billing.events == before and faults(r.daemon.ledger.store) == []
     billing.listener.stop()
     outside.close()
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -196,40 +196,40 @@
     scout = Rig()
     source = Peer(scout)
     scout.close()
-    with rig(discovery=source.at, known={}) as r:
+    with rig(discovery=source.address, known={}) as r:
         source.rig = r
         wire = source.accept()
-        wire.until(b"\r\n\r\n")
-        body = json.dumps(r.listing(), indent=indent).encode()
+        wire.read_until(b"\r\n\r\n")
+        body = json.dumps(r.make_listing(), indent=indent).encode()
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         wire = source.accept()
-        wire.until(b"\r\n\r\n")
+        wire.read_until(b"\r\n\r\n")
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         assert r.daemon.ready()
-        change = json.dumps({**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}, indent=indent).encode()
+        change = json.dumps({**r.make_listing(s_0="DRAINING"), "reset": False, "generation": 8}, indent=indent).encode()
         for part in (change[:40], change[40:] + b"\n\n"):  # a change in two chunks
             wire.send(b"%x\r\n%s\r\n" % (len(part), part))
-        r.until(lambda: not r.daemon.inventory.usable("s-0"))
+        r.run_until(lambda: not r.daemon.inventory.usable("s-0"))
         wire.send(chunk({"generation": 9})[:-2] + b"\r\n")  # no list: the whole one is asked for
-        assert source.accept().until(b"\r\n\r\n").startswith(b"GET /v1/endpoints HTTP/1.1")
+        assert source.accept().read_until(b"\r\n\r\n").startswith(b"GET /v1/endpoints HTTP/1.1")
 
 
 def test_a_silent_watch_is_asked_for_again_twice_before_what_it_missed_counts_as_told() -> None:
     scout = Rig()
     source = Peer(scout)
     scout.close()
-    with rig(discovery=source.at) as r:
+    with rig(discovery=source.address) as r:
         source.rig = r
         wire = source.accept()
-        wire.until(b"\r\n\r\n")
-        r.freeze()
-        wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(r.listing()))
-        r.until(lambda: r.daemon.discovery.heard)
+        wire.read_until(b"\r\n\r\n")
+        r.freeze_clock()
+        wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(r.make_listing()))
+        r.run_until(lambda: r.daemon.discovery.heard)
         last = r.daemon.clock()
         calls: list[Any] = []  # none of them is ever answered
         while len(calls) < 2 and r.daemon.clock() < last + TOLD:
-            r.step(0.05)
-            calls += [call] if (call := source.connected()) is not None else []
+            r.step_clock(0.05)
+            calls += [call] if (call := source.try_accept()) is not None else []
         assert len(calls) == 2 and r.daemon.clock() < last + 4.7
 
 
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -112,17 +112,17 @@
         r.daemon.inventory.take_out(frozenset({"s-0"}))
         assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
         assert {e.server: e.state for e in r.daemon.inventory.listed()} == {"s-0": "up", "s-1": "up"}
-        r.daemon.inventory.told({**r.listing(), "generation": 8})  # told anew as serving: it stays out
+        r.daemon.inventory.told({**r.make_listing(), "generation": 8})  # told anew as serving: it stays out
         assert not r.daemon.inventory.usable("s-0")
         for number in range(1, 4):
-            client = r.ask(number)
-            name, server = r.served()
-            server.answer()
+            client = r.send_request(number)
+            name, server = r.accept_relay()
+            server.read_http()
             server.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-            assert name == "s-1" and client.answer()[0] == 200
+            assert name == "s-1" and client.read_http()[0] == 200
         r.daemon.inventory.take_out(frozenset())
         assert r.daemon.inventory.usable("s-0")
-        r.daemon.inventory.told(r.listing(s_0="DRAINING"))
+        r.daemon.inventory.told(r.make_listing(s_0="DRAINING"))
         r.daemon.inventory.take_out(frozenset({"s-0"}))
         r.daemon.inventory.take_out(frozenset())
         assert not r.daemon.inventory.usable("s-0")  # it drains by its own word
