--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""One rule a test, on real sockets; then tables of cases for the parsers."""
+"""The ingress on real sockets, one rule a test; then the parsers, the commands and the cost of a message."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 HEAD = b"GET /a/1 HTTP/1.1\r\nHost: h\r\n"
 
 
-class Slow:
-    """A socket that takes nothing."""
+class BlockedSocket:
+    """A socket whose send buffer is always full."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -51,7 +51,7 @@
         return getattr(self._sock, name)
 
 
-def test_an_answer_passes_unchanged_and_both_connections_are_kept() -> None:
+def test_a_response_is_forwarded_unchanged_and_both_connections_are_kept() -> None:
     with rig() as r:
         client = r.send_request(
             1,
@@ -63,13 +63,13 @@
         _, head, body = server.read_http()
         assert head.startswith(b"POST /a/0000000000000001?q=1 HTTP/1.1\r\n") and body == b"in"
         assert b"x-request-id: 0000000000000001\r\n" in head and b"idempotency-key: k1\r\n" in head
-        assert b"x-hop" not in head  # what the client's Connection names is for this hop alone
-        assert b"X-Timeout: 89" in head  # what is left of the 9000m, less the margin
+        assert b"x-hop" not in head  # named by the client's Connection header, so hop-by-hop
+        assert b"X-Timeout: 89" in head  # what remains of 9000m, less a margin
         server.send(OK)
         status, head, body = client.read_http()
         assert (status, body) == (200, b"body") and b"x-kind: k" in head and b"x-true-cost" not in head
         r.send_request(2, wire=client)
-        # Guards against asking the parser about keep-alive too late: it then opened a connection for every relay.
+        # Guards against querying the parser for keep-alive too late, which opened a new connection for every relay.
         server.read_http()
         server.send(OK)
         assert client.read_http()[0] == 200 and r.count("connects") == 1
@@ -82,7 +82,7 @@
         first, server = r.accept_relay()
         server.read_http()
         server.reset()
-        if effect == "free":  # the module may send it again, elsewhere
+        if effect == "free":  # the decision module may relay it again to another server
             again, server = r.accept_relay()
             assert again != first
             server.read_http()
@@ -92,12 +92,12 @@
 
 
 @pytest.mark.parametrize("how", ["refused", "turned away"])
-def test_what_never_ran_goes_again_whatever_its_class(how: str) -> None:
+def test_a_message_that_never_ran_is_relayed_again_whatever_its_class(how: str) -> None:
     closing = b"Connection: close\r\n\r\n"
     with rig(2, effect="single_shot") as r:
         if how == "refused":
             r.servers["s-0"].sock.close()
-        clients = [r.send_request(number) for number in (1, 2)]  # at once: the second goes to the other one
+        clients = [r.send_request(number) for number in (1, 2)]  # concurrently: the second goes to the other server
         for _ in clients:
             _, server = r.accept_relay()
             server.read_http()
@@ -111,14 +111,15 @@
         assert r.count("relay_connect_failed") + r.count("relay_full") >= 1
 
 
-def test_a_kept_connection_that_has_ended_is_not_used_again() -> None:
+def test_a_closed_idle_server_connection_is_not_reused() -> None:
     with rig() as r:
         client = r.send_request(1)
         _, server = r.accept_relay()
         server.read_http()
         server.send(OK)
         assert client.read_http()[0] == 200
-        r.daemon.loop.unregister(next(iter(r.daemon.south.unused.values()))[0].sock)  # its end is not heard of in time
+        # The ingress does not notice the close.
+        r.daemon.loop.unregister(next(iter(r.daemon.south.unused.values()))[0].sock)
         server.close()
         conn = next(iter(r.daemon.south.unused.values()))[0]
         r.daemon.loop.register(conn.sock, 1, lambda events: None)
@@ -129,7 +130,7 @@
         assert client.read_http()[0] == 200 and r.count("relays") == 2
 
 
-def test_a_kept_connection_is_retired_well_before_the_idle_limit() -> None:
+def test_an_idle_server_connection_is_closed_well_before_the_idle_limit() -> None:
     with rig() as r:
         client = r.send_request(1)
         _, server = r.accept_relay()
@@ -140,19 +141,19 @@
         assert server.wait_closed()
 
 
-def test_a_silent_server_is_given_up_on_and_answered_in_time() -> None:
+def test_a_server_that_does_not_respond_is_abandoned_before_the_clients_deadline() -> None:
     with rig() as r:
         client = r.send_request(1, timeout="6000m")
         _, server = r.accept_relay()
         server.read_http()
         r.advance_clock(5.9)
         assert r.daemon.ingress.held
-        r.advance_clock(0.08)  # 20 ms before the client's own time is up
+        r.advance_clock(0.08)  # 20 ms before the client's deadline
         status, head, _ = client.read_http()
         assert status in (502, 503) and server.wait_closed() and not r.daemon.ingress.held
 
 
-def test_a_client_that_leaves_ends_its_relay() -> None:
+def test_a_client_that_disconnects_ends_its_relay() -> None:
     with rig() as r:
         client = r.send_request()
         _, server = r.accept_relay()
@@ -161,17 +162,17 @@
         assert server.wait_closed() and r.count("gone") == 1 and not r.daemon.ingress.held
 
 
-def test_what_drains_between_choice_and_first_byte_gets_nothing() -> None:
+def test_a_server_that_starts_draining_before_the_first_byte_gets_nothing() -> None:
     with rig() as r:
         client = r.send_request()
         r.run_until(lambda: r.count("connects") == 1)
-        r.daemon.inventory.told(r.make_listing(s_0="DRAINING"))  # the connection is not up yet
+        r.daemon.inventory.told(r.make_listing(s_0="DRAINING"))  # the connection is not established yet
         assert client.read_http()[0] == 503 and r.count("drained_before_send") == 1
         assert r.servers["s-0"].accept().received == b""
         assert r.count("relay_connect_failed") == 1
 
 
-def test_a_refusal_is_answered_at_once_with_its_advice() -> None:
+def test_a_message_over_quota_is_refused_at_once_with_retry_after() -> None:
     with rig() as r:
         wires = [r.send_request(7, more="X-Weight: units=8\r\n", wire=None)]
         r.accept_relay()[1].read_http()
@@ -197,12 +198,12 @@
         assert client.read_http()[0] == 400 and client.wait_closed() and not r.daemon.ingress.gateway.customers
 
 
-# Guards against bad units in a usual customer's name: the module took them for that customer's own and kept the set.
+# Guards against invalid units in the name of an existing firm: the decision module took them for that firm's settings.
 @pytest.mark.parametrize(
     "weight",
     ["units=0", "units=9", "units=nan", "units=2,spread=2", "spread=0", "first=1", "units=1e3", "units=1,units=2"],
 )
-def test_weights_that_the_settings_leave_no_room_for_touch_no_customer(weight: str) -> None:
+def test_weights_outside_the_settings_change_no_firm(weight: str) -> None:
     with rig() as r:
         assert r.send_request(7, more=f"X-Weight: {weight}\r\n").read_http()[0] == 400
         assert not r.daemon.ingress.gateway.customers and not r.count("relays")
@@ -217,12 +218,12 @@
         b"POST /a/7 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 65536,
     ],
 )
-def test_a_bad_client_has_an_error_or_a_close_within_3_s_of_connecting(data: bytes) -> None:
+def test_a_stalled_new_client_gets_an_error_or_a_close_within_3_s(data: bytes) -> None:
     with rig() as r:
         wire = r.connect()
         r.run_until(lambda: bool(r.daemon.north.clients))
         r.freeze_clock()
-        r.step_clock(1.5)  # its time runs from connecting, not from its first byte
+        r.step_clock(1.5)  # the time limit runs from connecting, not from the first byte
         wire.send(data)
         for _ in range(10):
             r.step_clock(0.14)
@@ -230,20 +231,20 @@
         assert wire.received[9:12] in (b"408", b"413") or not data and wire.wait_closed()
 
 
-def test_messages_behind_one_in_hand_are_taken_in_order_one_at_a_time() -> None:
+def test_pipelined_messages_are_served_in_order_one_at_a_time() -> None:
     with rig() as r:
         wire = r.send_request(1)
         r.send_request(2, wire=wire)
         r.send_request(3, wire=wire)
         for number in (1, 2, 3):
-            _, server = r.accept_relay()  # the connection before has not rested yet
+            _, server = r.accept_relay()  # the previous connection was used too recently to be reused
             assert f"x-request-id: {number:016x}".encode() in server.read_http()[1] and not server.received
             assert r.count("relays") == number
             server.send(OK)
             assert wire.read_http()[0] == 200
 
 
-def test_a_crowd_of_messages_at_once_is_answered_with_errors() -> None:
+def test_too_many_pipelined_messages_are_all_rejected() -> None:
     with rig() as r:
         head = b"GET /a/%d HTTP/1.1\r\nX-Request-ID: %d\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n\r\n"
         wire = r.connect().send(b"".join(head % (n, n) for n in range(1, 12)))
@@ -251,32 +252,32 @@
 
 
 @pytest.mark.parametrize("data", [b"", HEAD])
-def test_a_crowd_of_strangers_makes_room_before_the_usual_clients(data: bytes) -> None:
+def test_connections_without_a_message_are_evicted_before_clients_that_sent_one(data: bytes) -> None:
     with rig() as r:
         r.daemon.north.max_active = 3
-        usual = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert usual.read_http()[0] == 200
-        crowd = [r.connect().send(data) for _ in range(2)]
+        established = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert established.read_http()[0] == 200
+        idle = [r.connect().send(data) for _ in range(2)]
         r.run_until(lambda: len(r.daemon.north.clients) == 3)
         r.advance_clock(0.06)
         new = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert new.read_http()[0] == 200 and crowd[0].wait_closed() and r.count("strangers_closed") == 1
-        assert usual.send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
+        assert new.read_http()[0] == 200 and idle[0].wait_closed() and r.count("strangers_closed") == 1
+        assert established.send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
 
 
-def test_an_answer_that_took_long_is_not_cut_off_while_it_is_written() -> None:
-    # Guards against counting the time that a client takes its answer in from the message's first byte.
+def test_a_slow_response_is_not_cut_off_while_it_is_written() -> None:
+    # Guards against measuring the write timeout of a response from the first byte of its message.
     with rig() as r:
         client = r.send_request(1)
         _, server = r.accept_relay()
         server.read_http()
         r.advance_clock(6.0)
-        held = next(iter(r.daemon.north.clients))
-        real, held.sock = held.sock, Slow(held.sock)  # type: ignore[assignment]
+        connection = next(iter(r.daemon.north.clients))
+        real, connection.sock = connection.sock, BlockedSocket(connection.sock)  # type: ignore[assignment]
         server.send(OK)
-        r.run_until(lambda: bool(held.outgoing))
+        r.run_until(lambda: bool(connection.outgoing))
         r.advance_clock(5.0)
-        held.sock = real
+        connection.sock = real
         assert client.read_http()[0] == 200
 
 
@@ -314,13 +315,13 @@
         (b"GET /ready HTTP/1.1\r\n\r\n", 200),
     ],
 )
-def test_malformed_input_gets_its_status_and_harms_nobody(data: bytes, status: int) -> None:
+def test_malformed_input_gets_its_status_and_affects_no_other_connection(data: bytes, status: int) -> None:
     with rig() as r:
         assert r.connect().send(data).read_http()[0] == status
         assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
 
 
-def test_a_body_that_waits_to_be_asked_for_is_asked_for() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     with rig() as r:
         client = r.connect().send(
             b"POST /a/1 HTTP/1.1\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n"
@@ -335,7 +336,7 @@
         assert client.read_http()[0] == 200
 
 
-def test_the_same_id_twice_in_hand_is_a_conflict() -> None:
+def test_a_request_id_that_is_in_progress_is_a_conflict() -> None:
     with rig() as r:
         first, second = r.send_request(1), r.send_request(1)
         assert second.read_http()[0] == 409
@@ -345,7 +346,7 @@
         assert first.read_http()[0] == 200
 
 
-def test_a_message_that_drips_in_gets_its_time_from_its_first_byte() -> None:
+def test_the_time_limit_of_a_slow_message_runs_from_its_first_byte() -> None:
     with rig() as r:
         wire = r.connect().send(HEAD)
         for _ in range(6):
@@ -356,8 +357,8 @@
         assert wire.read_http()[0] == 408 and wire.wait_closed()
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
-    # Guards against growth: with an hour's X-Timeout each relay left a timer behind for that hour.
+def test_cancelled_timers_do_not_accumulate() -> None:
+    # Guards against a growing timer heap: with an X-Timeout of an hour each relay left its timer behind for that hour.
     with rig() as r:
         seen: list[int] = []
         kept = [r.daemon.loop.call_in(0.01, lambda: seen.append(1)) for _ in range(3)]
@@ -370,8 +371,8 @@
         assert seen == [1, 1]
 
 
-def test_parsers_are_given_back_without_the_garbage_collector() -> None:
-    # Guards against a cycle for each connection and each chunked answer: they waited for a full collection.
+def test_parsers_are_freed_without_the_garbage_collector() -> None:
+    # Guards against reference cycles: each connection and each chunked response waited for a full collection.
     reader, reply = RequestReader(), Reply()
     reader.feed(memoryview(HEAD))
     reader.close()
@@ -386,7 +387,7 @@
         gc.enable()
 
 
-def test_a_fault_in_one_callback_ends_nothing_else() -> None:
+def test_an_exception_in_a_callback_affects_nothing_else() -> None:
     with rig() as r:
         loop, seen = r.daemon.loop, list[str]()
         loop.call_soon(lambda: seen.append("before") or 1 / 0)  # type: ignore[func-returns-value]
@@ -395,12 +396,12 @@
         assert seen and r.daemon.metrics.counts.pop("faults") == 2
 
 
-def test_ready_only_with_a_list() -> None:
+def test_not_ready_without_a_server_list() -> None:
     with rig(servers=0) as r:
         assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 503
 
 
-def test_at_the_cap_an_unused_connection_makes_room() -> None:
+def test_at_the_connection_limit_an_idle_connection_is_evicted() -> None:
     with rig() as r:
         r.daemon.north.max_active = 2
         old, new = r.connect(), r.connect()
@@ -409,12 +410,12 @@
         third = r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
         assert third.read_http()[0] == 200
         assert old.wait_closed() and len(r.daemon.north.half_closed) == 1
-        old.close()  # what ended our side only waits for the client's
+        old.close()  # a half-closed connection waits for the client to close
         r.run_until(lambda: len(r.daemon.north.clients) == 2 and not r.daemon.north.half_closed)
         new.close()
 
 
-def test_running_out_of_descriptors_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accepting_recovers_from_a_lack_of_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     with rig() as r:
         real, failed = sockets.accept, []
 
@@ -429,7 +430,7 @@
         assert r.count("out_of_descriptors") == 3
 
 
-def test_an_end_serves_what_still_arrives_and_finishes_what_is_held() -> None:
+def test_a_shutdown_serves_new_messages_and_finishes_those_in_progress() -> None:
     with rig() as r:
         kept, client = r.connect(), r.send_request(1)
         _, server = r.accept_relay()
@@ -450,12 +451,12 @@
         kept.close()
         client.close()
         r.advance_clock(0.1)
-        assert r.daemon.loop.running  # one of them has not ended its side: its answer must not be lost by a reset
+        assert r.daemon.loop.running  # one client has not closed its side: a reset could destroy its response
         late.close()
         r.run_until(lambda: not r.daemon.loop.running)
 
 
-def test_what_waits_in_the_backlog_is_taken_in_whatever_the_cap() -> None:
+def test_the_backlog_is_accepted_before_the_listener_closes_whatever_the_limit() -> None:
     with rig() as r:
         r.daemon.north.max_active = 1
         clients = [r.send_request(number) for number in (1, 2, 3, 4)]
@@ -466,7 +467,7 @@
             client.close()
 
 
-def test_half_a_message_does_not_keep_the_program_from_ending() -> None:
+def test_a_partial_message_does_not_prevent_a_shutdown() -> None:
     with rig() as r:
         wire = r.connect().send(HEAD)
         r.run_until(lambda: any(c.reader.is_partial for c in r.daemon.north.clients))
@@ -479,7 +480,7 @@
         assert wire.read_http()[0] == 408 and not r.daemon.loop.running
 
 
-def test_the_counter_is_told_and_each_way_it_can_fail_has_its_outcome() -> None:
+def test_counter_calls_and_the_outcome_of_each_failure() -> None:
     with rig(counter=True) as r:
         ends: list[tuple[str, float]] = []
         late: list[tuple[int, str, float]] = []
@@ -500,7 +501,7 @@
         assert ends == [("timeout", 0.0)]
         client.add(6, 2, 4.0)
         client.add(7, 2, 4.0)
-        wire.send(b"$1\r\n3\r\n$2\r\n12\r\n-BUSY\r\n")  # the first one answers the call given up on
+        wire.send(b"$1\r\n3\r\n$2\r\n12\r\n-BUSY\r\n")  # the first response belongs to the call that timed out
         r.run_until(lambda: len(ends) == 3)
         assert ends[1:] == [("ok", 12.0), ("full", 0.0)] and r.count("count_late") == 1
         assert late == [(71, "ok", 3.0)]
@@ -508,7 +509,7 @@
         wire.read_until(b"$1\r\n8\r\n")
         wire.reset()
         r.run_until(lambda: len(ends) == 4)
-        assert ends[3][0] == "timeout"  # written whole: it may have been added
+        assert ends[3][0] == "timeout"  # fully written, so it may have been added
         r.counter.sock.close()
         r.advance_clock(0.1)
         client.add(9, 1, 4.0)
@@ -521,7 +522,7 @@
     return b"%x\r\n%s\r\n" % (len(line), line)
 
 
-def test_discovery_is_listed_then_watched_and_asked_again_at_once() -> None:
+def test_discovery_is_listed_then_watched_and_watched_again_after_a_break() -> None:
     scout = Rig()
     source = Peer(scout)
     scout.close()
@@ -541,12 +542,12 @@
         wire.reset()
         wire = source.accept()
         assert b"from=8 " in wire.read_until(b"\r\n\r\n")
-        r.advance_clock(4.6)  # two empty lines are missing: the watch is asked for anew
+        r.advance_clock(4.6)  # two heartbeats (empty lines) are missing: the watch is opened again
         assert b"from=8 " in source.accept().read_until(b"\r\n\r\n")
 
 
-def test_an_ingress_that_starts_with_a_list_watches_from_it_at_once() -> None:
-    """Asking for the whole list first, all that are started again ask twice of a discovery that is crowded then."""
+def test_an_ingress_that_starts_with_a_list_watches_from_its_revision() -> None:
+    """Guards against listing first: after a restart of many ingresses each called an overloaded discovery twice."""
     with rig() as outside:
         place = Peer(outside)
         with rig(discovery=place.address) as r:
@@ -565,8 +566,8 @@
             assert r.daemon.inventory.version == 9 and len(r.daemon.inventory) == 0
 
 
-def test_a_discovery_that_breaks_off_is_asked_less_and_less_often_and_never_in_step() -> None:
-    """Each of many ingresses asked a crowded discovery ten times a second, all through the time that it was crowded."""
+def test_failed_discovery_calls_back_off_with_jitter() -> None:
+    """Guards against many ingresses calling an overloaded discovery ten times a second all through the overload."""
     found: list[list[float]] = []
     for seed in ("1", "2"):
         with socket.create_server(("127.0.0.1", 0)) as place:
@@ -580,13 +581,13 @@
                         place.accept()[0].close()
                         times.append(step * 0.02)
         found.append(times)
-    assert all(6 <= len(times) <= 30 for times in found)  # 109 at ten a second
+    assert all(6 <= len(times) <= 30 for times in found)  # there were 109 at ten calls a second
     assert all(b - a <= 2.2 for times in found for a, b in itertools.pairwise(times))
     assert found[0] != found[1]
 
 
-# Guards against taking a spoilt answer for "nothing was added" and telling the amount a second time; and against losing
-# the good answers in front of it.
+# Guards against taking a malformed response for "nothing was added", which counted the amount twice, and against losing
+# the valid responses before it.
 @pytest.mark.parametrize(
     ("data", "found", "good"),
     [
@@ -609,13 +610,13 @@
         ([b"\xff\xfe\x00\r\n"], [], False),
     ],
 )
-def test_counter_answers(data: list[bytes], found: list[Any], good: bool) -> None:
+def test_counter_responses(data: list[bytes], found: list[Any], good: bool) -> None:
     replies = Replies()
     assert [replies.feed(part) for part in data][-1] is good
     assert replies.taken() == found
 
 
-def test_a_spoilt_answer_of_the_counter_costs_its_connection_alone() -> None:
+def test_a_malformed_counter_response_ends_only_its_connection() -> None:
     with rig(counter=True) as r:
         ends: list[tuple[int, str, float]] = []
         client = r.daemon.counter
@@ -629,7 +630,7 @@
         wire.send(b"$1\r\n9\r\n$-what\r\n$1\r\n8\r\n")
         r.run_until(lambda: len(ends) == 3)
         assert ends == [(1, "ok", 9.0), (2, "timeout", 0.0), (3, "timeout", 0.0)] and wire.wait_closed()
-        client.add(4, 1, 4.0)  # at once, on a new connection
+        client.add(4, 1, 4.0)  # immediately, on a new connection
         wire = r.counter.accept()
         wire.read_until(b"$1\r\n4\r\n")
         wire.send(b"$1\r\n2\r\n")
@@ -637,8 +638,8 @@
         assert ends[3] == (4, "ok", 2.0)
 
 
-def test_a_counter_connection_that_fell_silent_is_replaced_after_a_few_time_outs() -> None:
-    # Guards against a whole second of lost calls, for which the module then slows all calls down.
+def test_an_unresponsive_counter_connection_is_replaced_after_a_few_timeouts() -> None:
+    # Guards against losing calls for a whole second, after which the decision module reduces the rate of all calls.
     with rig(counter=True) as r:
         client = r.daemon.counter
         assert client is not None
@@ -655,7 +656,7 @@
         r.counter.accept().read_until(b"$1\r\n2\r\n")
 
 
-def test_a_counter_that_moves_still_answers_what_is_out() -> None:
+def test_calls_in_flight_are_answered_after_the_counter_moved() -> None:
     with rig(counter=True) as r:
         ends: list[tuple[int, str]] = []
         client = r.daemon.counter
@@ -675,7 +676,7 @@
 
 
 @pytest.mark.parametrize(("amount", "text"), [(0.0, b"0"), (100.0, b"100"), (-2.5, b"-2.5"), (1e-7, b"0")])
-def test_counter_calls(amount: float, text: bytes) -> None:
+def test_counter_call_encoding(amount: float, text: bytes) -> None:
     call = b"*4\r\n$7\r\nCNT.ADD\r\n$1\r\n3\r\n$%d\r\n%s\r\n$1\r\n1\r\n" % (len(text), text)
     assert encode_call(3, amount, 0.0) == call
 
@@ -708,7 +709,7 @@
         (b"HTTP/1.1 200", False),
     ],
 )
-def test_an_answer_that_ends_with_its_connection(data: bytes, whole: bool) -> None:
+def test_a_response_that_ends_with_its_connection(data: bytes, whole: bool) -> None:
     reply = Reply()
     reply.feed(data)
     reply.end()
@@ -720,7 +721,7 @@
 PLAIN = H200 + b"Content-Length: 2\r\n\r\nab"
 
 
-# Guards against joining a second copy to the first, and against a connection on which something stands behind.
+# Guards against appending a second copy to the first, and against reusing a connection with unread data.
 @pytest.mark.parametrize(
     ("data", "keep"),
     [
@@ -735,7 +736,7 @@
         (H200 + b"Connection: close\r\nContent-Length: 2\r\n\r\nab", False),
     ],
 )
-def test_one_answer_is_taken_whatever_stands_beside_it(data: bytes, keep: bool) -> None:
+def test_only_the_first_response_is_taken(data: bytes, keep: bool) -> None:
     reply = Reply()
     reply.feed(data)
     assert (reply.whole, reply.body, reply.keep) == (True, b"ab", keep)
@@ -761,22 +762,22 @@
     ],
 )
 @pytest.mark.parametrize("step", [13, 100000])
-def test_an_answer_that_is_none(data: bytes, step: int) -> None:
+def test_a_malformed_response_is_rejected(data: bytes, step: int) -> None:
     reply = Reply()
     with pytest.raises(Malformed):
         for at in range(0, len(data), step):
             reply.feed(data[at : at + step])
 
 
-@pytest.mark.parametrize("spoilt", [b"nonsense\r\n\r\n", H200 + b"Content-Length: 9\r\n\r\nab", b"HTTP/1.1 200"])
-def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(spoilt: bytes) -> None:
+@pytest.mark.parametrize("malformed", [b"nonsense\r\n\r\n", H200 + b"Content-Length: 9\r\n\r\nab", b"HTTP/1.1 200"])
+def test_a_malformed_response_is_a_failed_relay_that_may_have_run(malformed: bytes) -> None:
     with rig(2) as r:
         client = r.send_request(1)
         _, server = r.accept_relay()
         server.read_http()
-        server.send(spoilt)
+        server.send(malformed)
         r.run_until(lambda: r.count("relay_reset") + len(r.daemon.loop._heap) > 0)
-        while not r.count("relay_reset"):  # one that never ends costs half a second, not the message's whole time
+        while not r.count("relay_reset"):  # an incomplete one is given up on after half a second, not at the deadline
             r.advance_clock(0.2)
             assert r.count("relay_timeout") == 0
         assert server.wait_closed()
@@ -787,8 +788,8 @@
         assert (status, body) == (200, b"ab") and server.wait_closed()
 
 
-def test_a_large_answer_passes_and_what_is_larger_than_the_memory_allows_does_not() -> None:
-    # Guards against the old limit of 64 KiB: answers of 400 KB, usual on some days, were taken for spoilt.
+def test_a_large_response_is_forwarded_unless_memory_is_short() -> None:
+    # Guards against a limit of 64 KiB: responses of 400 KB, common on some days, were rejected as malformed.
     with rig(limits={"memory_mb": 64}) as r:
         body = bytes(range(256)) * 1600
         client = r.send_request(1)
@@ -796,17 +797,17 @@
         server.read_http()
         server.send(H200 + b"Content-Length: %d\r\n\r\n" % len(body) + body)
         assert client.read_http()[2] == body and r.daemon.shares.held == 0
-        r.daemon.shares.held_most = 10_000  # as if others held the rest
+        r.daemon.shares.held_most = 10_000  # as if other responses used the rest
         r.send_request(2, wire=client)
         server.read_http()
         server.send(H200 + b"Content-Length: %d\r\n\r\n" % 60_000 + body[:15_000])
         assert client.read_http()[0] in (502, 503) and server.wait_closed()
-        # Our own limit: no other server is asked, and this one is not judged by it.
+        # A limit of the ingress: it does not try another server, and does not count an error against this one.
         assert r.count("answers_over_memory") == 1 and r.count("relays") == 2 and r.daemon.shares.held == 0
         assert r.daemon.ingress.gateway.servers["s-0"].err == 0
 
 
-def test_kept_connections_that_break_unheard_are_no_longer_used_when_old() -> None:
+def test_old_idle_connections_are_not_reused_once_many_have_broken() -> None:
     trust = Trust()
     assert trust.allows(5.0)
     for _ in range(5):
@@ -818,7 +819,7 @@
     assert trust.allows(0.5)
 
 
-def test_a_new_id_at_an_old_address_takes_over_no_connection() -> None:
+def test_a_new_server_at_a_known_address_inherits_no_connection() -> None:
     with rig() as r:
         client = r.send_request(1)
         _, server = r.accept_relay()
@@ -835,7 +836,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 1000])
-def test_messages_in_any_pieces(step: int) -> None:
+def test_requests_are_parsed_from_pieces_of_any_size(step: int) -> None:
     reader = RequestReader()
     data = b"POST /a/1 HTTP/1.1\r\nX-A: 1\r\nContent-Length: 3\r\n\r\nabcGET /b/2?x HTTP/1.1\r\n\r\n"
     for at in range(0, len(data), step):
@@ -844,20 +845,20 @@
     assert found == [(b"POST", b"/a/1", b"abc"), (b"GET", b"/b/2?x", b"")]
 
 
-def test_a_long_body_does_not_count_as_the_next_ones_head() -> None:
+def test_a_long_body_is_not_counted_as_head_of_the_next_request() -> None:
     reader = RequestReader()
     reader.feed(memoryview(b"POST /a/1 HTTP/1.1\r\nContent-Length: 30000\r\n\r\n" + b"x" * 30000 + b"GET /b"))
     reader.feed(memoryview(b"/2 HTTP/1.1\r\n\r\n"))
     assert len(reader.complete) == 2
 
 
-def test_a_trailer_does_not_pass_for_a_header() -> None:
+def test_a_trailer_is_not_taken_for_a_header() -> None:
     reader = RequestReader()
     reader.feed(memoryview(b"POST /a/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Request-ID: 9\r\n\r\n"))
     assert [n for n, _ in reader.complete[0][0].headers] == [b"transfer-encoding"]
 
 
-def test_a_fault_keeps_what_came_whole_before_it() -> None:
+def test_requests_before_a_malformed_one_are_kept() -> None:
     reader = RequestReader()
     with pytest.raises(RequestError):
         reader.feed(memoryview(b"GET /b/2 HTTP/1.1\r\n\r\nnonsense\r\n"))
@@ -900,17 +901,17 @@
         (None, "BALANCER_CONFIG: "),
     ],
 )
-def test_a_bad_configuration_is_named_in_one_line(change: Any, field: str, tmp_path: Any) -> None:
+def test_a_configuration_error_is_reported_in_one_line(change: Any, field: str, tmp_path: Any) -> None:
     done = run("{" if change is None else {**GOOD, **change}, tmp_path, "serve")
     assert done.returncode == 2 and done.stderr.startswith("brackenpulley: " + field) and done.stderr.count("\n") == 1
 
 
-def test_the_commands(tmp_path: Any) -> None:
+def test_check_config_and_version_commands(tmp_path: Any) -> None:
     assert "1 classes" in run(GOOD, tmp_path, "check-config").stdout
     assert run(GOOD, tmp_path, "version").stdout.startswith("brackenpulley ")
 
 
-def test_sigterm_ends_the_program_with_its_counters_told(tmp_path: Any) -> None:
+def test_sigterm_ends_the_program_and_logs_the_counters(tmp_path: Any) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     child = subprocess.Popen(
@@ -924,7 +925,7 @@
     port = int(line.strip().rsplit(":", 1)[1])
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert sock.recv(100).startswith(b"HTTP/1.1 503")  # nothing has been listed
+        assert sock.recv(100).startswith(b"HTTP/1.1 503")  # no server list yet
         child.send_signal(signal.SIGUSR1)
         assert any("event=counters" in x and "accepted=1" in x for x in child.stdout)
         child.send_signal(signal.SIGTERM)
@@ -932,9 +933,9 @@
     assert child.wait(30) == 0 and "event=counters" in rest
 
 
-def test_sighup_moves_discovery_and_the_counter_and_keeps_the_rest(tmp_path: Any) -> None:
-    # Guards against ending on SIGHUP, against the variables of the start hiding the new file's addresses, and against
-    # a file that can't be read.
+def test_sighup_reloads_the_addresses_and_survives_a_bad_file(tmp_path: Any) -> None:
+    # Guards against exiting on SIGHUP or because of an invalid file, and against environment variables from the start
+    # overriding the addresses in the new file.
     path, places = tmp_path / "config.json", [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
     at = [f"127.0.0.1:{place.getsockname()[1]}" for place in places]
     path.write_text(json.dumps(GOOD))
@@ -963,14 +964,14 @@
         sock.close()
 
 
-def test_an_address_in_use_is_named_in_one_line(tmp_path: Any) -> None:
+def test_an_address_in_use_is_reported_in_one_line(tmp_path: Any) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         done = run({**GOOD, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}, tmp_path, "serve")
     assert done.returncode == 2 and done.stderr.startswith("brackenpulley: listen: ") and done.stderr.count("\n") == 1
 
 
-def test_a_missing_library_is_named_in_one_line(tmp_path: Any) -> None:
-    (tmp_path / "h2.py").write_text("raise ModuleNotFoundError('none', name='h2')")  # as where it is not installed
+def test_a_missing_library_is_reported_in_one_line(tmp_path: Any) -> None:
+    (tmp_path / "h2.py").write_text("raise ModuleNotFoundError('none', name='h2')")  # as if h2 were not installed
     operator = tmp_path / "operator.toml"
     operator.write_text('[authz.client]\naddress = "127.0.0.1:1"\n')
     path = f"{tmp_path}{os.pathsep}{os.getcwd()}"
@@ -979,15 +980,18 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_a_short_message_costs_no_more_calls_than_before_bodies_were_streamed() -> None:
-    """Counted, not timed: the same on every machine. 324 were made then, and 340 since."""
-    calls, ours = 0, str(Path(brackenpulley.__file__).parent)
+def test_the_number_of_function_calls_for_a_short_message_is_bounded() -> None:
+    """Counts function calls instead of time, so the result is the same on every machine.
+
+    There were 324 before bodies were streamed, and 340 after that change.
+    """
+    calls, package = 0, str(Path(brackenpulley.__file__).parent)
 
     def count(frame: FrameType, event: str, argument: object) -> None:
         nonlocal calls
         path = frame.f_code.co_filename
-        # Turns are made as often as the test's sockets need; what counts is what they bring about.
-        calls += event in ("call", "c_call") and path.startswith(ours) and not path.endswith(("loop.py", "serve.py"))
+        # The number of loop iterations depends on the sockets; only the work that they cause is counted.
+        calls += event in ("call", "c_call") and path.startswith(package) and not path.endswith(("loop.py", "serve.py"))
 
     with rig() as r:
         client, server = r.send_request(1), None
