--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -482,39 +482,39 @@
 
 def test_counter_calls_and_the_outcome_of_each_failure() -> None:
     with rig(counter=True) as r:
-        ends: list[tuple[str, float]] = []
-        late: list[tuple[int, str, float]] = []
+        outcomes: list[tuple[str, float]] = []
+        late_totals: list[tuple[int, str, float]] = []
         client = r.daemon.counter
         assert client is not None
 
-        def tell(e: Counted | Total) -> None:
-            if isinstance(e, Counted):
-                ends.append((e.status, e.total))
+        def tell(event: Counted | Total) -> None:
+            if isinstance(event, Counted):
+                outcomes.append((event.status, event.total))
             else:
-                late.append((e.call, e.status, e.total))
+                late_totals.append((event.call, event.status, event.total))
 
         client.tell = tell
         client.add(5, 1.5, 4.0, 71)
         wire = r.counter.accept()
         assert wire.read_until(b"4000\r\n") == b"*4\r\n$7\r\nCNT.ADD\r\n$1\r\n5\r\n$3\r\n1.5\r\n$4\r\n4000\r\n"
         r.advance_clock(0.04)
-        assert ends == [("timeout", 0.0)]
+        assert outcomes == [("timeout", 0.0)]
         client.add(6, 2, 4.0)
         client.add(7, 2, 4.0)
         wire.send(b"$1\r\n3\r\n$2\r\n12\r\n-BUSY\r\n")  # the first response belongs to the call that timed out
-        r.run_until(lambda: len(ends) == 3)
-        assert ends[1:] == [("ok", 12.0), ("full", 0.0)] and r.count("count_late") == 1
-        assert late == [(71, "ok", 3.0)]
+        r.run_until(lambda: len(outcomes) == 3)
+        assert outcomes[1:] == [("ok", 12.0), ("full", 0.0)] and r.count("count_late") == 1
+        assert late_totals == [(71, "ok", 3.0)]
         client.add(8, 1, 4.0)
         wire.read_until(b"$1\r\n8\r\n")
         wire.reset()
-        r.run_until(lambda: len(ends) == 4)
-        assert ends[3][0] == "timeout"  # fully written, so it may have been added
+        r.run_until(lambda: len(outcomes) == 4)
+        assert outcomes[3][0] == "timeout"  # fully written, so it may have been added
         r.counter.sock.close()
         r.advance_clock(0.1)
         client.add(9, 1, 4.0)
-        r.run_until(lambda: len(ends) == 5)
-        assert ends[4][0] == "connect_failed" and len(late) == 1
+        r.run_until(lambda: len(outcomes) == 5)
+        assert outcomes[4][0] == "connect_failed" and len(late_totals) == 1
 
 
 def chunk(obj: Any) -> bytes:
@@ -618,24 +618,24 @@
 
 def test_a_malformed_counter_response_ends_only_its_connection() -> None:
     with rig(counter=True) as r:
-        ends: list[tuple[int, str, float]] = []
+        outcomes: list[tuple[int, str, float]] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda e: ends.append((e.name, e.status, e.total))
+        client.tell = lambda event: outcomes.append((event.name, event.status, event.total))
         r.freeze_clock()
         for name in (1, 2, 3):
             client.add(name, 1, 4.0)
         wire = r.counter.accept()
         wire.read_until(b"$1\r\n3\r\n$1\r\n1\r\n")
         wire.send(b"$1\r\n9\r\n$-what\r\n$1\r\n8\r\n")
-        r.run_until(lambda: len(ends) == 3)
-        assert ends == [(1, "ok", 9.0), (2, "timeout", 0.0), (3, "timeout", 0.0)] and wire.wait_closed()
+        r.run_until(lambda: len(outcomes) == 3)
+        assert outcomes == [(1, "ok", 9.0), (2, "timeout", 0.0), (3, "timeout", 0.0)] and wire.wait_closed()
         client.add(4, 1, 4.0)  # immediately, on a new connection
         wire = r.counter.accept()
         wire.read_until(b"$1\r\n4\r\n")
         wire.send(b"$1\r\n2\r\n")
-        r.run_until(lambda: len(ends) == 4)
-        assert ends[3] == (4, "ok", 2.0)
+        r.run_until(lambda: len(outcomes) == 4)
+        assert outcomes[3] == (4, "ok", 2.0)
 
 
 def test_an_unresponsive_counter_connection_is_replaced_after_a_few_timeouts() -> None:
@@ -644,24 +644,24 @@
         client = r.daemon.counter
         assert client is not None
         r.freeze_clock()
-        ends: list[str] = []
-        client.tell = lambda e: ends.append(e.status)
+        outcomes: list[str] = []
+        client.tell = lambda event: outcomes.append(event.status)
         for _ in range(4):
             client.add(1, 1, 4.0)
             r.run_once()
             r.step_clock(0.05)
         r.counter.accept()
-        r.run_until(lambda: len(ends) == 4)
+        r.run_until(lambda: len(outcomes) == 4)
         client.add(2, 1, 4.0)
         r.counter.accept().read_until(b"$1\r\n2\r\n")
 
 
 def test_calls_in_flight_are_answered_after_the_counter_moved() -> None:
     with rig(counter=True) as r:
-        ends: list[tuple[int, str]] = []
+        outcomes: list[tuple[int, str]] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda e: ends.append((e.name, e.status))
+        client.tell = lambda event: outcomes.append((event.name, event.status))
         r.freeze_clock()
         client.add(1, 1, 4.0)
         old = r.counter.accept()
@@ -672,7 +672,7 @@
         new = other.accept()
         new.read_until(b"4000\r\n")
         old.send(b"$1\r\n1\r\n")
-        assert old.wait_closed() and ends == [(1, "ok")]
+        assert old.wait_closed() and outcomes == [(1, "ok")]
 
 
 @pytest.mark.parametrize(("amount", "text"), [(0.0, b"0"), (100.0, b"100"), (-2.5, b"-2.5"), (1e-7, b"0")])
@@ -921,13 +921,13 @@
         env={**os.environ, "BALANCER_CONFIG": str(path)},
     )
     assert child.stdout is not None
-    line = next(x for x in child.stdout if "event=listening" in x)
+    line = next(line for line in child.stdout if "event=listening" in line)
     port = int(line.strip().rsplit(":", 1)[1])
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
         assert sock.recv(100).startswith(b"HTTP/1.1 503")  # no server list yet
         child.send_signal(signal.SIGUSR1)
-        assert any("event=counters" in x and "accepted=1" in x for x in child.stdout)
+        assert any("event=counters" in line and "accepted=1" in line for line in child.stdout)
         child.send_signal(signal.SIGTERM)
         rest = child.stdout.read()
     assert child.wait(30) == 0 and "event=counters" in rest
@@ -946,13 +946,13 @@
         env={**os.environ, "BALANCER_CONFIG": str(path), "BALANCER_DISCOVERY": at[0]},
     )
     assert child.stdout is not None
-    next(x for x in child.stdout if "event=listening" in x)
+    next(line for line in child.stdout if "event=listening" in line)
     for place in places:
         place.settimeout(30)
     first = places[0].accept()[0]
     path.write_text("{")
     child.send_signal(signal.SIGHUP)
-    assert "not JSON" in next(x for x in child.stdout if "event=reload" in x)
+    assert "not JSON" in next(line for line in child.stdout if "event=reload" in line)
     path.write_text(json.dumps({**GOOD, "discovery": at[1]}))
     child.send_signal(signal.SIGHUP)
     second = places[1].accept()[0]
