--- a/tests/rig.py
+++ b/tests/rig.py
@@ -64,7 +64,7 @@
 
     def read_http(self) -> tuple[int, bytes, bytes]:
         """Read one response or request with a Content-Length; return its status (0 for a request), head and body."""
-        head = self.run_until(b"\r\n\r\n")
+        head = self.read_until(b"\r\n\r\n")
         fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
         size = int(fields.get(b"content-length", b"0"))
         self.rig.run_until(lambda: len(self.received) >= size or not self.receive())
