--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -33,7 +33,7 @@
 from brackenpulley.plans.book import Book, Change, Figures, firm_text
 from brackenpulley.plans.snapshot import load
 from brackenpulley.serve import wall_clock
-from brackenpulley.settings import decode_settings
+from brackenpulley.settings import settings as decode_settings
 from brackenpulley.standins import audit
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.clients import Firm, Load
@@ -171,7 +171,7 @@
         while not done():
             if time.monotonic() > end:
                 raise SystemExit(f"waited in vain for {what}; logs in {self.folder}")
-            self.loop.turn(0.02)
+            self.loop.run_once(0.02)
 
     def run(self, progress: Progress) -> dict[str, Any]:
         for one in self.ingresses:
@@ -191,7 +191,7 @@
         self.rough = True
         self._plan_script(begin)
         while (now := self.clock()) < begin + self.seconds:
-            self.loop.turn(0.05)
+            self.loop.run_once(0.05)
             progress.update(task, completed=now - begin)
         self.load.stop()
         end = self.clock()
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -219,10 +219,10 @@
             if part is not None:
                 part.start()
         if signals:
-            self.loop.on_signal(signal.SIGTERM, self.begin_shutdown)
-            self.loop.on_signal(signal.SIGINT, self.begin_shutdown)
-            self.loop.on_signal(signal.SIGUSR1, self.log_counters)
-            self.loop.on_signal(signal.SIGHUP, self.reload)
+            self.loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
+            self.loop.add_signal_handler(signal.SIGINT, self.begin_shutdown)
+            self.loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
+            self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         bound = self._listen("listen", self.north, self.config.listen)
         if self.authz_front is not None and self.config.operator.server is not None:
             checks_address = self._listen("authz.server.listen", self.authz_front, self.config.operator.server.listen)
@@ -271,7 +271,7 @@
 
         def leave_service() -> tuple[int, bytes, bytes]:
             self.drain.out_of_service = True
-            self.north.close_unused()
+            self.north.close_idle()
             self.log.info("out of service")
             return 200, b"out of service\n", TEXT_CONTENT_TYPE
 
@@ -292,7 +292,7 @@
         ejected = self.ingress.decision_module.servers.ejected
         waiting = sum(not exchange.is_finished for exchange in self.ingress.exchanges.values())
         return {
-            "active": waiting + self.north.flowing,
+            "active": waiting + self.north.streaming_responses,
             "pool_size": len(self.inventory),
             "pool_ejected": sum(self.inventory.address(name) is not None for name in ejected),
         }
@@ -350,9 +350,9 @@
         self._await_in_flight()
 
     def _await_in_flight(self) -> None:
-        self.north.close_unused()
+        self.north.close_idle()
         if self.clock() >= self._partial_messages_until:
-            self.north.give_up_halves()
+            self.north.reject_partial_requests()
         if self.north.clients or self.ingress.exchanges or self.authz_front is not None and self.authz_front.peers:
             self.loop.call_in(0.02, self._await_in_flight)
         else:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -23,11 +23,11 @@
 from brackenpulley.bodies.spool import SpoolFolder
 from brackenpulley.net import north
 from brackenpulley.net.answers import EARLY, Reply
-from brackenpulley.net.http import BODY
-from brackenpulley.net.requests import Reader
+from brackenpulley.net.http import MAX_BUFFERED_BODY_BYTES
+from brackenpulley.net.requests import RequestReader
 from brackenpulley.operator import decode
 
-from .rig import Rig, Wire, rig
+from .rig import RawConnection, Rig, rig
 from .test_platform import H200, OK
 
 TOTAL = 16 << 20
@@ -198,7 +198,7 @@
 
 # Every framing, split at any place.
 
-BODIES = st.one_of(st.integers(0, 300), st.sampled_from([BODY - 1, BODY, BODY + 1, BODY + 70_000]))
+BODIES = st.one_of(st.integers(0, 300), st.sampled_from([MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, MAX_BUFFERED_BODY_BYTES + 70_000]))
 
 
 def frame(body: bytes, form: str, cut: int) -> bytes:
@@ -220,15 +220,15 @@
     body, body_memory = noise(size), BodyMemory(TOTAL)
     data = b"POST /a/1 HTTP/1.1\r\nX-Tariff:  p \r\n" + frame(body, form, cut)
     data += b"GET /b HTTP/1.1\r\n\r\n"
-    reader, fed_bytes = Reader(body_memory), 0
+    reader, fed_bytes = RequestReader(body_memory), 0
     first_piece = data[: len(data) - rest_size]  # the rest may begin anywhere in the last few hundred bytes
     for piece in [first_piece] if step > 1000 else [data[i : i + step * 40] for i in range(0, len(data), step * 40)]:
         reader.feed(memoryview(piece))
         fed_bytes += len(piece)
     reader.feed(memoryview(data[fed_bytes:]))
-    (first_payload, _), (second_payload, _) = reader.whole
+    (first_payload, _), (second_payload, _) = reader.complete
     found = first_payload.body if first_payload.stream is None else b"".join(first_payload.stream.take(1 << 30))
-    assert found == body and (first_payload.stream is not None) == (size > BODY) and second_payload.target == b"/b"
+    assert found == body and (first_payload.stream is not None) == (size > MAX_BUFFERED_BODY_BYTES) and second_payload.target == b"/b"
     assert (b"x-tariff", b"p") in first_payload.headers  # surrounding white space is not part of a value
     reader.close()
     assert not body_memory.open_bodies and not body_memory.kept_bytes
@@ -247,7 +247,7 @@
             reply.flow(stream)
     reply.end()
     assert reply.whole and (stream.take(1 << 30) if stream else [reply.body])
-    assert stream is None or size > BODY or reply.length > BODY
+    assert stream is None or size > MAX_BUFFERED_BODY_BYTES or reply.length > MAX_BUFFERED_BODY_BYTES
     if stream is not None:
         stream.begin()
 
@@ -267,19 +267,19 @@
 # Long answers, over sockets.
 
 
-def asked(harness: Rig, body: bytes = b"", method: str = "GET") -> tuple[Wire, Wire]:
-    client = harness.ask(1, method=method, body=body)
-    _, server = harness.served()
-    server.answer()
+def asked(harness: Rig, body: bytes = b"", method: str = "GET") -> tuple[RawConnection, RawConnection]:
+    client = harness.send_request(1, method=method, body=body)
+    _, server = harness.accept_relay()
+    server.read_http()
     return client, server
 
 
-def chunked(client: Wire) -> bytes:
+def chunked(client: RawConnection) -> bytes:
     body = b""
-    while size := int(client.until(b"\r\n"), 16):
-        client.rig.until(lambda size=size: len(client.seen) >= size + 2 or not client._more())  # type: ignore[misc]
-        body, client.seen = body + client.seen[:size], client.seen[size + 2 :]
-    client.until(b"\r\n")
+    while size := int(client.read_until(b"\r\n"), 16):
+        client.rig.run_until(lambda size=size: len(client.received) >= size + 2 or not client.receive())  # type: ignore[misc]
+        body, client.received = body + client.received[:size], client.received[size + 2 :]
+    client.read_until(b"\r\n")
     return body
 
 
@@ -289,16 +289,16 @@
     with rig() as harness:
         client, server = asked(harness)
         server.send(b"HTTP/1.1 200 OK\r\nX-True-Cost: 1\r\n" + frame(body, form, 1_000_000)[:200_000])
-        harness.until(lambda: harness.count("flowed") == 1)
-        harness.skip(0.9)  # the measured latency ends with the first bytes
+        harness.run_until(lambda: harness.count("flowed") == 1)
+        harness.advance_clock(0.9)  # the measured latency ends with the first bytes
         assert harness.daemon.collect_gauges()["active"] == 1 and not harness.daemon.ingress.decision_module.servers["s-0"].relays
         server.send(frame(body, form, 1_000_000)[200_000:])
         if form == "close":
             server.close()
         if form == "length":
-            assert client.answer()[2] == body
+            assert client.read_http()[2] == body
         else:
-            assert b"chunked" in client.until(b"\r\n\r\n") and chunked(client) == body
+            assert b"chunked" in client.read_until(b"\r\n\r\n") and chunked(client) == body
         assert (
             harness.daemon.metrics.class_counts["ok", "a"] == 1
             and not harness.daemon.ingress.exchanges
@@ -306,10 +306,10 @@
         )
         assert harness.daemon.collect_gauges()["active"] == 0 and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
         if form != "close":
-            harness.ask(2, wire=client)
-            assert b"x-request-id" in server.answer()[1]  # both connections are reused
+            harness.send_request(2, wire=client)
+            assert b"x-request-id" in server.read_http()[1]  # both connections are reused
             server.send(OK)
-            assert client.answer()[0] == 200
+            assert client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
@@ -318,15 +318,15 @@
     with rig(servers=2) as harness:
         client, server = asked(harness)
         server.send(b"HTTP/1.1 200 OK\r\n" + frame(noise(500_000), form, 250_000)[:200_000])
-        harness.until(lambda: harness.count("flowed") == 1)
+        harness.run_until(lambda: harness.count("flowed") == 1)
         if how == "stall":
-            harness.skip(4.0)
+            harness.advance_clock(4.0)
             assert harness.count("cut_off") == 0
-            harness.skip(2.0)
+            harness.advance_clock(2.0)
         else:
             getattr(server, how)()
-        assert client.ended() and client.seen.startswith(b"HTTP/1.1 200")
-        assert len(client.seen) < 500_000 and not client.seen.endswith(b"0\r\n\r\n")
+        assert client.wait_closed() and client.received.startswith(b"HTTP/1.1 200")
+        assert len(client.received) < 500_000 and not client.received.endswith(b"0\r\n\r\n")
         assert (
             harness.count("cut_off") == 1
             and harness.daemon.metrics.class_counts["errors", "a"] == 1
@@ -338,24 +338,24 @@
 def test_a_close_delimited_answer_to_an_old_client_ends_with_the_connection_or_a_reset() -> None:
     for cut in (False, True):
         with rig() as harness:
-            client = harness.client().send(
+            client = harness.connect().send(
                 b"GET /a/1 HTTP/1.0\r\nX-Request-ID: 1\r\nX-Tariff: p\r\nX-Timeout: 9000m\r\n\r\n"
             )
-            _, server = harness.served()
-            server.answer()
+            _, server = harness.accept_relay()
+            server.read_http()
             server.send(b"HTTP/1.1 200 OK\r\n" + frame(noise(300_000), "chunked", 100)[: 280_000 if cut else None])
-            harness.until(lambda: harness.count("flowed") == 1)
+            harness.run_until(lambda: harness.count("flowed") == 1)
             server.close()
-            harness.until(lambda: harness.count("closed") == 1)
+            harness.run_until(lambda: harness.count("closed") == 1)
             try:
                 while data := client.sock.recv(1 << 20):
-                    client.seen += data
+                    client.received += data
                 ended = "close"
             except ConnectionResetError:
                 ended = "reset"
             assert ended == ("reset" if cut else "close")
             if not cut:
-                assert client.seen.split(b"\r\n\r\n", 1)[1] == noise(300_000) and b"chunked" not in client.seen[:200]
+                assert client.received.split(b"\r\n\r\n", 1)[1] == noise(300_000) and b"chunked" not in client.received[:200]
 
 
 def test_a_client_that_does_not_take_stops_its_server_from_being_read_and_is_not_held_against_it() -> None:
@@ -367,13 +367,13 @@
         # Sends until neither the sockets nor the body take more. Bytes between two sockets do not move on the clock of
         # the ingress, so the sim server may seem stalled while there still is space for them.
         while idle_turns < 50 or not all(flow.is_writer_blocked for flow in flows(harness)):
-            harness.turn()
+            harness.run_once()
             try:
                 sent, idle_turns = sent + server.sock.send(data[sent : sent + 65536]), 0
             except BlockingIOError:
                 idle_turns += 1
         assert sent < len(data) and max(flow.unread_bytes for flow in flows(harness)) <= memory.MAX_WINDOW_BYTES
-        harness.skip(6.0)  # longer than a sim server may stall, and less than a client may
+        harness.advance_clock(6.0)  # longer than a sim server may stall, and less than a client may
         assert harness.count("cut_off") == 0
         seen = 0
         while seen < len(body):
@@ -382,10 +382,10 @@
                     sent += server.sock.send(data[sent : sent + 65536])
                 except BlockingIOError:
                     pass
-            harness.turn()
-            client._more()
-            seen = len(client.seen)
-        assert client.answer()[2] == body and harness.daemon.metrics.class_counts["ok", "a"] == 1
+            harness.run_once()
+            client.receive()
+            seen = len(client.received)
+        assert client.read_http()[2] == body and harness.daemon.metrics.class_counts["ok", "a"] == 1
 
 
 def test_a_client_that_takes_little_at_a_time_is_not_held_against_its_server() -> None:
@@ -398,32 +398,32 @@
         data = H200 + b"Content-Length: %d\r\n\r\n" % len(body) + body
         sent = 0
         while sent < len(data) or not flows(harness) or not flows(harness)[0].is_writer_blocked:
-            harness.turn()
+            harness.run_once()
             try:
                 sent += server.sock.send(data[sent:])
             except BlockingIOError:
                 pass
         (flow,) = flows(harness)
         while flow.unread_bytes == memory.MAX_WINDOW_BYTES:
-            harness.turn()
-            client.seen += client.sock.recv(4096) if select.select([client.sock], [], [], 0)[0] else b""
+            harness.run_once()
+            client.received += client.sock.recv(4096) if select.select([client.sock], [], [], 0)[0] else b""
         assert flow.is_writer_blocked and 0 < flow.available_space() < memory.MAX_WINDOW_BYTES // 2
-        harness.skip(6.0)
+        harness.advance_clock(6.0)
         assert harness.count("answers_stalled") == harness.count("cut_off") == 0
-        assert client.answer()[2] == body
+        assert client.read_http()[2] == body
 
 
 def flows(harness: Rig) -> list[Body]:
-    return [c.flow for c in harness.daemon.north.clients if c.flow is not None]
+    return [c.response_body for c in harness.daemon.north.clients if c.response_body is not None]
 
 
 def test_a_client_that_leaves_a_long_answer_ends_its_relay() -> None:
     with rig() as harness:
         client, server = asked(harness)
         server.send(H200 + b"Content-Length: 900000\r\n\r\n" + noise(200_000))
-        harness.until(lambda: harness.count("flowed") == 1)
+        harness.run_until(lambda: harness.count("flowed") == 1)
         client.reset()
-        assert server.ended() and not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
+        assert server.wait_closed() and not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
         assert harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0 and harness.count("relay_cancelled") == 1
 
 
@@ -431,12 +431,12 @@
 def test_an_answer_longer_than_we_can_take_speaks_against_no_server(announced: int, status: int, attempts: int) -> None:
     """An answer over the limit is not retried or held against its server; an announced 3 GB counts as malformed."""
     with rig(servers=3) as harness:
-        client = harness.ask(1)
+        client = harness.send_request(1)
         for _ in range(attempts):
-            _, server = harness.served()
-            server.answer()
+            _, server = harness.accept_relay()
+            server.read_http()
             server.send(H200 + b"Content-Length: %d\r\n\r\n" % announced + noise(EARLY))
-        assert client.answer()[0] == status and harness.count("relays") == attempts
+        assert client.read_http()[0] == status and harness.count("relays") == attempts
         assert any(s.error_rate for s in harness.daemon.ingress.decision_module.servers.values()) == (attempts > 1)
 
 
@@ -452,50 +452,50 @@
 def test_a_long_body_flows_and_its_time_begins_with_its_last_byte() -> None:
     body = noise(2_000_000)
     with rig() as harness:
-        client = harness.client().send(post(len(body)) + body[:100_000])
-        _, server = harness.served()
-        server.until(b"\r\n\r\n")
+        client = harness.connect().send(post(len(body)) + body[:100_000])
+        _, server = harness.accept_relay()
+        server.read_until(b"\r\n\r\n")
         decision_module = harness.daemon.ingress.decision_module
         for n in range(1, 19):  # more than three times the timeout of the client
-            harness.skip(0.7)
+            harness.advance_clock(0.7)
             client.send(body[n * 100_000 : (n + 1) * 100_000])
         assert not decision_module.servers["s-0"].relays and harness.daemon.metrics.class_counts["tries", "a"] == 0
         client.send(body[1_900_000:])
-        harness.until(lambda: harness.daemon.metrics.class_counts["tries", "a"] == 1 or not server._more())
-        harness.until(lambda: len(server.seen) >= len(body) or not server._more())
-        assert server.seen == body and decision_module.servers["s-0"].relays
-        harness.skip(3.0)
+        harness.run_until(lambda: harness.daemon.metrics.class_counts["tries", "a"] == 1 or not server.receive())
+        harness.run_until(lambda: len(server.received) >= len(body) or not server.receive())
+        assert server.received == body and decision_module.servers["s-0"].relays
+        harness.advance_clock(3.0)
         server.send(OK)
         assert (
-            client.answer()[0] == 200 and decision_module.rate_controllers["a"].mean_latency < 4.0 and not harness.daemon.shares.kept_bytes
+            client.read_http()[0] == 200 and decision_module.rate_controllers["a"].mean_latency < 4.0 and not harness.daemon.shares.kept_bytes
         )
         assert not harness.daemon.shares.open_bodies and not harness.daemon.ingress.exchanges
 
 
 def test_a_long_body_whose_answer_does_not_come_is_given_up_in_its_time() -> None:
     with rig() as harness:
-        client = harness.client().send(post(200_000) + noise(200_000))
-        _, server = harness.served()
-        harness.until(lambda: len(server.seen) >= 200_000 or not server._more())
-        harness.skip(3.98)
-        assert client.answer()[0] in (502, 503) and server.ended()
+        client = harness.connect().send(post(200_000) + noise(200_000))
+        _, server = harness.accept_relay()
+        harness.run_until(lambda: len(server.received) >= 200_000 or not server.receive())
+        harness.advance_clock(3.98)
+        assert client.read_http()[0] in (502, 503) and server.wait_closed()
 
 
 def test_a_server_that_breaks_before_the_last_byte_has_run_nothing_and_the_body_is_sent_again() -> None:
     body = noise(400_000)
     with rig(servers=2, effect="single_shot") as harness:
-        client = harness.client().send(post(len(body)) + body[:300_000])
-        _, first = harness.served()
-        first.until(b"\r\n\r\n")
+        client = harness.connect().send(post(len(body)) + body[:300_000])
+        _, first = harness.accept_relay()
+        first.read_until(b"\r\n\r\n")
         first.reset()
         client.send(body[300_000:])
-        _, second = harness.served()
-        assert b"content-length: 400000" in second.until(b"\r\n\r\n").lower()
-        harness.until(lambda: len(second.seen) >= len(body) or not second._more())
-        assert xxhash.xxh3_64(second.seen).digest() == xxhash.xxh3_64(body).digest()
+        _, second = harness.accept_relay()
+        assert b"content-length: 400000" in second.read_until(b"\r\n\r\n").lower()
+        harness.run_until(lambda: len(second.received) >= len(body) or not second.receive())
+        assert xxhash.xxh3_64(second.received).digest() == xxhash.xxh3_64(body).digest()
         second.send(OK)
         assert (
-            client.answer()[0] == 200
+            client.read_http()[0] == 200
             and harness.count("relay_connect_failed") == 1
             and not harness.daemon.shares.kept_bytes
         )
@@ -505,61 +505,61 @@
     """Nothing ran, so a back-off answer is right. The rest of the body is discarded, and the next message is served."""
     size = memory.MAX_KEPT_BODY_BYTES + 600_000
     with rig(servers=2, effect="single_shot") as harness:
-        client = harness.client().send(post(size))
-        harness.until(lambda: bool(harness.daemon.north.clients))
+        client = harness.connect().send(post(size))
+        harness.run_until(lambda: bool(harness.daemon.north.clients))
         sent, server = 0, None
         while sent < memory.MAX_KEPT_BODY_BYTES + 300_000:
             client.send(noise(100_000))
             sent += 100_000
-            harness.turn()
+            harness.run_once()
             if server is None:
-                server = next((wire for peer in harness.peers.values() if (wire := peer.connected())), None)
-            elif server._more():
+                server = next((wire for peer in harness.servers.values() if (wire := peer.try_accept())), None)
+            elif server.receive():
                 pass
         assert server is not None
-        harness.until(lambda: len(server.seen) > memory.MAX_KEPT_BODY_BYTES or not server._more())
+        harness.run_until(lambda: len(server.received) > memory.MAX_KEPT_BODY_BYTES or not server.receive())
         server.reset()
         client.send(noise(size - sent))
-        status, head, _ = client.answer()
+        status, head, _ = client.read_http()
         assert status == 503 and b"retry-after" in head.lower() and harness.count("relays") == 1
-        harness.ask(2, wire=client)
-        _, other = harness.served()
-        other.answer()
+        harness.send_request(2, wire=client)
+        _, other = harness.accept_relay()
+        other.read_http()
         other.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 def test_a_refusal_before_the_end_of_a_body_is_answered_at_once_and_the_rest_is_lost() -> None:
     with rig(servers=0) as harness:  # without a sim server the message is refused when it is decided on
-        client = harness.client().send(post(300_000) + noise(100_000))
-        assert client.answer()[0] == 429
+        client = harness.connect().send(post(300_000) + noise(100_000))
+        assert client.read_http()[0] == 429
         client.send(noise(200_000)).send(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert client.answer()[0] == 503 and not harness.daemon.shares.open_bodies
+        assert client.read_http()[0] == 503 and not harness.daemon.shares.open_bodies
 
 
 def test_what_still_flows_after_a_refusal_is_read_for_as_long_as_it_flows() -> None:
     """Guards against a fixed time to read the rest: 11 clients still sending 500 kB/s were cut off 2 s after a 429."""
     with rig(servers=0) as harness:
-        client = harness.client().send(post(900_000) + noise(100_000))
-        assert client.answer()[0] == 429
+        client = harness.connect().send(post(900_000) + noise(100_000))
+        assert client.read_http()[0] == 429
         for _ in range(8):
-            harness.skip(1.0)
+            harness.advance_clock(1.0)
             client.send(noise(100_000))
-        harness.ask(2, wire=client)
-        assert client.answer()[0] == 429
-        client = harness.client().send(post(900_000) + noise(100_000))
-        assert client.answer()[0] == 429
-        harness.skip(pace.STALL_TIMEOUT_SECONDS + pace.HEAD_TIMEOUT_SECONDS)
-        assert client.ended()
+        harness.send_request(2, wire=client)
+        assert client.read_http()[0] == 429
+        client = harness.connect().send(post(900_000) + noise(100_000))
+        assert client.read_http()[0] == 429
+        harness.advance_clock(pace.STALL_TIMEOUT_SECONDS + pace.HEAD_TIMEOUT_SECONDS)
+        assert client.wait_closed()
 
 
 def test_what_was_lost_of_one_body_does_not_count_against_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(north, "LINGER_MOST", 320_000)
+    monkeypatch.setattr(north, "MAX_DISCARDED_BYTES", 320_000)
     with rig(servers=0) as harness:
-        client = harness.client()
+        client = harness.connect()
         for _ in range(3):
             client.send(post(300_000) + noise(300_000))
-            assert client.answer()[0] == 429
+            assert client.read_http()[0] == 429
 
 
 def expecting(size: int) -> bytes:
@@ -568,36 +568,36 @@
 
 def test_a_body_is_asked_for_once_its_message_is_let_in_and_not_before() -> None:
     with rig() as harness:
-        client = harness.client().send(expecting(1000))
-        assert client.until(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n" and harness.count("relays") == 1
+        client = harness.connect().send(expecting(1000))
+        assert client.read_until(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n" and harness.count("relays") == 1
         client.send(noise(1000))
-        _, server = harness.served()
-        assert server.answer()[2] == noise(1000)
+        _, server = harness.accept_relay()
+        assert server.read_http()[2] == noise(1000)
         server.send(OK)
-        assert client.answer()[0] == 200
-        harness.ask(2, wire=client)  # the connection is reused
-        server.answer()
+        assert client.read_http()[0] == 200
+        harness.send_request(2, wire=client)  # the connection is reused
+        server.read_http()
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 @pytest.mark.parametrize(("servers", "size", "status"), [(0, 1000, 429), (1, (32 << 20) + 1, 413)])
 def test_a_body_that_is_not_wanted_is_never_asked_for(servers: int, size: int, status: int) -> None:
     with rig(servers=servers) as harness:
-        client = harness.client().send(expecting(size))
-        found, head, _ = client.answer()
+        client = harness.connect().send(expecting(size))
+        found, head, _ = client.read_http()
         assert found == status and b"connection: close" in head.lower()
         client.close()
-        harness.until(lambda: not harness.daemon.north.clients)
+        harness.run_until(lambda: not harness.daemon.north.clients)
         assert not harness.daemon.shares.open_bodies
 
 
 def test_a_body_that_stands_still_gets_408_and_its_relay_is_given_up() -> None:
     with rig() as harness:
-        client = harness.client().send(post(300_000) + noise(100_000))
-        _, server = harness.served()
-        harness.skip(3.0)
-        assert client.answer()[0] == 408 and server.ended() and not harness.daemon.ingress.exchanges
+        client = harness.connect().send(post(300_000) + noise(100_000))
+        _, server = harness.accept_relay()
+        harness.advance_clock(3.0)
+        assert client.read_http()[0] == 408 and server.wait_closed() and not harness.daemon.ingress.exchanges
         assert not harness.daemon.shares.open_bodies and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
 
 
@@ -605,14 +605,14 @@
 def test_a_client_that_breaks_off_in_a_long_body_ends_its_relay(tail: bytes) -> None:
     with rig() as harness:
         head = post(0).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-        client = harness.client().send(head + b"15f90\r\n" + noise(90_000) + b"\r\n")
-        _, server = harness.served()
+        client = harness.connect().send(head + b"15f90\r\n" + noise(90_000) + b"\r\n")
+        _, server = harness.accept_relay()
         if tail:
             client.send(tail)
-            assert client.answer()[0] == 400
+            assert client.read_http()[0] == 400
         else:
             client.reset()
-        assert server.ended() and not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
+        assert server.wait_closed() and not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
         assert harness.daemon.metrics.class_counts["tries", "a"] == 0
 
 
@@ -620,32 +620,32 @@
     body = noise(250_000)
     with rig() as harness:
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
-        client = harness.client().send(head + frame(body, "chunked", 70_000))
-        _, server = harness.served()
-        assert b"transfer-encoding: chunked" in server.until(b"\r\n\r\n").lower()
+        client = harness.connect().send(head + frame(body, "chunked", 70_000))
+        _, server = harness.accept_relay()
+        assert b"transfer-encoding: chunked" in server.read_until(b"\r\n\r\n").lower()
         assert chunked(server) == body
         server.send(OK)
-        assert client.answer()[0] == 200
+        assert client.read_http()[0] == 200
 
 
 def test_a_server_that_turns_a_body_away_before_its_end_is_heard() -> None:
     with rig() as harness:
-        client = harness.client().send(post(400_000) + noise(100_000))
+        client = harness.connect().send(post(400_000) + noise(100_000))
         for _ in range(2):
-            _, server = harness.served()
-            server.until(b"\r\n\r\n")
+            _, server = harness.accept_relay()
+            server.read_until(b"\r\n\r\n")
             server.send(b"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-        assert client.answer()[0] == 503 and harness.count("relay_full") == 2
+        assert client.read_http()[0] == 503 and harness.count("relay_full") == 2
 
 
 def test_a_body_over_the_limit_gets_413_that_the_client_can_read_after_sending_all_of_it() -> None:
     with rig() as harness:
-        harness.daemon.north.longest = 200_000
-        client = harness.client().send(post(900_000) + noise(900_000))
-        assert client.answer()[0] == 413 and client.ended() and harness.count("relays") == 0
+        harness.daemon.north.max_body_bytes = 200_000
+        client = harness.connect().send(post(900_000) + noise(900_000))
+        assert client.read_http()[0] == 413 and client.wait_closed() and harness.count("relays") == 0
         head = post(0).replace(b"Content-Length: 0\r\n\r\n", b"")
-        client = harness.client().send(head + frame(noise(900_000), "chunked", 300_000))
-        assert client.answer()[0] == 413 and client.ended()
+        client = harness.connect().send(head + frame(noise(900_000), "chunked", 300_000))
+        assert client.read_http()[0] == 413 and client.wait_closed()
         assert harness.daemon.metrics.class_counts["tries", "a"] == 0 and not harness.daemon.shares.open_bodies
 
 
@@ -654,9 +654,9 @@
         body_memory = harness.daemon.shares
         pairs = []
         for n in range(12):
-            client = harness.ask(n + 1)
-            _, server = harness.served()
-            server.answer()
+            client = harness.send_request(n + 1)
+            _, server = harness.accept_relay()
+            server.read_http()
             server.send(H200 + b"Content-Length: 8000000\r\n\r\n")
             pairs.append((client, server, bytearray()))
         for _ in range(400):
@@ -665,7 +665,7 @@
                     server.sock.send(b"x" * 65536)
                 except BlockingIOError:
                     pass
-            harness.turn()
+            harness.run_once()
         unread_bytes = sum(body.unread_bytes for body in flows(harness))
         assert (
             len(flows(harness)) == 12
@@ -770,25 +770,25 @@
 def test_a_body_over_what_memory_keeps_is_sent_again_from_its_file(tmp_path: Path) -> None:
     body = noise(memory.MAX_KEPT_BODY_BYTES + 700_000)
     with rig(servers=2, effect="single_shot", operator={"bodies": {"spool": str(tmp_path)}}) as harness:
-        client = harness.client().send(post(len(body)))
+        client = harness.connect().send(post(len(body)))
         sent, first = 0, None
-        while first is None or len(first.seen) < memory.MAX_KEPT_BODY_BYTES + 100_000:
+        while first is None or len(first.received) < memory.MAX_KEPT_BODY_BYTES + 100_000:
             if sent < memory.MAX_KEPT_BODY_BYTES + 600_000:
                 client.send(body[sent : sent + 100_000])
                 sent += 100_000
-            harness.turn()
+            harness.run_once()
             if first is None:
-                first = next((wire for peer in harness.peers.values() if (wire := peer.connected())), None)
+                first = next((wire for peer in harness.servers.values() if (wire := peer.try_accept())), None)
             else:
-                first._more()
+                first.receive()
         first.reset()
         client.send(body[sent:])
-        _, second = harness.served()
-        second.until(b"\r\n\r\n")
-        harness.until(lambda: len(second.seen) >= len(body) or not second._more())
-        assert xxhash.xxh3_64(second.seen).digest() == xxhash.xxh3_64(body).digest()
+        _, second = harness.accept_relay()
+        second.read_until(b"\r\n\r\n")
+        harness.run_until(lambda: len(second.received) >= len(body) or not second.receive())
+        assert xxhash.xxh3_64(second.received).digest() == xxhash.xxh3_64(body).digest()
         second.send(OK)
-        assert client.answer()[0] == 200 and harness.count("relays") == 2
+        assert client.read_http()[0] == 200 and harness.count("relays") == 2
         folder = harness.daemon.shares.folder
         assert folder is not None and folder.used_bytes == 0
 
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -187,11 +187,11 @@
             elif kind == "pass":
                 core.now += number / 2
             elif kind == "crash":
-                core.loop.turn(0)
+                core.loop.run_once(0)
                 must += core.south.over(core.ingress.exchanges)
                 core.crash()
                 core = Core(folder, core.now)
-            core.loop.turn(0)
+            core.loop.run_once(0)
             must += core.south.over(core.ingress.exchanges)
             heads, store = core.ledger.tally.heads, core.ledger.store
             closed = sum(entry.units for entry in store.entries())
@@ -232,7 +232,7 @@
         elif end == "released":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/release")[0] == 200
         else:
-            r.skip(2.1)
+            r.advance_clock(2.1)
         assert heads.counted == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO
         if end != "expired":
             assert r.daemon.ingress.decision_module.firms[7].level >= level + 3.0
@@ -257,7 +257,7 @@
         end = time.monotonic() + 20
         while not done():
             assert time.monotonic() < end, (tmp_path / "n0.log").read_text()
-            outside.turn(0.02)
+            outside.run_once(0.02)
 
     billing.mode = "taken silently"
     first = start()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -38,7 +38,7 @@
         end = time.monotonic() + timeout
         while not is_done():  # type: ignore[operator]
             assert time.monotonic() < end
-            loop.turn(0.01)
+            loop.run_once(0.01)
 
     def send_again(attempt: Try) -> None:
         """Send a client's next message at once, on its connection while that lasts."""
