--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -21,22 +21,22 @@
 class SouthPort:
     def __init__(self, daemon: Daemon, told: DrainsPart) -> None:
         self.daemon, self.told = daemon, told
-        daemon.south.caps = {}  # nothing is opened before something is held
+        daemon.south.connection_limits = {}  # nothing is opened before something is held
 
     def open(self, server: str) -> int:
-        return self.daemon.south.opened.get(server, 0)
+        return self.daemon.south.open_connections.get(server, 0)
 
     def busy(self, server: str) -> int:
-        return self.daemon.south.busy(server)
+        return self.daemon.south.count_busy(server)
 
     def refused(self, server: str) -> int:
-        return self.daemon.south.no_room.pop(server, 0)
+        return self.daemon.south.limit_rejections.pop(server, 0)
 
     def shrink(self, server: str, most: int) -> None:
-        self.daemon.south.shrink(server, most)
+        self.daemon.south.close_idle(server, most)
 
     def caps(self, caps: dict[str, int]) -> None:
-        self.daemon.south.caps = caps
+        self.daemon.south.connection_limits = caps
         self.daemon.ingress.tell(i.Shares(caps))
 
     def servers(self) -> dict[str, int]:
@@ -111,8 +111,8 @@
         """The last message is answered: its connections go, and their parts by its word."""
         if self.holder is not None and not self._ended:
             self._ended = True
-            for server in list(self.daemon.south.opened):
-                self.daemon.south.shrink(server, 0)
+            for server in list(self.daemon.south.open_connections):
+                self.daemon.south.close_idle(server, 0)
             self.holder.leave(self.loop.clock())
             self.agreement.said()
 
--- a/brackenpulley/fleet/caller.py
+++ b/brackenpulley/fleet/caller.py
@@ -7,7 +7,7 @@
 
 from ..address import Address
 from ..net import sockets
-from ..net.answers import Malformed, Reply
+from ..net.answers import MalformedResponseError, ResponseReader
 from ..net.loop import READ, WRITE, Loop
 
 Done = Callable[[int, bytes], None]
@@ -23,7 +23,7 @@
         self._out = (
             f"{method} {path} HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
-        self._reply = Reply()
+        self._reply = ResponseReader()
         self._up = False
         self._sock: socket.socket | None = None
         self._timer = loop.call_in(patience, self._end)
@@ -64,12 +64,12 @@
             if data:
                 self._reply.feed(data)
             else:
-                self._reply.end()
-            if self._reply.whole or not data:
+                self._reply.handle_eof()
+            if self._reply.is_complete or not data:
                 self._end()
         except BlockingIOError:
             return
-        except (OSError, Malformed):
+        except (OSError, MalformedResponseError):
             self._end()
 
     def _end(self) -> None:
@@ -79,7 +79,7 @@
             self._sock = None
         self._timer.cancel()
         done, self._done = self._done, lambda status, body: None
-        done(self._reply.status if self._reply.whole else 0, self._reply.body)
+        done(self._reply.status if self._reply.is_complete else 0, self._reply.body)
 
     def drop(self) -> None:
         """Nobody waits for it any more."""
--- a/brackenpulley/ledger/service.py
+++ b/brackenpulley/ledger/service.py
@@ -13,7 +13,7 @@
 from ..lock import Lock
 from ..metrics import Metrics
 from ..net import sockets
-from ..net.answers import Malformed, Reply
+from ..net.answers import MalformedResponseError, ResponseReader
 from ..net.loop import READ, WRITE, Loop, Timer
 from ..net.pool import Pool
 from ..operator import ExportPart, LedgerPart
@@ -212,7 +212,7 @@
         self.lock: Lock | None = None
         self._sock: socket.socket | None = None
         self._out = b""
-        self._reply: Reply | None = None
+        self._reply: ResponseReader | None = None
         self._range = (0, 0)
         self._timer: Timer | None = None
         self._next: Timer | None = None
@@ -268,7 +268,7 @@
             f"POST {self.part.path} HTTP/1.1\r\nHost: {host}:{at[1]}\r\nContent-Type: {CONTENT}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         ).encode() + body
-        self._reply = Reply()
+        self._reply = ResponseReader()
         self.metrics.add("export_sends")
         try:
             self._sock = sockets.connect(at)
@@ -295,15 +295,15 @@
                 if count:
                     reply.feed(bytes(memoryview(buffer)[:count]))
                 else:
-                    reply.end()
+                    reply.handle_eof()
             finally:
                 self.pool.give(buffer)
         except BlockingIOError:
             return
-        except (OSError, Malformed):
+        except (OSError, MalformedResponseError):
             self._answered(0, 0.0, b"")
             return
-        if reply.whole:
+        if reply.is_complete:
             self._answered(reply.status, retry_after(reply), reply.body)
         elif not count:
             self._answered(0, 0.0, b"")
@@ -374,7 +374,7 @@
             self.lock = None
 
 
-def retry_after(reply: Reply) -> float:
+def retry_after(reply: ResponseReader) -> float:
     """Seconds of Retry-After (RFC 9110, 10.2.3: a number or a date); 0 where there is none."""
     for name, value in reply.headers:
         if name == b"retry-after":
--- a/brackenpulley/net/answers.py
+++ b/brackenpulley/net/answers.py
@@ -1,4 +1,7 @@
-"""Bytes of a sim server to one answer, and an answer in the module's words."""
+"""Incremental parsing of HTTP responses, and their conversion to relay ends.
+
+The south side reads sim servers' responses with it; the ledger's exporter and the fleet's HTTP client use the reader
+alone."""
 
 from __future__ import annotations
 
@@ -10,83 +13,90 @@
 from ..core.exchange import RelayEnd
 from .http import BODY, HEAD, HOP
 
-INTERIM = 16  # 1xx answers in front of one answer at most
-NOT_MEANT = 1 << 30  # a told length over this is a spoilt one, not a long answer
-EARLY = 16384  # bytes of a body that is told to be long, until it counts as such: what is spoilt mostly ends before
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before one final response
+MAX_PLAUSIBLE_BYTES = 1 << 30  # a larger Content-Length is taken for a corrupt header, not for a long body
+STREAM_MIN_BYTES = 16384  # of a body declared long, before it is streamed: most corrupt responses end before this
 
 
-class Malformed(Exception):
-    """No answer can be made of these bytes; what was asked may have run."""
+class MalformedResponseError(Exception):
+    """The bytes are no valid response. The request may have been processed all the same."""
 
 
-class TooMuch(Malformed):
-    """The answer may be good, but is more than we can take: that speaks against no server."""
+class ResponseTooLargeError(MalformedResponseError):
+    """The response may be valid but exceeds our own limit, so it doesn't count against the server."""
 
 
-class Reply:
-    """Bytes of one answer; `whole` once it is all there. What comes behind it is never looked into.
+class ResponseReader:
+    """Parses the bytes of one response; bytes behind its end are never parsed.
 
-    A body of up to `held` bytes is held until then. Of a longer 200 the rest goes into `stream`, from the moment that
-    it is asked to `flow`; the body of another status is not wanted by anybody, and is not held past there."""
+    A body of up to `buffer_limit` bytes is buffered until `is_complete`. The rest of a longer body with status 200 goes
+    to the stream passed to `stream_to`. A longer body with another status is cut off there, since nobody reads it.
+    Raises ResponseTooLargeError past `max_bytes` of body. `has_no_body`: the request was a HEAD."""
 
-    def __init__(self, most: int = BODY, held: int = BODY, bodiless: bool = False) -> None:
-        self.most, self._held, self._bodiless = most, held, bodiless  # bytes; the message was a HEAD
+    def __init__(self, max_bytes: int = BODY, buffer_limit: int = BODY, has_no_body: bool = False) -> None:
+        self.max_bytes = max_bytes
+        self._buffer_limit = buffer_limit
+        self._has_no_body = has_no_body
         self.stream: Body | None = None
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
-        self.whole = self.headed = self.keep = self.surplus = False
+        self.is_complete = False
+        self.has_head = False
+        self.keep_alive = False
+        self.has_surplus = False  # bytes came behind the end of the response
         self.status = 0
-        self._head = b""  # what has come of the head
-        self._parts: list[bytes] = []
-        self.size = self._interim = 0
-        self.length = -1  # of the body, where it is told
-        self._chunked = False
+        self._head_bytes = b""  # received part of a head that is not complete yet
+        self._body_parts: list[bytes] = []
+        self.body_size = 0
+        self._interim_count = 0
+        self.content_length = -1  # -1 = not declared
+        self._is_chunked = False
         self._parser: httptools.HttpResponseParser | None = None
 
     def feed(self, data: bytes) -> None:
-        """Raises Malformed."""
-        while not self.headed:
-            # The head is cut off by its empty line before it is parsed, so that the parser never sees a byte of
-            # anything behind this answer: it would take a second copy for more of the first.
-            data, self._head = self._head + data, b""
-            end = data.find(b"\r\n\r\n") + 4
-            if (end if end > 3 else len(data)) > HEAD:
-                raise Malformed
-            if end < 4:
-                self._head = data
+        """Parse the next bytes. Raises MalformedResponseError."""
+        while not self.has_head:
+            # The head is cut off at its empty line before it is parsed, so that the parser never sees a byte behind
+            # this response: it would take a duplicated response for a continuation of the first.
+            data, self._head_bytes = self._head_bytes + data, b""
+            head_end = data.find(b"\r\n\r\n") + 4
+            if (head_end if head_end > 3 else len(data)) > HEAD:
+                raise MalformedResponseError
+            if head_end < 4:
+                self._head_bytes = data
                 return
-            self._read_head(data[:end])
-            data = data[end:]
-        if self._chunked:
+            self._read_head(data[:head_end])
+            data = data[head_end:]
+        if self._is_chunked:
             self._parse(data)
         else:
-            self._take(data)
-        if self.whole:
-            self._parser = None  # it holds this object: together they would wait for the garbage collector
+            self._read_unchunked(data)
+        if self.is_complete:
+            self._parser = None  # breaks the reference cycle with this object, which would need the garbage collector
 
     def _read_head(self, head: bytes) -> None:
         self.headers, self._parser = [], httptools.HttpResponseParser(self)
         self._parse(head)
         status = self._parser.get_status_code()
-        if status == 101 or status < 100:  # nobody asked for another protocol
-            raise Malformed
-        if status < 200:  # an interim answer: the real one follows
-            self._interim += 1
-            if self._interim > INTERIM:
-                raise Malformed
+        if status == 101 or status < 100:  # no protocol upgrade was requested
+            raise MalformedResponseError
+        if status < 200:  # an interim response: the final one follows
+            self._interim_count += 1
+            if self._interim_count > MAX_INTERIM_RESPONSES:
+                raise MalformedResponseError
             return
         lengths = [v for n, v in self.headers if n == b"content-length"]
         codings = [v for n, v in self.headers if n == b"transfer-encoding"]
         if len(lengths) + len(codings) > 1 or codings and codings[0].strip().lower() != b"chunked":
-            raise Malformed
-        self.headed, self.status, self._chunked = True, status, bool(codings)
+            raise MalformedResponseError
+        self.has_head, self.status, self._is_chunked = True, status, bool(codings)
         if lengths:
-            self.length = int(lengths[0]) if lengths[0].strip().isdigit() else NOT_MEANT + 1
-            if self.length > self.most:  # known at once: nothing of it needs to be waited for
-                raise Malformed if self.length > NOT_MEANT else TooMuch
-        if status in (204, 304) or self._bodiless:
-            self.length, self._chunked = 0, False
-        self.keep = (bool(codings) or self.length >= 0) and not any(
+            self.content_length = int(lengths[0]) if lengths[0].strip().isdigit() else MAX_PLAUSIBLE_BYTES + 1
+            if self.content_length > self.max_bytes:  # rejected at once, without waiting for the body
+                raise MalformedResponseError if self.content_length > MAX_PLAUSIBLE_BYTES else ResponseTooLargeError
+        if status in (204, 304) or self._has_no_body:
+            self.content_length, self._is_chunked = 0, False
+        self.keep_alive = (bool(codings) or self.content_length >= 0) and not any(
             n == b"connection" and b"close" in v.lower() for n, v in self.headers
         )
 
@@ -95,128 +105,132 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            if not self.whole:
-                raise Malformed from None
-            self._more()  # it was behind a whole answer
-
-    def _take(self, data: bytes) -> None:
-        room = self.length - self.size if self.length >= 0 else self.most + 1
-        self._add(data[:room])
-        if self.size == self.length:
+            if not self.is_complete:
+                raise MalformedResponseError from None
+            self._note_surplus()  # the invalid bytes are behind a complete response
+
+    def _read_unchunked(self, data: bytes) -> None:
+        remaining = self.content_length - self.body_size if self.content_length >= 0 else self.max_bytes + 1
+        self._add_body(data[:remaining])
+        if self.body_size == self.content_length:
             self._complete()
-            if len(data) > room:
-                self._more()
+            if len(data) > remaining:
+                self._note_surplus()
 
-    def _more(self) -> None:
-        """Something stands behind the answer: the connection can't be trusted with another one."""
-        self.surplus, self.keep = True, False
+    def _note_surplus(self) -> None:
+        """Bytes follow the response, so the connection can't be reused."""
+        self.has_surplus, self.keep_alive = True, False
 
-    def _add(self, part: bytes) -> None:
-        self.size += len(part)
-        if self.size > self.most:
-            raise TooMuch
+    def _add_body(self, part: bytes) -> None:
+        self.body_size += len(part)
+        if self.body_size > self.max_bytes:
+            raise ResponseTooLargeError
         if self.stream is not None:
             self.stream.put(part)
-        elif self.status == 200 or self.size <= self._held:
-            self._parts.append(part)
-        else:  # enough to know that it failed; what it goes on to say is wanted by nobody
+        elif self.status == 200 or self.body_size <= self._buffer_limit:
+            self._body_parts.append(part)
+        else:  # a failed response's body beyond the buffer limit is discarded
             self._complete()
-            self._more()
+            self._note_surplus()
 
     @property
-    def long(self) -> bool:
-        """It is plain that it is longer than what is held whole, and it is the answer that was wanted."""
-        told = self.length > self._held and self.size >= EARLY
-        return self.status == 200 and not self.whole and (told or self.size > self._held)
+    def is_long(self) -> bool:
+        """Whether this is a successful response whose body exceeds the buffer limit and should be streamed."""
+        is_declared_long = self.content_length > self._buffer_limit and self.body_size >= STREAM_MIN_BYTES
+        return self.status == 200 and not self.is_complete and (is_declared_long or self.body_size > self._buffer_limit)
 
     @property
-    def gathered(self) -> int:
-        """Bytes of the body that are held here."""
-        return 0 if self.stream is not None else self.size
+    def buffered_bytes(self) -> int:
+        """Bytes of the body that are buffered here."""
+        return 0 if self.stream is not None else self.body_size
 
-    def flow(self, stream: Body) -> None:
-        """From now on the body goes there, beginning with what is held."""
-        for part in self._parts:
+    def stream_to(self, stream: Body) -> None:
+        """Move the buffered body to `stream`, and send the rest there as it comes."""
+        for part in self._body_parts:
             stream.put(part)
-        self.stream, self._parts = stream, []
+        self.stream, self._body_parts = stream, []
 
     def _complete(self) -> None:
-        if self.whole:
+        if self.is_complete:
             return
-        self.whole, self.body, self._parts = True, b"".join(self._parts), []
+        self.is_complete, self.body, self._body_parts = True, b"".join(self._body_parts), []
         if self.stream is not None:
             self.stream.end()
 
     @property
-    def begun(self) -> bool:
-        """A part of the answer itself has come, and not the whole."""
-        return not self.whole and (self.headed or bool(self._head))
-
-    def end(self) -> None:
-        """The connection ended: that is the end of an answer with no framing of its own, and breaks any other."""
-        self.keep = False
-        if self.headed and not self.whole and not self._chunked and self.length < 0:
+    def is_partial(self) -> bool:
+        """Whether a part of the response has come, but not all of it."""
+        return not self.is_complete and (self.has_head or bool(self._head_bytes))
+
+    def handle_eof(self) -> None:
+        """Record the connection's end, which completes a response without framing and truncates any other."""
+        self.keep_alive = False
+        if self.has_head and not self.is_complete and not self._is_chunked and self.content_length < 0:
             self._complete()
 
-    # The parser's calls, about a head or a chunked body.
+    # Callbacks of the parser, which is fed a head or a chunked body.
 
     def on_message_begin(self) -> None:
-        if self.whole:  # a second answer right behind: nobody asked for it
-            self._more()
+        """Note a second response directly behind this one."""
+        if self.is_complete:
+            self._note_surplus()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.headed:  # a trailer
+        """Add a header field. Raises MalformedResponseError past 100 of them."""
+        if self.has_head:  # a trailer
             return
         if value and value[-1] <= 32:
-            value = value.strip(b" \t")  # white space round a value is no part of it; the parser leaves what is behind
+            value = value.strip(b" \t")  # the parser leaves the trailing white space, which is not part of the value
         self.headers.append((name.lower(), value))
         if len(self.headers) > 100:
-            raise Malformed
+            raise MalformedResponseError
 
     def on_body(self, part: bytes) -> None:
-        if not self.whole:
-            self._add(part)
+        """Add a piece of a chunked body."""
+        if not self.is_complete:
+            self._add_body(part)
 
     def on_message_complete(self) -> None:
-        if self.headed and not self.whole:
+        """Complete the response, unless only its head was parsed."""
+        if self.has_head and not self.is_complete:
             self._complete()
 
 
-def outcome(reply: Reply, fields: Sequence[str]) -> RelayEnd:
-    """An answer in the module's words. What cannot be read in a header is passed over."""
-    end = RelayEnd("error")
-    passed: list[tuple[bytes, bytes]] = []
-    not_run = False
-    for name, value in reply.headers:
+def to_relay_end(response: ResponseReader, load_fields: Sequence[str]) -> RelayEnd:
+    """Convert a response to the relay end that the core expects. Headers that can't be parsed are ignored."""
+    relay_end = RelayEnd("error")
+    forwarded: list[tuple[bytes, bytes]] = []
+    is_not_processed = False
+    for name, value in response.headers:
         if name == b"x-allowance-used":
-            end.used = max(0, 1 + int(_number(value, -1.0)))
+            relay_end.used = max(0, 1 + int(_parse_number(value, -1.0)))
         elif name == b"x-true-cost":
-            end.cost = max(0.0, _number(value, 0.0))
+            relay_end.cost = max(0.0, _parse_number(value, 0.0))
         elif name == b"x-server-load":
-            end.load = report(value, fields)
+            relay_end.load = parse_load_report(value, load_fields)
         elif name == b"x-not-processed":
-            not_run = value == b"1"
+            is_not_processed = value == b"1"
         elif name not in HOP:
-            passed.append((name, value))
-    if reply.status == 200:
-        end.status, end.payload = "ok", (reply.stream or reply.body, passed)
-    elif reply.status in (503, 504) and not_run:
-        end.status = "full"
-    return end
+            forwarded.append((name, value))
+    if response.status == 200:
+        relay_end.status, relay_end.payload = "ok", (response.stream or response.body, forwarded)
+    elif response.status in (503, 504) and is_not_processed:
+        relay_end.status = "full"
+    return relay_end
 
 
-def _number(value: bytes, default: float) -> float:
+def _parse_number(value: bytes, default: float) -> float:
     try:
         number = float(value)
     except ValueError:
         return default
-    return number if abs(number) < 1e9 else default  # also passes over inf and nan
+    return number if abs(number) < 1e9 else default  # also excludes inf and nan
 
 
-def report(value: bytes, fields: Sequence[str]) -> list[float]:
-    """'TEXT inflight=7, util=0.61' in the order of the settings' fields; empty unless all are there."""
+def parse_load_report(value: bytes, fields: Sequence[str]) -> list[float]:
+    """Parse 'TEXT inflight=7, util=0.61' into the values of `fields`, in their order; empty unless all are present."""
     found: dict[str, float] = {}
     for part in value.decode("ascii", "replace").removeprefix("TEXT").split(","):
         name, _, number = part.strip().partition("=")
-        found[name] = _number(number.encode(), -1.0)
+        found[name] = _parse_number(number.encode(), -1.0)
     return [found[f] for f in fields] if fields and all(found.get(f, -1.0) >= 0 for f in fields) else []
--- a/brackenpulley/net/south.py
+++ b/brackenpulley/net/south.py
@@ -1,4 +1,4 @@
-"""The south side: relays to sim servers over kept connections. It never sends anything a second time."""
+"""The south side: relays to sim servers over pooled keep-alive connections. It never retries a relay by itself."""
 
 from __future__ import annotations
 
@@ -13,78 +13,91 @@
 from ..core.message import Message
 from ..metrics import Metrics
 from . import sockets
-from .answers import Malformed, Reply, TooMuch, outcome
+from .answers import MalformedResponseError, ResponseReader, ResponseTooLargeError, to_relay_end
 from .http import LONGEST, Payload, pass_on
 from .inventory import Inventory
 from .loop import READ, WRITE, Loop, Timer
 from .pool import SIZE, Pool
 
-RETIRE = 0.6  # of the time after which a sim server closes an unused connection: a message must never cross that
-SWEEP = 1.0
-YOUNG, BAD_SHARE, TRIAL, NOTICE = 0.1, 0.1, 16, 0.05  # see Trust
-REST = 0.01  # s for which a connection rests after an answer: a second one may come behind it, for nobody
-STALLED = 2.0  # s without a byte of an answer that has begun, or taken of a long body: who stands still is given up
-FLOW_STALLED = 5.0  # the same once the client has a part of it: no other attempt can take its place
+# Share of the server's keep-alive timeout after which an idle connection is closed here: a request must never cross
+# the server's own close.
+IDLE_RETIRE_FRACTION = 0.6
+SWEEP_INTERVAL_SECONDS = 1.0  # between two removals of expired idle connections
+FRESH_IDLE_SECONDS = 0.1  # a connection idle for less than this is always reused
+MAX_FAILURE_RATE = 0.1  # of reused connections, from which on those idle for longer are not reused
+TRIAL_INTERVAL = 16  # every n-th refused reuse is allowed all the same, see IdleReusePolicy
+FAILURE_RATE_WEIGHT = 0.05  # of the newest sample in the moving average of failures
+REUSE_DELAY_SECONDS = 0.01  # idle time before reuse: a duplicate of the last response may still come
+STALL_TIMEOUT_SECONDS = 2.0  # without progress in a begun response, or in sending a long body
+STREAM_STALL_TIMEOUT_SECONDS = 5.0  # once a part of the response is at the client: no other relay can replace it
 
-Key = tuple[str, Address]  # id and address: a new sim server may have the address of one that is gone
+ServerKey = tuple[str, Address]  # id and address: a new sim server may reuse the address of a removed one
 
 
-class Conn:
-    """A connection to one sim server: one relay at a time. Owned by Southside, closed in Southside.close alone."""
+class ServerConnection:
+    """A connection to one sim server, which carries one relay at a time.
 
-    __slots__ = ("sock", "key", "relay", "reply", "held", "since", "up", "age")
+    Owned by Southside and closed in `Southside.close` alone."""
 
-    def __init__(self, sock: socket.socket, key: Key, now: float) -> None:
-        self.sock, self.key, self.since = sock, key, now
-        self.relay: Attempt | None = None
-        self.reply: Reply | None = None
-        self.held = 0  # bytes of that, as the account has them
-        self.up = False
-        self.age = 0.0  # s that it had stood unused when its relay was given to it
+    __slots__ = ("sock", "key", "relay", "response", "accounted_bytes", "idle_since", "is_connected", "idle_seconds")
 
+    def __init__(self, sock: socket.socket, key: ServerKey, now: float) -> None:
+        self.sock, self.key, self.idle_since = sock, key, now
+        self.relay: ServerRelay | None = None
+        self.response: ResponseReader | None = None
+        self.accounted_bytes = 0  # buffered bytes of the response that are entered in the memory account
+        self.is_connected = False
+        self.idle_seconds = 0.0  # how long it had been idle when its current relay took it
 
-class Trust:
-    """Whether connections that stood unused for long can still be used: some sim servers end them unheard.
 
-    A message on such a connection is reset and may have run, so a new one is cheaper as soon as BAD_SHARE of those
-    older than YOUNG break before a byte of the answer. One in TRIAL is used all the same, to learn that it is over."""
+class IdleReusePolicy:
+    """Decides whether connections that were idle for long may be reused: some sim servers close them unnoticed.
+
+    A request on such a connection is reset and may have been processed, so a new connection is cheaper as soon as the
+    share MAX_FAILURE_RATE of those idle for FRESH_IDLE_SECONDS or more break before a byte of the response. One in
+    TRIAL_INTERVAL is reused all the same, to detect that the failures are over."""
 
     def __init__(self) -> None:
-        self.bad, self._skipped = 0.0, 0
+        self.failure_rate = 0.0
+        self._skipped_count = 0
 
-    def allows(self, age: float) -> bool:
-        if age < YOUNG or self.bad < BAD_SHARE:
+    def allows_reuse(self, idle_seconds: float) -> bool:
+        """Tell whether a connection that was idle for so long may be reused."""
+        if idle_seconds < FRESH_IDLE_SECONDS or self.failure_rate < MAX_FAILURE_RATE:
             return True
-        self._skipped = (self._skipped + 1) % TRIAL
-        return not self._skipped
+        self._skipped_count = (self._skipped_count + 1) % TRIAL_INTERVAL
+        return not self._skipped_count
+
+    def record(self, idle_seconds: float, is_broken: bool) -> None:
+        """Add the result of a reuse after `idle_seconds` to the failure rate."""
+        if idle_seconds >= FRESH_IDLE_SECONDS:
+            self.failure_rate += FAILURE_RATE_WEIGHT * (is_broken - self.failure_rate)
 
-    def learn(self, age: float, broke: bool) -> None:
-        if age >= YOUNG:
-            self.bad += NOTICE * (broke - self.bad)
 
+class ServerRelay:
+    """One relay of a message to a sim server. `drop` cancels it by closing its connection.
 
-class Attempt:
-    """One relay. `drop` gives it up by closing its connection."""
+    Times are those of the loop's clock, in seconds."""
 
     __slots__ = (
         "south",
         "message",
         "server",
-        "until",
-        "done",
-        "began",
-        "conn",
-        "out",
-        "stream",
-        "chunked",
-        "ended",
-        "begun",
-        "written",
+        "deadline",
+        "on_end",
+        "on_stream_start",
+        "connection",
+        "send_queue",
+        "request_stream",
+        "is_chunked",
+        "is_body_queued",
+        "has_begun",
+        "is_written",
         "timer",
-        "stalling",
-        "moved",
-        "flow",
-        "since",
+        "has_stall_timer",
+        "last_progress",
+        "response_stream",
+        "written_at",
     )
 
     def __init__(
@@ -92,64 +105,78 @@
         south: Southside,
         message: Message,
         server: str,
-        until: float,
-        done: Callable[[RelayEnd], None],
-        began: Callable[[RelayEnd], None],
+        deadline: float,
+        on_end: Callable[[RelayEnd], None],
+        on_stream_start: Callable[[RelayEnd], None],
     ) -> None:
-        self.south, self.message, self.server, self.until, self.done = south, message, server, until, done
-        self.began = began
-        self.conn: Conn | None = None
-        self.out: deque[bytes | memoryview] = deque()  # what the socket has not taken yet
-        self.stream: Body | None = None  # the rest of the message, where its body is long
-        self.chunked = False  # how that is framed
-        self.ended = True  # all of the message has been put out
-        self.begun = self.written = self.stalling = False  # a first byte is out; the last one; an answer has begun
-        self.moved = 0.0  # when the last bytes went or came
-        self.since = 0.0  # when the last byte of a long message was written
-        self.flow: Body | None = None  # of its answer, where that is long
+        self.south, self.message, self.server, self.deadline, self.on_end = south, message, server, deadline, on_end
+        self.on_stream_start = on_stream_start
+        self.connection: ServerConnection | None = None
+        self.send_queue: deque[bytes | memoryview] = deque()  # bytes that the socket has not accepted yet
+        self.request_stream: Body | None = None  # body of a message too long to be buffered
+        self.is_chunked = False  # framing of the request stream
+        self.is_body_queued = True  # the whole message is in the send queue or sent
+        self.has_begun = False  # the first byte is sent
+        self.is_written = False  # the last byte is sent
+        self.has_stall_timer = False  # a response has begun, and its progress is checked
+        self.last_progress = 0.0  # when bytes were last sent or received
+        self.written_at = 0.0  # when the last byte of a request stream was sent; 0 = no request stream
+        self.response_stream: Body | None = None  # body of a response too long to be buffered
         self.timer: Timer | None = None
 
     def drop(self) -> bool:
-        if self.conn is not None:
-            conn, self.conn = self.conn, None
-            conn.relay = None
-            self.south.close(conn)
+        """Cancel the relay without reporting an end; True if its last byte was sent, so it may have run."""
+        if self.connection is not None:
+            connection, self.connection = self.connection, None
+            connection.relay = None
+            self.south.close(connection)
         if self.timer is not None:
             self.timer.cancel()
-        if self.flow is not None:
-            self.flow.drop()
-        return self.written
+        if self.response_stream is not None:
+            self.response_stream.drop()
+        return self.is_written
 
     def recall(self) -> bool:
-        if self.begun or self.conn is None:
+        """Cancel the relay if none of its bytes is sent yet; True if it was cancelled."""
+        if self.has_begun or self.connection is None:
             return False
         self.drop()
         return True
 
 
 class Southside:
+    """Runs relays to sim servers, and owns the connections to them.
+
+    `max_connections` bounds them in all. `server_idle_timeout` is the servers' keep-alive timeout and
+    `connect_timeout` that of a connect, both in seconds. `load_fields` are the values of a load report, in order."""
+
     def __init__(
         self,
         loop: Loop,
         pool: Pool,
         inventory: Inventory,
         metrics: Metrics,
-        most: int,
-        idle: float,
-        connect: float,
-        fields: Sequence[str],
+        max_connections: int,
+        server_idle_timeout: float,
+        connect_timeout: float,
+        load_fields: Sequence[str],
         shares: Shares,
     ) -> None:
         self.loop, self.pool, self.inventory, self.metrics = loop, pool, inventory, metrics
-        self.most, self.retire, self.connect, self.fields = most, idle * RETIRE, connect, fields
-        self.unused: dict[Key, list[Conn]] = {}  # the last used at the end
-        self.count = 0
+        self.max_connections, self.max_idle_seconds, self.connect_timeout, self.load_fields = (
+            max_connections,
+            server_idle_timeout * IDLE_RETIRE_FRACTION,
+            connect_timeout,
+            load_fields,
+        )
+        self.idle_connections: dict[ServerKey, list[ServerConnection]] = {}  # the most recently used is last
+        self.connection_count = 0
         self.shares = shares
-        self.trust = Trust()
-        self.caps: dict[str, int] | None = None  # connections that may be open at each server; None = no bound
-        self.opened: dict[str, int] = {}  # by server
-        self.no_room: dict[str, int] = {}  # attempts that found none, by server, until somebody asks
-        loop.call_in(SWEEP, self._sweep)
+        self.reuse_policy = IdleReusePolicy()
+        self.connection_limits: dict[str, int] | None = None  # of open connections by server; None = no limit
+        self.open_connections: dict[str, int] = {}  # number by server
+        self.limit_rejections: dict[str, int] = {}  # relays refused by the limit, by server; the reader resets it
+        loop.call_in(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def start(
         self,
@@ -158,51 +185,66 @@
         left: float,
         done: Callable[[RelayEnd], None],
         began: Callable[[RelayEnd], None],
-    ) -> Attempt:
+    ) -> ServerRelay:
+        """Start a relay that has `left` seconds until its deadline.
+
+        `done` is called once with its end unless the relay is dropped, possibly before this returns. `began` is called
+        before that if the response is long enough to be streamed."""
         now = self.loop.clock()
-        attempt = Attempt(self, message, server, now + left, done, began)
-        at = self.inventory.address(server)
-        if at is None or not self.inventory.usable(server):
-            self._end(attempt, RelayEnd("connect_failed"))
-            return attempt
-        conn = self._kept((server, at), now) or self._open((server, at), now)
-        if conn is None:
-            self._end(attempt, RelayEnd("connect_failed"))
-            return attempt
-        conn.relay, attempt.conn = attempt, conn
-        if conn.up:
-            self._put_out(conn, attempt)
+        relay = ServerRelay(self, message, server, now + left, done, began)
+        address = self.inventory.address(server)
+        if address is None or not self.inventory.usable(server):
+            self._finish(relay, RelayEnd("connect_failed"))
+            return relay
+        connection = self._take_idle((server, address), now) or self._open_connection((server, address), now)
+        if connection is None:
+            self._finish(relay, RelayEnd("connect_failed"))
+            return relay
+        connection.relay, relay.connection = relay, connection
+        if connection.is_connected:
+            self._send(connection, relay)
         else:
-            attempt.timer = self.loop.call_in(self.connect, lambda: self._broken(conn))
-        return attempt
-
-    def _kept(self, key: Key, now: float) -> Conn | None:
-        """A kept connection that has rested, has not ended meanwhile and has not stood unused for long."""
-        kept = self.unused.get(key)
-        while kept:
-            conn = kept[-1]
-            conn.age = now - conn.since
-            if conn.age < REST:  # used again at once, it could bring a second answer as if it were the next one's
-                rested = next((other for other in reversed(kept) if now - other.since >= REST), None)
+            relay.timer = self.loop.call_in(self.connect_timeout, lambda: self._fail(connection))
+        return relay
+
+    def _take_idle(self, key: ServerKey, now: float) -> ServerConnection | None:
+        """Take an idle connection that is past the reuse delay, still open and not idle for too long."""
+        idle = self.idle_connections.get(key)
+        while idle:
+            connection = idle[-1]
+            connection.idle_seconds = now - connection.idle_since
+            # Reused at once, it could deliver a duplicate of its last response as the response to the next request.
+            if connection.idle_seconds < REUSE_DELAY_SECONDS:
+                rested = next(
+                    (other for other in reversed(idle) if now - other.idle_since >= REUSE_DELAY_SECONDS), None
+                )
                 if rested is None:
                     return None
-                conn, rested.age = rested, now - rested.since
-            kept.remove(conn)
+                connection, rested.idle_seconds = rested, now - rested.idle_since
+            idle.remove(connection)
             if (
-                conn.age < self.retire and self.trust.allows(conn.age) and (sockets.waiting(conn.sock) is None)
-            ):  # else it has ended, or says what nobody asked for
-                return conn
-            self.close(conn)
+                connection.idle_seconds < self.max_idle_seconds
+                and self.reuse_policy.allows_reuse(connection.idle_seconds)
+                and (sockets.waiting(connection.sock) is None)
+            ):  # else it is closed by the server, or has unexpected bytes
+                return connection
+            self.close(connection)
         return None
 
-    def _open(self, key: Key, now: float) -> Conn | None:
-        if self.caps is not None and self.unused.get(key) and self.opened[key[0]] == self.caps.get(key[0], 0):
-            self.close(self.unused[key][0])  # it has not rested yet: a new one takes its place
-        if self.caps is not None and self.opened.get(key[0], 0) >= self.caps.get(key[0], 0):
-            self.no_room[key[0]] = self.no_room.get(key[0], 0) + 1
+    def _open_connection(self, key: ServerKey, now: float) -> ServerConnection | None:
+        if (
+            self.connection_limits is not None
+            and self.idle_connections.get(key)
+            and self.open_connections[key[0]] == self.connection_limits.get(key[0], 0)
+        ):
+            self.close(self.idle_connections[key][0])  # still within its reuse delay: a new connection replaces it
+        if self.connection_limits is not None and self.open_connections.get(key[0], 0) >= self.connection_limits.get(
+            key[0], 0
+        ):
+            self.limit_rejections[key[0]] = self.limit_rejections.get(key[0], 0) + 1
             self.metrics.add("south_over_share")
             return None
-        if self.count >= self.most and not self._evict():
+        if self.connection_count >= self.max_connections and not self._evict_idle():
             self.metrics.add("south_full")
             return None
         try:
@@ -210,326 +252,349 @@
         except OSError as error:
             if sockets.out_of_descriptors(error):
                 self.metrics.add("out_of_descriptors")
-                self._evict()
+                self._evict_idle()
             return None
-        conn = Conn(sock, key, now)
-        self.count += 1
-        self.opened[key[0]] = self.opened.get(key[0], 0) + 1
+        connection = ServerConnection(sock, key, now)
+        self.connection_count += 1
+        self.open_connections[key[0]] = self.open_connections.get(key[0], 0) + 1
         self.metrics.at("connects", key[0])
-        self.loop.register(sock, WRITE, lambda events: self._event(conn, events))
-        return conn
-
-    def shrink(self, server: str, most: int) -> None:
-        """Close unused connections there until there are no more than that, as far as that goes."""
-        for key, kept in list(self.unused.items()):
-            while key[0] == server and kept and self.opened.get(server, 0) > most:
-                self.close(kept[0])
-
-    def busy(self, server: str) -> int:
-        """Connections there that carry an attempt, or come up for one."""
-        return self.opened.get(server, 0) - sum(len(kept) for key, kept in self.unused.items() if key[0] == server)
-
-    def _evict(self) -> bool:
-        for kept in self.unused.values():
-            if kept:
-                self.close(kept[0])
+        self.loop.register(sock, WRITE, lambda events: self._handle_event(connection, events))
+        return connection
+
+    def close_idle(self, server: str, max_open: int) -> None:
+        """Close idle connections to `server` until at most `max_open` connections are open, as far as possible."""
+        for key, idle in list(self.idle_connections.items()):
+            while key[0] == server and idle and self.open_connections.get(server, 0) > max_open:
+                self.close(idle[0])
+
+    def count_busy(self, server: str) -> int:
+        """Count the connections to `server` that carry a relay or are being opened for one."""
+        return self.open_connections.get(server, 0) - sum(
+            len(idle) for key, idle in self.idle_connections.items() if key[0] == server
+        )
+
+    def _evict_idle(self) -> bool:
+        for idle in self.idle_connections.values():
+            if idle:
+                self.close(idle[0])
                 return True
         return False
 
-    def _event(self, conn: Conn, events: int) -> None:
-        if not conn.up:
-            if sockets.failed(conn.sock):
-                self._broken(conn)
+    def _handle_event(self, connection: ServerConnection, events: int) -> None:
+        if not connection.is_connected:
+            if sockets.failed(connection.sock):
+                self._fail(connection)
                 return
-            conn.up = True
-            if conn.relay is None:
-                self.close(conn)
+            connection.is_connected = True
+            if connection.relay is None:
+                self.close(connection)
                 return
-            if conn.relay.timer is not None:
-                conn.relay.timer.cancel()
-            self._begin(conn, conn.relay)
+            if connection.relay.timer is not None:
+                connection.relay.timer.cancel()
+            self._handle_connected(connection, connection.relay)
             return
         if events & READ:
-            self._readable(conn)
-        elif events & WRITE and conn.relay is not None:
-            self._write(conn, conn.relay)
-
-    def _begin(self, conn: Conn, attempt: Attempt) -> None:
-        """The connection has come up, perhaps late."""
-        # The list may have changed since the module chose: what drains or is gone gets no first byte any more.
-        if not self.inventory.usable(attempt.server) or self.inventory.address(attempt.server) != conn.key[1]:
+            self._handle_readable(connection)
+        elif events & WRITE and connection.relay is not None:
+            self._write(connection, connection.relay)
+
+    def _handle_connected(self, connection: ServerConnection, relay: ServerRelay) -> None:
+        """Send the relay on a connection that was just established, perhaps late."""
+        # The inventory may have changed since the decision module chose: nothing is sent to a server that drains or
+        # was removed meanwhile.
+        if not self.inventory.usable(relay.server) or self.inventory.address(relay.server) != connection.key[1]:
             self.metrics.add("drained_before_send")
-            self._keep(conn)
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._return_to_idle(connection)
+            self._finish(relay, RelayEnd("connect_failed"))
         else:
-            self._put_out(conn, attempt)
+            self._send(connection, relay)
 
-    def _put_out(self, conn: Conn, attempt: Attempt) -> None:
-        if self.loop.clock() >= attempt.message.before:
+    def _send(self, connection: ServerConnection, relay: ServerRelay) -> None:
+        if self.loop.clock() >= relay.message.before:
             self.metrics.add("window_over")
-            self._keep(conn)
-            self._end(attempt, RelayEnd("connect_failed"))
+            self._return_to_idle(connection)
+            self._finish(relay, RelayEnd("connect_failed"))
             return
-        payload: Payload = attempt.message.payload
-        conn.reply = Reply(LONGEST, bodiless=payload.method == b"HEAD")
-        if payload.stream is not None and not self._stream(conn, attempt, payload.stream):
-            self._keep(conn)
-            self._end(attempt, RelayEnd("connect_failed"))
+        payload: Payload = relay.message.payload
+        connection.response = ResponseReader(LONGEST, has_no_body=payload.method == b"HEAD")
+        if payload.stream is not None and not self._start_request_stream(connection, relay, payload.stream):
+            self._return_to_idle(connection)
+            self._finish(relay, RelayEnd("connect_failed"))
             return
-        attempt.out.append(self._encode(attempt, conn.key[1]))
-        self._write(conn, attempt)
+        relay.send_queue.append(self._encode_request(relay, connection.key[1]))
+        self._write(connection, relay)
 
-    def _stream(self, conn: Conn, attempt: Attempt, stream: Body) -> bool:
-        """A long body is read from its first byte on; False where that is gone."""
+    def _start_request_stream(self, connection: ServerConnection, relay: ServerRelay, stream: Body) -> bool:
+        """Read a long body from its first byte on; False if its beginning is no longer held."""
         if not stream.begin():
             return False
-        attempt.stream, attempt.ended = stream, False
-        attempt.chunked = stream.length < 0 and stream.state is not State.ENDED
-        attempt.moved = self.loop.clock()
+        relay.request_stream, relay.is_body_queued = stream, False
+        relay.is_chunked = stream.length < 0 and stream.state is not State.ENDED
+        relay.last_progress = self.loop.clock()
 
-        # Never from within the read that brought it: what breaks here would end that one too.
-        stream.changed = self.loop.once_a_turn(lambda: self._woken(conn, attempt))
-        attempt.timer = self.loop.call_in(STALLED, lambda: self._unsent(conn, attempt))
+        # Deferred, never called from within the read that added to the body: a failure here would end that read too.
+        stream.changed = self.loop.once_a_turn(lambda: self._resume_request_stream(connection, relay))
+        relay.timer = self.loop.call_in(STALL_TIMEOUT_SECONDS, lambda: self._check_send_stall(connection, relay))
         return True
 
-    def _woken(self, conn: Conn, attempt: Attempt) -> None:
-        if attempt.conn is conn and not attempt.written:
-            self._write(conn, attempt)
+    def _resume_request_stream(self, connection: ServerConnection, relay: ServerRelay) -> None:
+        if relay.connection is connection and not relay.is_written:
+            self._write(connection, relay)
 
-    def _unsent(self, conn: Conn, attempt: Attempt) -> None:
-        """A server that takes nothing of what waits for it stands still; one for which nothing waits does not."""
-        if attempt.conn is not conn or attempt.written:
+    def _check_send_stall(self, connection: ServerConnection, relay: ServerRelay) -> None:
+        """Fail a relay whose server accepts none of the queued bytes; an empty queue is no stall of the server."""
+        if relay.connection is not connection or relay.is_written:
             return
-        still = self.loop.clock() - attempt.moved if attempt.out else 0.0
-        if still >= STALLED:
+        stalled_for = self.loop.clock() - relay.last_progress if relay.send_queue else 0.0
+        if stalled_for >= STALL_TIMEOUT_SECONDS:
             self.metrics.add("sends_stalled")
-            self._broken(conn)
+            self._fail(connection)
             return
-        attempt.timer = self.loop.call_in(STALLED - still, lambda: self._unsent(conn, attempt))
+        relay.timer = self.loop.call_in(
+            STALL_TIMEOUT_SECONDS - stalled_for, lambda: self._check_send_stall(connection, relay)
+        )
 
-    def _encode(self, attempt: Attempt, at: Address) -> bytes:
-        message = attempt.message
+    def _encode_request(self, relay: ServerRelay, address: Address) -> bytes:
+        message = relay.message
         payload: Payload = message.payload
-        wait = max(1, int(1000 * (attempt.until - self.loop.clock())))
+        timeout_ms = max(1, int(1000 * (relay.deadline - self.loop.clock())))
         lines = [
             b"%s %s HTTP/1.1\r\nHost: %s:%d\r\nX-Timeout: %dm\r\n"
-            % (payload.method, payload.target, at[0].encode(), at[1], wait)
+            % (payload.method, payload.target, address[0].encode(), address[1], timeout_ms)
         ]
-        if message.revision:  # the book speaks, whatever X-Tariff says
+        if message.revision:  # the plan book decides the plan, whatever X-Tariff says
             lines.append(b"X-Plan: %s; revision=%d\r\n" % (message.plan.encode(), message.revision))
         lines += [b"%s: %s\r\n" % header for header in payload.headers]
-        if attempt.chunked:
+        if relay.is_chunked:
             lines.append(b"Transfer-Encoding: chunked\r\n")
         elif payload.stream is not None:
-            whole = payload.stream.length if payload.stream.length >= 0 else payload.stream.size
-            lines.append(b"Content-Length: %d\r\n" % whole)
+            content_length = payload.stream.length if payload.stream.length >= 0 else payload.stream.size
+            lines.append(b"Content-Length: %d\r\n" % content_length)
         elif payload.body or payload.method not in (b"GET", b"HEAD"):
             lines.append(b"Content-Length: %d\r\n" % len(payload.body))
         lines += [b"\r\n", payload.body]
         return b"".join(lines)
 
-    def _write(self, conn: Conn, attempt: Attempt) -> None:
-        if attempt.begun and self.loop.clock() >= attempt.message.before:  # its last byte is not out: it never ran
+    def _write(self, connection: ServerConnection, relay: ServerRelay) -> None:
+        # The last byte is not sent, so the server hasn't started on the message.
+        if relay.has_begun and self.loop.clock() >= relay.message.before:
             self.metrics.add("window_over")
-            self._broken(conn)
+            self._fail(connection)
             return
         try:
-            while attempt.out or not attempt.ended and self._refill(attempt):
-                if sockets.write(conn.sock, attempt.out):
-                    attempt.begun = True
-                    if attempt.stream is not None:
-                        attempt.moved = self.loop.clock()
-                if attempt.out:
+            while relay.send_queue or not relay.is_body_queued and self._queue_slice(relay):
+                if sockets.write(connection.sock, relay.send_queue):
+                    relay.has_begun = True
+                    if relay.request_stream is not None:
+                        relay.last_progress = self.loop.clock()
+                if relay.send_queue:
                     break
         except Hole:
             self.metrics.add("spool_holes")
-            self._broken(conn)
+            self._fail(connection)
             return
         except OSError:
-            # What it said before it closed may be that it turned the message away.
-            self._readable(conn)
-            if attempt.conn is conn:
-                self._broken(conn)
+            # A response sent before the server closed may say that it rejected the message.
+            self._handle_readable(connection)
+            if relay.connection is connection:
+                self._fail(connection)
             return
-        if attempt.ended and not attempt.out and not attempt.written:
-            attempt.written = True
-            self.metrics.of("tries", attempt.message.cls)
-            if attempt.stream is not None:
-                attempt.since = self.loop.clock()
-                if attempt.timer is not None:
-                    attempt.timer.cancel()
-        self.loop.want(conn.sock, READ | WRITE if attempt.out else READ, lambda events: self._event(conn, events))
-
-    def _refill(self, attempt: Attempt) -> bool:
-        """The next slice of a long body; False where there is none yet."""
-        assert attempt.stream is not None
-        more = pass_on(attempt.stream, attempt.out, attempt.chunked)
-        attempt.ended = attempt.stream.whole
-        return more
-
-    def _readable(self, conn: Conn) -> None:
-        attempt, reply = conn.relay, conn.reply
-        flow = attempt.flow if attempt is not None else None
-        room = SIZE if flow is None else min(SIZE, flow.space())
-        if not room:  # its client does not take what is there already
-            self.loop.want(conn.sock, 0, lambda events: None)
+        if relay.is_body_queued and not relay.send_queue and not relay.is_written:
+            relay.is_written = True
+            self.metrics.of("tries", relay.message.cls)
+            if relay.request_stream is not None:
+                relay.written_at = self.loop.clock()
+                if relay.timer is not None:
+                    relay.timer.cancel()
+        self.loop.want(
+            connection.sock,
+            READ | WRITE if relay.send_queue else READ,
+            lambda events: self._handle_event(connection, events),
+        )
+
+    def _queue_slice(self, relay: ServerRelay) -> bool:
+        """Queue the next slice of a long body; False if none is available yet."""
+        assert relay.request_stream is not None
+        is_queued = pass_on(relay.request_stream, relay.send_queue, relay.is_chunked)
+        relay.is_body_queued = relay.request_stream.whole
+        return is_queued
+
+    def _handle_readable(self, connection: ServerConnection) -> None:
+        relay, response = connection.relay, connection.response
+        stream = relay.response_stream if relay is not None else None
+        space = SIZE if stream is None else min(SIZE, stream.space())
+        if not space:  # backpressure: the client has not read what is buffered
+            self.loop.want(connection.sock, 0, lambda events: None)
             return
-        ours = False
+        is_local_failure = False
         try:
-            count = len(data := self._read(conn.sock, room, flow is not None))
-            if reply is None:  # unused: it has ended, or says what nobody asked for
+            count = len(data := self._receive(connection.sock, space, stream is not None))
+            if response is None:  # an idle connection was closed by the server, or has unexpected bytes
                 count = -1
             elif count:
-                reply.feed(data)
-                if not (reply.whole or self._fits(conn, reply)):
-                    raise TooMuch
+                response.feed(data)
+                if not (response.is_complete or self._account_buffered(connection, response)):
+                    raise ResponseTooLargeError
             else:
-                reply.end()
+                response.handle_eof()
         except BlockingIOError:
             return
         except OSError:
             count = -1
-        except TooMuch:
+        except ResponseTooLargeError:
             self.metrics.add("answers_over_memory")
-            count, ours = -1, True
-        except Malformed:
+            count, is_local_failure = -1, True
+        except MalformedResponseError:
             self.metrics.add("answers_spoilt")
             count = -1
-        if reply is None or attempt is None:
+        if response is None or relay is None:
             if count <= 0:
-                self._broken(conn)
+                self._fail(connection)
             return
-        if count <= 0 or reply.whole:
-            self.trust.learn(conn.age, count <= 0 and not reply.begun)
-        if reply.whole:
-            self._answered(conn, attempt, reply, count > 0)
+        if count <= 0 or response.is_complete:
+            self.reuse_policy.record(connection.idle_seconds, count <= 0 and not response.is_partial)
+        if response.is_complete:
+            self._handle_complete(connection, relay, response, count > 0)
             return
         if count <= 0:
-            self._broken(conn, ours)
+            self._fail(connection, is_local_failure)
             return
-        attempt.moved = self.loop.clock()
-        if reply.begun and not attempt.stalling and attempt.written:
-            attempt.stalling = True
-            attempt.timer = self.loop.call_in(STALLED, lambda: self._stalled(conn))
-        if reply.long and attempt.flow is None and attempt.conn is conn and attempt.written:
-            self._begun(conn, attempt, reply)
-
-    def _read(self, sock: socket.socket, room: int, flows: bool) -> bytes:
-        """What has come. A slice that flows goes on to the client as it is, so it is read into bytes of its own."""
-        if flows:
-            return sock.recv(room)
+        relay.last_progress = self.loop.clock()
+        if response.is_partial and not relay.has_stall_timer and relay.is_written:
+            relay.has_stall_timer = True
+            relay.timer = self.loop.call_in(STALL_TIMEOUT_SECONDS, lambda: self._check_response_stall(connection))
+        if response.is_long and relay.response_stream is None and relay.connection is connection and relay.is_written:
+            self._start_response_stream(connection, relay, response)
+
+    def _receive(self, sock: socket.socket, space: int, is_streaming: bool) -> bytes:
+        """Read available bytes. A streamed slice goes to the client as it is, so it is read into its own bytes."""
+        if is_streaming:
+            return sock.recv(space)
         buffer = self.pool.take()
         try:
-            return bytes(memoryview(buffer)[: sock.recv_into(buffer, room)])
+            return bytes(memoryview(buffer)[: sock.recv_into(buffer, space)])
         finally:
             self.pool.give(buffer)
 
-    def _fits(self, conn: Conn, reply: Reply) -> bool:
-        """What is held of an answer that is not whole yet is counted; False where all such are too much together."""
-        change, conn.held = reply.gathered - conn.held, reply.gathered
+    def _account_buffered(self, connection: ServerConnection, response: ResponseReader) -> bool:
+        """Enter the buffered bytes of an incomplete response in the memory account; False if it is exceeded."""
+        change, connection.accounted_bytes = (
+            response.buffered_bytes - connection.accounted_bytes,
+            response.buffered_bytes,
+        )
         return not change or self.shares.gathered(change)
 
-    def _answered(self, conn: Conn, attempt: Attempt, reply: Reply, open_still: bool) -> None:
-        end = outcome(reply, self.fields)
-        if not attempt.written and end.status != "full":
-            end = RelayEnd("connect_failed")  # a server begins at the last byte: this is no answer to the message
-        if open_still and attempt.written and reply.keep:
-            self._keep(conn)
+    def _handle_complete(
+        self, connection: ServerConnection, relay: ServerRelay, response: ResponseReader, is_open: bool
+    ) -> None:
+        relay_end = to_relay_end(response, self.load_fields)
+        if not relay.is_written and relay_end.status != "full":
+            # A server starts at the last byte, so this is no response to the message.
+            relay_end = RelayEnd("connect_failed")
+        if is_open and relay.is_written and response.keep_alive:
+            self._return_to_idle(connection)
         else:
-            if reply.surplus:
+            if response.has_surplus:
                 self.metrics.add("answers_surplus")
-            attempt.conn = conn.relay = None
-            self.close(conn)
-        self._end(attempt, end)
-
-    def _begun(self, conn: Conn, attempt: Attempt, reply: Reply) -> None:
-        """It is longer than what is held whole: from here on it flows to the client."""
-        attempt.flow = flow = Body(self.shares, reply.length)
-
-        def eased() -> None:
-            if attempt.conn is conn:
-                attempt.moved = self.loop.clock()
-                self.loop.want(conn.sock, READ, lambda events: self._event(conn, events))
-
-        flow.eased = eased
-        reply.flow(flow)
-        self._fits(conn, reply)
-        end = outcome(reply, self.fields)
-        end.since = attempt.since
-        attempt.began(end)
-
-    def _stalled(self, conn: Conn) -> None:
-        attempt = conn.relay
-        if attempt is not None and attempt.flow is not None and attempt.flow.full:
-            attempt.moved = self.loop.clock()  # we do not read: that is its client's pace
-        longest = STALLED if attempt is None or attempt.flow is None else FLOW_STALLED
-        if attempt is not None and (still := self.loop.clock() - attempt.moved) < longest:
-            # It came slowly but it still comes: a peer may write a long answer in pieces over seconds.
-            attempt.timer = self.loop.call_in(longest - still, lambda: self._stalled(conn))
+            relay.connection = connection.relay = None
+            self.close(connection)
+        self._finish(relay, relay_end)
+
+    def _start_response_stream(
+        self, connection: ServerConnection, relay: ServerRelay, response: ResponseReader
+    ) -> None:
+        """Stream a response to the client that is longer than what is buffered whole."""
+        relay.response_stream = stream = Body(self.shares, response.content_length)
+
+        def resume_reading() -> None:
+            if relay.connection is connection:
+                relay.last_progress = self.loop.clock()
+                self.loop.want(connection.sock, READ, lambda events: self._handle_event(connection, events))
+
+        stream.eased = resume_reading
+        response.stream_to(stream)
+        self._account_buffered(connection, response)
+        relay_end = to_relay_end(response, self.load_fields)
+        relay_end.since = relay.written_at
+        relay.on_stream_start(relay_end)
+
+    def _check_response_stall(self, connection: ServerConnection) -> None:
+        relay = connection.relay
+        if relay is not None and relay.response_stream is not None and relay.response_stream.full:
+            relay.last_progress = self.loop.clock()  # reading is paused by the client's pace, not by the server
+        timeout = (
+            STALL_TIMEOUT_SECONDS if relay is None or relay.response_stream is None else STREAM_STALL_TIMEOUT_SECONDS
+        )
+        if relay is not None and (stalled_for := self.loop.clock() - relay.last_progress) < timeout:
+            # Slow but progressing: a server may write a long response in pieces over seconds.
+            relay.timer = self.loop.call_in(timeout - stalled_for, lambda: self._check_response_stall(connection))
             return
         self.metrics.add("answers_stalled")
-        self._broken(conn)
-
-    def _keep(self, conn: Conn) -> None:
-        if conn.relay is not None:
-            conn.relay.conn = None
-        conn.relay = None
-        self._forget(conn)
-        conn.since = self.loop.clock()
-        self.unused.setdefault(conn.key, []).append(conn)
-        self.loop.want(conn.sock, READ, lambda events: self._event(conn, events))
-
-    def _broken(self, conn: Conn, ours: bool = False) -> None:
-        """`ours`: it is not the server's fault, and would be so again."""
-        attempt = conn.relay
-        if attempt is not None:
-            attempt.conn = conn.relay = None
-            if attempt.flow is not None:
-                attempt.flow.cut()
-        self.close(conn)
-        if attempt is not None:  # the last byte written or not is what tells whether it may have run
-            status = "cancelled" if ours else "reset" if attempt.written else "connect_failed"
-            self._end(attempt, RelayEnd(status, last=ours))
-
-    def _end(self, attempt: Attempt, end: RelayEnd) -> None:
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        end.since = attempt.since
-        attempt.done(end)
-
-    def close(self, conn: Conn) -> None:
-        """The one place where a connection to a sim server is given back."""
-        if conn.sock.fileno() < 0:
+        self._fail(connection)
+
+    def _return_to_idle(self, connection: ServerConnection) -> None:
+        if connection.relay is not None:
+            connection.relay.connection = None
+        connection.relay = None
+        self._discard_response(connection)
+        connection.idle_since = self.loop.clock()
+        self.idle_connections.setdefault(connection.key, []).append(connection)
+        self.loop.want(connection.sock, READ, lambda events: self._handle_event(connection, events))
+
+    def _fail(self, connection: ServerConnection, is_local_failure: bool = False) -> None:
+        """Close a broken connection and end its relay.
+
+        `is_local_failure`: the server is not at fault, and the same would happen again."""
+        relay = connection.relay
+        if relay is not None:
+            relay.connection = connection.relay = None
+            if relay.response_stream is not None:
+                relay.response_stream.cut()
+        self.close(connection)
+        if relay is not None:  # the message may have run only if its last byte was sent
+            status = "cancelled" if is_local_failure else "reset" if relay.is_written else "connect_failed"
+            self._finish(relay, RelayEnd(status, last=is_local_failure))
+
+    def _finish(self, relay: ServerRelay, relay_end: RelayEnd) -> None:
+        if relay.timer is not None:
+            relay.timer.cancel()
+        relay_end.since = relay.written_at
+        relay.on_end(relay_end)
+
+    def close(self, connection: ServerConnection) -> None:
+        """Close a connection, the only place where one to a sim server is released."""
+        if connection.sock.fileno() < 0:
             return
-        kept = self.unused.get(conn.key)
-        if kept and conn in kept:
-            kept.remove(conn)
-        self._forget(conn)
-        self.loop.want(conn.sock, 0, lambda events: None)
-        conn.sock.close()
-        self.count -= 1
-        self.opened[conn.key[0]] -= 1
-        if not self.opened[conn.key[0]]:
-            del self.opened[conn.key[0]]
-
-    def _forget(self, conn: Conn) -> None:
-        """The one place where an answer's bytes are given back."""
-        if conn.held:
-            self.shares.gathered(-conn.held)
-        conn.reply, conn.held = None, 0
+        idle = self.idle_connections.get(connection.key)
+        if idle and connection in idle:
+            idle.remove(connection)
+        self._discard_response(connection)
+        self.loop.want(connection.sock, 0, lambda events: None)
+        connection.sock.close()
+        self.connection_count -= 1
+        self.open_connections[connection.key[0]] -= 1
+        if not self.open_connections[connection.key[0]]:
+            del self.open_connections[connection.key[0]]
+
+    def _discard_response(self, connection: ServerConnection) -> None:
+        """Return a response's bytes to the memory account, the only place where that happens."""
+        if connection.accounted_bytes:
+            self.shares.gathered(-connection.accounted_bytes)
+        connection.response, connection.accounted_bytes = None, 0
 
     def stop(self) -> None:
-        for kept in list(self.unused.values()):
-            for conn in list(kept):
-                self.close(conn)
+        """Close all idle connections."""
+        for idle in list(self.idle_connections.values()):
+            for connection in list(idle):
+                self.close(connection)
 
     def _sweep(self) -> None:
-        old = self.loop.clock() - self.retire
-        for key in list(self.unused):
-            server, at = key
-            gone = self.inventory.address(server) != at or not self.inventory.usable(server)
-            for conn in [c for c in self.unused[key] if gone or c.since < old]:
-                self.close(conn)
-            if not self.unused[key]:
-                del self.unused[key]
-        self.loop.call_in(SWEEP, self._sweep)
+        oldest = self.loop.clock() - self.max_idle_seconds
+        for key in list(self.idle_connections):
+            server, address = key
+            is_gone = self.inventory.address(server) != address or not self.inventory.usable(server)
+            for connection in [c for c in self.idle_connections[key] if is_gone or c.idle_since < oldest]:
+                self.close(connection)
+            if not self.idle_connections[key]:
+                del self.idle_connections[key]
+        self.loop.call_in(SWEEP_INTERVAL_SECONDS, self._sweep)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,7 +12,7 @@
 import structlog
 
 from brackenpulley.config import decode
-from brackenpulley.net.south import REST
+from brackenpulley.net.south import REUSE_DELAY_SECONDS
 from brackenpulley.operator import decode as operator_of
 from brackenpulley.serve import Daemon
 
@@ -181,7 +181,7 @@
         ident: int = 0,
     ) -> Wire:
         if wire is not None:  # a client thinks for as long as the connection to the server rests
-            self.skipped += REST
+            self.skipped += REUSE_DELAY_SECONDS
         head = (
             f"{method} /a/{number:016x}?q=1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: {ident or number:016x}\r\n"
             f"X-Priority-Class: a\r\nX-Tariff: p\r\nX-Timeout: {timeout}\r\n{more}"
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -22,7 +22,7 @@
 from brackenpulley.bodies.shares import Shares
 from brackenpulley.bodies.spool import Folder
 from brackenpulley.net import north
-from brackenpulley.net.answers import EARLY, Reply
+from brackenpulley.net.answers import STREAM_MIN_BYTES, ResponseReader
 from brackenpulley.net.http import BODY
 from brackenpulley.net.requests import Reader
 from brackenpulley.operator import decode
@@ -225,15 +225,15 @@
 def test_an_answer_in_any_form_and_pieces(size: int, form: str, cut: int, step: int) -> None:
     body, account = noise(size), Shares(TOTAL)
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + forms(body, form, cut)
-    reply, stream = Reply(32 << 20), None
+    reply, stream = ResponseReader(32 << 20), None
     for i in range(0, len(data), step):
         reply.feed(data[i : i + step])
-        if reply.long and stream is None:
-            stream = Body(account, reply.length)
-            reply.flow(stream)
-    reply.end()
-    assert reply.whole and (stream.take(1 << 30) if stream else [reply.body])
-    assert stream is None or size > BODY or reply.length > BODY
+        if reply.is_long and stream is None:
+            stream = Body(account, reply.content_length)
+            reply.stream_to(stream)
+    reply.handle_eof()
+    assert reply.is_complete and (stream.take(1 << 30) if stream else [reply.body])
+    assert stream is None or size > BODY or reply.content_length > BODY
     if stream is not None:
         stream.begin()
 
@@ -242,11 +242,11 @@
 def test_an_answer_cut_at_any_byte_is_never_whole(form: str) -> None:
     data = b"HTTP/1.1 200 OK\r\n" + forms(noise(40), form, 17)
     for end in range(len(data) - 1):
-        reply = Reply()
+        reply = ResponseReader()
         reply.feed(data[:end])
-        reply.end()
+        reply.handle_eof()
         closes = form == "close" and end >= data.index(b"\r\n\r\n") + 4  # its end is the connection's: none can tell
-        assert reply.whole == closes
+        assert reply.is_complete == closes
 
 
 # Answers, over sockets.
@@ -410,7 +410,7 @@
         for _ in range(tries):
             _, server = r.served()
             server.answer()
-            server.send(H200 + b"Content-Length: %d\r\n\r\n" % told + noise(EARLY))
+            server.send(H200 + b"Content-Length: %d\r\n\r\n" % told + noise(STREAM_MIN_BYTES))
         assert client.answer()[0] == status and r.count("relays") == tries
         assert any(s.err for s in r.daemon.ingress.gateway.servers.values()) == (tries > 1)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -426,7 +426,7 @@
             "elsewhere": [{**row, "hostPort": other.at}],
             "another there": [{**row, "lifecycle": "DELETED"}, {**row, "instanceId": "s-9"}],
         }[how]
-        began = r.daemon.south._begin
+        began = r.daemon.south._handle_connected
 
         def crossing(conn: Any, attempt: Any) -> None:
             if not r.count("crossed"):  # it has come up in this turn; the list is told in the same one
@@ -434,7 +434,7 @@
                 r.daemon.inventory.told({"generation": 8, "reset": how == "left out", "instances": told})
             began(conn, attempt)
 
-        r.daemon.south._begin = crossing  # type: ignore[method-assign]
+        r.daemon.south._handle_connected = crossing  # type: ignore[method-assign]
         client = r.ask(1)
         r.until(lambda: r.count("drained_before_send") == 1)
         old = r.peers["s-0"].accept()
@@ -507,7 +507,7 @@
 
 def test_where_connections_are_bounded_one_that_has_not_rested_makes_room_for_a_new_one() -> None:
     with rig() as r:
-        r.daemon.south.caps = {"s-0": 1}
+        r.daemon.south.connection_limits = {"s-0": 1}
         r.freeze()
         for number in (1, 2):
             client = r.ask(number)
@@ -515,7 +515,7 @@
             server.answer()
             server.send(OK)
             assert client.answer()[0] == 200
-        assert r.daemon.south.count == 1 and r.count("south_over_share") == 0
+        assert r.daemon.south.connection_count == 1 and r.count("south_over_share") == 0
 
 
 def test_a_connection_that_has_rested_is_used_before_a_fresh_one() -> None:
@@ -555,14 +555,17 @@
 def test_an_attempt_that_has_not_begun_is_not_begun_for_a_client_that_left_though_none_is_cancelled() -> None:
     with rig() as r:
         r.daemon.ingress.gateway.s.cancel = False
-        event, r.daemon.south._event = r.daemon.south._event, lambda conn, events: None  # it does not come up yet
+        event, r.daemon.south._handle_event = (
+            r.daemon.south._handle_event,
+            lambda conn, events: None,
+        )  # it does not come up yet
         client = r.ask(1)
         r.until(lambda: r.count("relays") == 1)
         client.close()
         r.until(lambda: r.count("gone") == 1)
-        r.daemon.south._event = event  # type: ignore[method-assign]
+        r.daemon.south._handle_event = event  # type: ignore[method-assign]
         wire = r.peers["s-0"].accept()
-        assert wire.ended() and not wire.seen and not r.daemon.ingress.held and not r.daemon.south.count
+        assert wire.ended() and not wire.seen and not r.daemon.ingress.held and not r.daemon.south.connection_count
 
 
 def test_an_attempt_that_has_begun_goes_on_where_none_is_cancelled() -> None:
@@ -573,7 +576,7 @@
         server.answer()
         client.close()
         r.until(lambda: r.count("gone") == 1)
-        assert r.daemon.south.count == 1
+        assert r.daemon.south.connection_count == 1
         server.send(OK)
         r.until(lambda: not r.daemon.ingress.held)
 
@@ -713,7 +716,9 @@
                 again.send(OK)
                 assert client.answer()[0] == 200
                 again.close()
-                r.until(lambda: not r.daemon.south.count)  # else the next message goes over it, to no new connection
+                r.until(
+                    lambda: not r.daemon.south.connection_count
+                )  # else the next message goes over it, to no new connection
             r.skip(0.5)
         assert r.count("relays") == sum(1 if effect == "single_shot" else 2 for effect in effects)
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -293,18 +293,18 @@
 def test_nothing_is_opened_beyond_the_share_and_what_is_open_is_counted() -> None:
     with rig() as r:
         south = r.daemon.south
-        south.caps = {"s-0": 1}
+        south.connection_limits = {"s-0": 1}
         first = r.ask(1)
         _, server = r.served()
         server.answer()
-        assert south.opened == {"s-0": 1} and south.busy("s-0") == 1
+        assert south.open_connections == {"s-0": 1} and south.count_busy("s-0") == 1
         second = r.ask(2)  # the module knows of no share: the south side refuses, and nothing was sent
         assert second.answer()[0] in (429, 503) and r.count("south_over_share") >= 1
         server.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert first.answer()[0] == 200
-        assert south.busy("s-0") == 0 and south.opened == {"s-0": 1}
-        south.shrink("s-0", 0)
-        assert south.opened == {} and server.ended()
+        assert south.count_busy("s-0") == 0 and south.open_connections == {"s-0": 1}
+        south.close_idle("s-0", 0)
+        assert south.open_connections == {} and server.ended()
 
 
 # The schedule.
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,11 +22,11 @@
 import brackenpulley
 from brackenpulley.address import address
 from brackenpulley.net import sockets
-from brackenpulley.net.answers import Malformed, Reply, outcome
+from brackenpulley.net.answers import MalformedResponseError, ResponseReader, to_relay_end
 from brackenpulley.net.counter import Replies
 from brackenpulley.net.counter import encode as encode_call
 from brackenpulley.net.requests import Fault, Reader
-from brackenpulley.net.south import Trust
+from brackenpulley.net.south import IdleReusePolicy
 from brackenpulley.policy.interface import Counted, Total
 
 from .rig import Peer, Rig, rig
@@ -118,9 +118,11 @@
         server.answer()
         server.send(OK)
         assert client.answer()[0] == 200
-        r.daemon.loop.forget(next(iter(r.daemon.south.unused.values()))[0].sock)  # its end is not heard of in time
+        r.daemon.loop.forget(
+            next(iter(r.daemon.south.idle_connections.values()))[0].sock
+        )  # its end is not heard of in time
         server.close()
-        conn = next(iter(r.daemon.south.unused.values()))[0]
+        conn = next(iter(r.daemon.south.idle_connections.values()))[0]
         r.daemon.loop.register(conn.sock, 1, lambda events: None)
         r.ask(2, wire=client)
         _, server = r.served()
@@ -372,11 +374,11 @@
 
 def test_parsers_are_given_back_without_the_garbage_collector() -> None:
     # Guards against a cycle for each connection and each chunked answer: they waited for a full collection.
-    reader, reply = Reader(), Reply()
+    reader, reply = Reader(), ResponseReader()
     reader.feed(memoryview(HEAD))
     reader.close()
     reply.feed(CHUNKS)
-    assert reply.whole
+    assert reply.is_complete
     refs = [weakref.ref(reader), weakref.ref(reply)]
     gc.disable()
     try:
@@ -693,10 +695,14 @@
     ],
 )
 def test_outcomes(head: bytes, status: str, used: int, cost: float, load: list[float]) -> None:
-    reply = Reply()
+    reply = ResponseReader()
     reply.feed(b"HTTP/1.1 " + head + b"\r\nContent-Length: 0\r\n\r\n")
-    end = outcome(reply, ["svc_ms"])
-    assert (end.status, end.used, end.cost, end.load) == (status, used, cost, load) and reply.whole and reply.keep
+    end = to_relay_end(reply, ["svc_ms"])
+    assert (
+        (end.status, end.used, end.cost, end.load) == (status, used, cost, load)
+        and reply.is_complete
+        and reply.keep_alive
+    )
 
 
 @pytest.mark.parametrize(
@@ -709,10 +715,10 @@
     ],
 )
 def test_an_answer_that_ends_with_its_connection(data: bytes, whole: bool) -> None:
-    reply = Reply()
+    reply = ResponseReader()
     reply.feed(data)
-    reply.end()
-    assert reply.whole is whole and not reply.keep
+    reply.handle_eof()
+    assert reply.is_complete is whole and not reply.keep_alive
 
 
 H200 = b"HTTP/1.1 200 OK\r\n"
@@ -736,9 +742,9 @@
     ],
 )
 def test_one_answer_is_taken_whatever_stands_beside_it(data: bytes, keep: bool) -> None:
-    reply = Reply()
+    reply = ResponseReader()
     reply.feed(data)
-    assert (reply.whole, reply.body, reply.keep) == (True, b"ab", keep)
+    assert (reply.is_complete, reply.body, reply.keep_alive) == (True, b"ab", keep)
 
 
 @pytest.mark.parametrize(
@@ -762,8 +768,8 @@
 )
 @pytest.mark.parametrize("step", [13, 100000])
 def test_an_answer_that_is_none(data: bytes, step: int) -> None:
-    reply = Reply()
-    with pytest.raises(Malformed):
+    reply = ResponseReader()
+    with pytest.raises(MalformedResponseError):
         for at in range(0, len(data), step):
             reply.feed(data[at : at + step])
 
@@ -807,15 +813,15 @@
 
 
 def test_kept_connections_that_break_unheard_are_no_longer_used_when_old() -> None:
-    trust = Trust()
-    assert trust.allows(5.0)
+    trust = IdleReusePolicy()
+    assert trust.allows_reuse(5.0)
     for _ in range(5):
-        trust.learn(0.5, True)
-        trust.learn(0.01, False)
-    assert trust.allows(0.05) and [trust.allows(0.5) for _ in range(32)].count(True) == 2
+        trust.record(0.5, True)
+        trust.record(0.01, False)
+    assert trust.allows_reuse(0.05) and [trust.allows_reuse(0.5) for _ in range(32)].count(True) == 2
     for _ in range(30):
-        trust.learn(0.5, False)
-    assert trust.allows(0.5)
+        trust.record(0.5, False)
+    assert trust.allows_reuse(0.5)
 
 
 def test_a_new_id_at_an_old_address_takes_over_no_connection() -> None:
