--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -6,7 +6,7 @@
 
 from brackenpulley.ledger.tally import Heads, Tally
 from brackenpulley.metrics import Metrics
-from brackenpulley.net.counter import encode
+from brackenpulley.net.counter import encode_add
 from brackenpulley.net.loop import Loop
 from brackenpulley.plans.leases import TTL, Keeper, name_of
 
@@ -67,7 +67,7 @@
 def measured(seed: int, sizes: tuple[int, ...] = SIZES, timers: tuple[int, ...] = TIMERS) -> list[Slope]:
     found = {n: leased(n) for n in sizes}
     ledger = {n: closed(n) for n in sizes}
-    size = len(encode(name_of("debt", 12345, 1 << 32), 12.345678, TTL)) + len(b"$9\r\n123.45678\r\n")
+    size = len(encode_add(name_of("debt", 12345, 1 << 32), 12.345678, TTL)) + len(b"$9\r\n123.45678\r\n")
     return [
         slope(
             "firms.leases",
--- a/benchmarks/capacity/kinds/lists.py
+++ b/benchmarks/capacity/kinds/lists.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from benchmarks.module_cost import micros
-from brackenpulley.net.inventory import LONGEST, Inventory
-from brackenpulley.net.objects import Objects
+from brackenpulley.net.inventory import MAX_LIST_BYTES, Inventory
+from brackenpulley.net.objects import JsonObjectSplitter
 from brackenpulley.policy import interface as i
 from brackenpulley.policy.brain import Gateway
 from brackenpulley.settings import settings as decode
@@ -52,7 +52,7 @@
         self.timers: list[tuple[float, int, int]] = []
         self.gateway = Gateway(decode(settings(40, 0)), 1, self.now)
         self.inventory = Inventory(self.tell)
-        self.objects = Objects(LONGEST)
+        self.objects = JsonObjectSplitter(MAX_LIST_BYTES)
 
     def tell(self, event: i.Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -63,7 +63,7 @@
     def told(self, data: bytes) -> None:
         """The last turn: the part that ends the list, and the list taken."""
         for found in self.objects.feed(data):
-            self.inventory.told(json.loads(found))
+            self.inventory.apply_object(json.loads(found))
 
     def takes(self, data: bytes) -> bytes:
         """All parts but the last one, which is returned."""
--- a/brackenpulley/authz/front.py
+++ b/brackenpulley/authz/front.py
@@ -53,7 +53,7 @@
         began: Callable[[RelayEnd], None],
     ) -> Grant:
         # The answer is written now, so this is where the list counts: what drains by now is not named any more.
-        done(RelayEnd("granted" if self.inventory.usable(server) else "connect_failed"))
+        done(RelayEnd("granted" if self.inventory.is_usable(server) else "connect_failed"))
         return self
 
     def drop(self) -> bool:
@@ -154,7 +154,7 @@
         call.exchange = None
         if self.calls.get(call.id) is not call or call.answered:
             return
-        at = self.front.inventory.address(answer.server) if answer.server else None
+        at = self.front.inventory.find_address(answer.server) if answer.server else None
         host = f"[{at[0]}]" if at and ":" in at[0] else at[0] if at else ""
         data = response_of(answer, f"{host}:{at[1]}" if at else "", self.front.header)
         call.answered = True  # before it is written: a failing write must not answer a second time
--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -40,7 +40,7 @@
         self.daemon.ingress.tell(i.Shares(caps))
 
     def servers(self) -> dict[str, int]:
-        return {entry.server: self.told.limit for entry in self.daemon.inventory.listed()}
+        return {entry.server: self.told.limit for entry in self.daemon.inventory.list_entries()}
 
 
 class DrainsService:
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -43,7 +43,7 @@
         self.smoothed = 0.0
 
     def away(self, servers: frozenset[str]) -> None:
-        self.daemon.inventory.take_out(servers)
+        self.daemon.inventory.set_cordoned(servers)
         self.daemon.log.info("maintenance", away=",".join(sorted(servers)) or "none")
 
     def attempts(self, servers: list[str]) -> int:
@@ -93,8 +93,8 @@
 
     def facts(self) -> Facts:
         daemon, apart = self.daemon, self.daemon.ingress.gateway.servers.apart
-        entries = daemon.inventory.listed()
-        away = daemon.inventory.taken_out
+        entries = daemon.inventory.list_entries()
+        away = daemon.inventory.cordoned
         servers = {e.server: Server(e.zone, e.kind, e.size, e.state == "up" and e.server not in apart) for e in entries}
         zones: dict[str, list[bool]] = {}
         for e in entries:
@@ -118,13 +118,19 @@
     def group(self, whole: str) -> list[str]:
         """Servers of "zone:NAME" or "cell:NUMBER", as listed here now."""
         kind, _, name = whole.partition(":")
-        return [e.server for e in self.daemon.inventory.listed() if (e.zone if kind == "zone" else str(e.cell)) == name]
+        return [
+            e.server
+            for e in self.daemon.inventory.list_entries()
+            if (e.zone if kind == "zone" else str(e.cell)) == name
+        ]
 
     def carries(self, servers: list[str], ingress: str) -> bool:
         if ingress:
             return any(row.name == ingress and row.ready for row in self.others())
         known = self.daemon.ingress.gateway.servers
-        return all(self.daemon.inventory.usable(name) and name in known and not known[name].aside for name in servers)
+        return all(
+            self.daemon.inventory.is_usable(name) and name in known and not known[name].aside for name in servers
+        )
 
 
 class MaintenanceService:
--- a/brackenpulley/net/counter.py
+++ b/brackenpulley/net/counter.py
@@ -1,4 +1,4 @@
-"""The quota counter's client: RESP2, pipelined over one connection, answers matched in order."""
+"""The quota counter's client: RESP2, pipelined over one connection, with replies matched to calls in order."""
 
 from __future__ import annotations
 
@@ -10,144 +10,153 @@
 
 from ..address import Address
 from ..metrics import Metrics
-from ..policy import interface as i
+from ..policy import interface
 from . import sockets
 from .loop import READ, WRITE, Loop, Timer
 from .pool import Pool
 
-MOST = 256  # calls out at once; further ones are not made
-DEAF, DEAF_TIMES = 0.1, 4  # s, and time-outs, without the answer to the oldest call: the connection is taken for dead
-UNUSED = 3.0  # s after which a connection is not trusted any more; the counter closes it at about 10 s or less
-AGAIN = 0.05  # s between connects that fail
-LONGEST = 4096  # bytes of one answer at most
-PLAIN = re.compile(rb"[+-]?\d+(\.\d*)?([eE][+-]?\d+)?")
+MAX_PIPELINED_CALLS = 256  # pending at once; further calls fail
+# A connection without the reply to its oldest call for the longer of these two is taken for dead.
+DEAD_AFTER_SECONDS = 0.1
+DEAD_AFTER_TIMEOUTS = 4  # multiple of the timeout of a call
+MAX_IDLE_SECONDS = 3.0  # after which a connection is not reused; the counter closes it at about 10 s or less
+RECONNECT_DELAY_SECONDS = 0.05  # after a failed connect
+MAX_REPLY_BYTES = 4096  # of one reply
+DECIMAL_PATTERN = re.compile(rb"[+-]?\d+(\.\d*)?([eE][+-]?\d+)?")
 
 
-class Replies:
-    """Bytes to answers: a total as a float, a turning away as text. Anything else is spoilt."""
+class ReplyParser:
+    """Parses RESP2 replies: a total as a float, a rejection by the counter as text. Anything else is malformed."""
 
     def __init__(self) -> None:
-        self._data = b""
-        self._found: list[float | str] = []
+        self._buffer = b""
+        self._replies: list[float | str] = []
 
     def feed(self, data: bytes) -> bool:
-        """False once something is spoilt; the answers in front of it can still be taken."""
-        self._data += data
+        """Parse the next bytes; False once they are malformed. Replies before that can still be taken."""
+        self._buffer += data
         try:
-            while (answer := self._one()) is not None:
-                self._found.append(answer)
+            while (reply := self._parse_one()) is not None:
+                self._replies.append(reply)
         except ValueError:
             return False
-        return len(self._data) <= LONGEST
+        return len(self._buffer) <= MAX_REPLY_BYTES
 
-    def taken(self) -> list[float | str]:
-        found, self._found = self._found, []
-        return found
+    def take_replies(self) -> list[float | str]:
+        """Return the replies parsed since the last call."""
+        replies, self._replies = self._replies, []
+        return replies
 
-    def _one(self) -> float | str | None:
-        end = self._data.find(b"\r\n")
-        if end < 0:
+    def _parse_one(self) -> float | str | None:
+        line_end = self._buffer.find(b"\r\n")
+        if line_end < 0:
             return None
-        kind, text, rest = self._data[:1], self._data[1:end], end + 2
+        kind, text, reply_end = self._buffer[:1], self._buffer[1:line_end], line_end + 2
         if kind == b"-":
-            # Only these two say that nothing was added; whatever else is written there, the call may have run.
+            # Only these two errors say that nothing was added; after any other one the call may have been executed.
             if text.partition(b" ")[0] not in (b"BUSY", b"ERR"):
-                raise ValueError("an error of no known kind")
-            answer: float | str = text.decode("ascii", "replace")
+                raise ValueError("error reply is neither BUSY nor ERR")
+            reply: float | str = text.decode("ascii", "replace")
         elif kind == b":":
-            answer = _total(text)
+            reply = _parse_total(text)
         elif kind == b"$":
-            size = _whole(text)
-            if len(self._data) < rest + size + 2:
+            size = _parse_length(text)
+            if len(self._buffer) < reply_end + size + 2:
                 return None
-            if self._data[rest + size : rest + size + 2] != b"\r\n":
-                raise ValueError("a bulk string without its end")
-            answer, rest = _total(self._data[rest : rest + size]), rest + size + 2
+            if self._buffer[reply_end + size : reply_end + size + 2] != b"\r\n":
+                raise ValueError("bulk string does not end with CRLF")
+            reply, reply_end = _parse_total(self._buffer[reply_end : reply_end + size]), reply_end + size + 2
         else:
-            raise ValueError(f"kind {kind!r}")
-        self._data = self._data[rest:]
-        return answer
+            raise ValueError(f"reply type {kind!r} is not one of '-', ':', '$'")
+        self._buffer = self._buffer[reply_end:]
+        return reply
 
 
-def _whole(text: bytes) -> int:
-    if not (text.isdigit() and int(text) <= LONGEST):
-        raise ValueError("no length of a bulk string")
+def _parse_length(text: bytes) -> int:
+    if not (text.isdigit() and int(text) <= MAX_REPLY_BYTES):
+        raise ValueError(f"bulk string length {text!r} is not a number up to {MAX_REPLY_BYTES}")
     return int(text)
 
 
-def _total(text: bytes) -> float:
-    """Plain decimals alone: float() would also take nan, inf, blanks and underscores."""
-    number = float(text) if PLAIN.fullmatch(text) else inf
+def _parse_total(text: bytes) -> float:
+    """Accept plain decimals alone: float() would also take nan, inf, blanks and underscores."""
+    number = float(text) if DECIMAL_PATTERN.fullmatch(text) else inf
     if not abs(number) < inf:
-        raise ValueError("no total")
+        raise ValueError(f"total {text!r} is not a finite decimal")
     return number
 
 
-def encode(name: int, amount: float, ttl: float) -> bytes:
+def encode_add(name: int, amount: float, ttl: float) -> bytes:
+    """Encode the call that adds `amount` to the counter `name`, which expires `ttl` seconds later."""
     number = f"{amount:.6f}".rstrip("0").rstrip(".").encode()
     parts = (b"CNT.ADD", b"%d" % name, number, b"%d" % max(1, round(ttl * 1000)))
     return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in parts)
 
 
-class Call:
-    __slots__ = ("name", "number", "data", "at", "timer", "open")
+class CounterCall:
+    """One call of the counter. `number` is the caller's own, which comes back with a late total."""
 
-    def __init__(self, name: int, number: int, data: bytes, at: float) -> None:
-        self.name, self.number, self.data, self.at = name, number, data, at
+    __slots__ = ("name", "number", "data", "started_at", "timer", "is_pending")
+
+    def __init__(self, name: int, number: int, data: bytes, started_at: float) -> None:
+        self.name, self.number, self.data, self.started_at = name, number, data, started_at
         self.timer: Timer | None = None
-        self.open = True  # the module has not been told yet how it ended
+        self.is_pending = True  # its end has not been reported to the decision module yet
 
 
-class Line:
-    """One connection, and the calls on it in their order. Closed in `close` alone."""
+class CounterConnection:
+    """One connection to the counter, and the calls on it in order. Closed in `close` alone."""
 
     def __init__(self, client: CounterClient, sock: socket.socket, now: float) -> None:
-        self.client, self.sock, self.used = client, sock, now
-        self.up = self.closed = False
-        self.retired = False  # the counter is elsewhere by now: it is closed once no call is open on it
-        self.replies = Replies()
-        self.waiting: deque[Call] = deque()  # not written yet
-        self.out: deque[Call] = deque()  # written whole, in order, late ones included
-        self.part = 0  # bytes of the first waiting call that are written
-        client.loop.register(sock, WRITE, self._event)
+        self.client, self.sock, self.last_used_at = client, sock, now
+        self.is_connected = False
+        self.is_closed = False
+        self.is_retired = False  # the counter has moved: the connection is closed once no call on it is pending
+        self.parser = ReplyParser()
+        self.unsent: deque[CounterCall] = deque()  # not written, or only a part of the first one
+        self.in_flight: deque[CounterCall] = deque()  # written whole, in order, timed-out calls included
+        self.sent_bytes = 0  # of the first unsent call
+        client.loop.register(sock, WRITE, self._handle_event)
 
     @property
-    def idle(self) -> bool:
-        return not self.out and not self.waiting
-
-    def add(self, call: Call) -> None:
-        self.waiting.append(call)
-        if self.up:
+    def is_idle(self) -> bool:
+        """Whether no call is unsent or in flight."""
+        return not self.in_flight and not self.unsent
+
+    def send(self, call: CounterCall) -> None:
+        """Queue a call and write it as soon as the connection is established."""
+        self.unsent.append(call)
+        if self.is_connected:
             self._write()
 
-    def _event(self, events: int) -> None:
-        if not self.up:
+    def _handle_event(self, events: int) -> None:
+        if not self.is_connected:
             if sockets.failed(self.sock):
-                self.broken()
+                self.fail()
                 return
-            self.up = True
+            self.is_connected = True
             self._write()
             return
         if events & READ:
             self._read()
-        if events & WRITE and not self.closed:
+        if events & WRITE and not self.is_closed:
             self._write()
 
     def _write(self) -> None:
-        while self.waiting:
-            call = self.waiting[0]
+        while self.unsent:
+            call = self.unsent[0]
             try:
-                self.part += self.sock.send(call.data[self.part :])
+                self.sent_bytes += self.sock.send(call.data[self.sent_bytes :])
             except BlockingIOError:
                 break
             except OSError:
-                self.broken()
+                self.fail()
                 return
-            if self.part < len(call.data):
+            if self.sent_bytes < len(call.data):
                 break
-            self.part, self.used = 0, self.client.loop.clock()
-            self.out.append(self.waiting.popleft())
-        self.client.loop.want(self.sock, READ | WRITE if self.waiting else READ, self._event)
+            self.sent_bytes, self.last_used_at = 0, self.client.loop.clock()
+            self.in_flight.append(self.unsent.popleft())
+        self.client.loop.want(self.sock, READ | WRITE if self.unsent else READ, self._handle_event)
 
     def _read(self) -> None:
         buffer = self.client.pool.take()
@@ -160,140 +169,160 @@
             data = b""
         finally:
             self.client.pool.give(buffer)
-        self.used = self.client.loop.clock()
-        # Good answers in front of a spoilt one still count; what is spoilt may have been added, like all behind it.
-        good = bool(data) and self.replies.feed(data)
-        for answer in self.replies.taken():
-            if not self.out:  # an answer to nothing
-                good = False
+        self.last_used_at = self.client.loop.clock()
+        # Valid replies before a malformed one still count. The malformed one's call may have been added, like all
+        # calls behind it.
+        is_valid = bool(data) and self.parser.feed(data)
+        for reply in self.parser.take_replies():
+            if not self.in_flight:  # a reply without a call
+                is_valid = False
                 break
-            call = self.out.popleft()
-            if isinstance(answer, float):
-                self.client.answered(call, "ok", answer)
+            call = self.in_flight.popleft()
+            if isinstance(reply, float):
+                self.client.handle_reply(call, "ok", reply)
             else:  # -BUSY and -ERR alike: nothing was added
-                self.client.answered(call, "full")
-        if not good:
+                self.client.handle_reply(call, "full")
+        if not is_valid:
             self.client.metrics.add("count_spoilt" if data else "count_ends")
-            self.broken()
+            self.fail()
         else:
-            self.retire_if_done()
+            self.close_if_drained()
+
+    def handle_timeout(self, call: CounterCall) -> None:
+        """End a call that timed out: as `timeout` if it was written whole, since it may still be added.
 
-    def late(self, call: Call) -> None:
-        """Written whole, it may yet be added; else it is taken back, unless a part of it is out already."""
-        if call in self.waiting:
-            if not self.up or call is self.waiting[0] and self.part:
-                self.broken()
+        An unwritten call is withdrawn; one written in part breaks the connection."""
+        if call in self.unsent:
+            if not self.is_connected or call is self.unsent[0] and self.sent_bytes:
+                self.fail()
                 return
-            self.waiting.remove(call)
-            self.client.end(call, "connect_failed")
+            self.unsent.remove(call)
+            self.client.end_call(call, "connect_failed")
             return
-        self.client.end(call, "timeout")
-        if self.out and self.client.loop.clock() - self.out[0].at > max(DEAF, DEAF_TIMES * self.client.timeout):
-            self.broken()
+        self.client.end_call(call, "timeout")
+        if self.in_flight and self.client.loop.clock() - self.in_flight[0].started_at > max(
+            DEAD_AFTER_SECONDS, DEAD_AFTER_TIMEOUTS * self.client.timeout
+        ):
+            self.fail()
         else:
-            self.retire_if_done()
-
-    def retire_if_done(self) -> None:
-        if self.retired and not self.closed and not self.waiting and not any(call.open for call in self.out):
-            self.broken()
-
-    def broken(self) -> None:
-        """What was written whole may have been added; what was not has not."""
-        out, waiting = self.out, self.waiting
-        self.out, self.waiting = deque(), deque()
+            self.close_if_drained()
+
+    def close_if_drained(self) -> None:
+        """Close a retired connection without pending calls."""
+        if (
+            self.is_retired
+            and not self.is_closed
+            and not self.unsent
+            and not any(call.is_pending for call in self.in_flight)
+        ):
+            self.fail()
+
+    def fail(self) -> None:
+        """Close, and end all calls: those written whole may have been added, the others were not."""
+        in_flight, unsent = self.in_flight, self.unsent
+        self.in_flight, self.unsent = deque(), deque()
         self.close()
-        for call in out:
-            self.client.end(call, "timeout")
-        for call in waiting:
-            self.client.end(call, "connect_failed")
+        for call in in_flight:
+            self.client.end_call(call, "timeout")
+        for call in unsent:
+            self.client.end_call(call, "connect_failed")
 
     def close(self) -> None:
-        if not self.closed:
-            self.closed = True
+        """Close the socket, once."""
+        if not self.is_closed:
+            self.is_closed = True
             self.client.loop.forget(self.sock)
             self.sock.close()
-            self.client.lost(self)
+            self.client.handle_closed(self)
 
 
 class CounterClient:
-    """Every call is told exactly one end; one that ended with `timeout` may be told a Total after it, once."""
+    """Calls the counter service at one address, with a timeout in seconds for each call.
+
+    `on_event` receives exactly one Counted for each call. After one with `timeout` it may receive one Total, from a
+    late reply."""
 
     def __init__(
         self,
         loop: Loop,
         pool: Pool,
-        at: Address,
+        address: Address,
         timeout: float,
         metrics: Metrics,
-        tell: Callable[[i.Counted | i.Total], None],
+        on_event: Callable[[interface.Counted | interface.Total], None],
     ) -> None:
-        self.loop, self.pool, self.at, self.timeout, self.metrics = loop, pool, at, timeout, metrics
-        self.tell = tell
-        self._line: Line | None = None
-        self._retired: set[Line] = set()
-        self._failed = -1e9
+        self.loop, self.pool, self.address, self.timeout, self.metrics = loop, pool, address, timeout, metrics
+        self.on_event = on_event
+        self._connection: CounterConnection | None = None
+        self._retired_connections: set[CounterConnection] = set()
+        self._last_failure_at = -1e9
 
     def add(self, name: int, amount: float, ttl: float, number: int = 0) -> None:
+        """Add `amount` to the counter `name`, which expires `ttl` seconds later."""
         now = self.loop.clock()
-        call = Call(name, number, encode(name, amount, ttl), now)
-        line = self._line
-        if line is not None and line.up and line.idle:
-            if now - line.used > UNUSED or sockets.waiting(line.sock) is not None:
-                line.close()
-                line = None
-        if line is None:
-            line = self._open(now)
-        if line is None or len(line.waiting) + len(line.out) >= MOST:
-            self.loop.call_soon(lambda: self.end(call, "connect_failed"))
+        call = CounterCall(name, number, encode_add(name, amount, ttl), now)
+        connection = self._connection
+        if connection is not None and connection.is_connected and connection.is_idle:
+            if now - connection.last_used_at > MAX_IDLE_SECONDS or sockets.waiting(connection.sock) is not None:
+                connection.close()
+                connection = None
+        if connection is None:
+            connection = self._connect(now)
+        if connection is None or len(connection.unsent) + len(connection.in_flight) >= MAX_PIPELINED_CALLS:
+            self.loop.call_soon(lambda: self.end_call(call, "connect_failed"))
             return
-        call.timer = self.loop.call_in(self.timeout, lambda: line.late(call))
-        line.add(call)
+        call.timer = self.loop.call_in(self.timeout, lambda: connection.handle_timeout(call))
+        connection.send(call)
 
-    def move(self, at: Address) -> None:
-        """From now on calls go elsewhere; those that are out may still be answered where they were made."""
-        if at == self.at:
+    def move(self, address: Address) -> None:
+        """Send further calls to another address; pending calls may still be answered on the old connection."""
+        if address == self.address:
             return
-        self.at, self._failed = at, -1e9
-        if (line := self._line) is not None:
-            self._line = None
-            self._retired.add(line)
-            line.retired = True
-            line.retire_if_done()
-
-    def _open(self, now: float) -> Line | None:
-        if now - self._failed < AGAIN:
+        self.address, self._last_failure_at = address, -1e9
+        if (connection := self._connection) is not None:
+            self._connection = None
+            self._retired_connections.add(connection)
+            connection.is_retired = True
+            connection.close_if_drained()
+
+    def _connect(self, now: float) -> CounterConnection | None:
+        if now - self._last_failure_at < RECONNECT_DELAY_SECONDS:
             return None
         try:
-            sock = sockets.connect(self.at)
+            sock = sockets.connect(self.address)
         except OSError:
-            self._failed = now
+            self._last_failure_at = now
             return None
-        self._line = Line(self, sock, now)
-        return self._line
-
-    def lost(self, line: Line) -> None:
-        self._retired.discard(line)
-        if line is self._line:
-            self._line = None
-            if not line.up:  # refused, or never came up: it is not tried again at once
-                self._failed = self.loop.clock()
-
-    def answered(self, call: Call, status: str, total: float = 0.0) -> None:
-        if call.open:
-            self.end(call, status, total)
-        else:  # it was given up on, and its answer came all the same
+        self._connection = CounterConnection(self, sock, now)
+        return self._connection
+
+    def handle_closed(self, connection: CounterConnection) -> None:
+        """Forget a closed connection."""
+        self._retired_connections.discard(connection)
+        if connection is self._connection:
+            self._connection = None
+            if not connection.is_connected:  # the connect failed: it is not repeated at once
+                self._last_failure_at = self.loop.clock()
+
+    def handle_reply(self, call: CounterCall, status: str, total: float = 0.0) -> None:
+        """End a call with its reply, or report the reply as a Total if the call has ended by timeout."""
+        if call.is_pending:
+            self.end_call(call, status, total)
+        else:  # a late reply
             self.metrics.add("count_late")
-            self.tell(i.Total(call.number, status, total, self.loop.clock() - call.at))
+            self.on_event(interface.Total(call.number, status, total, self.loop.clock() - call.started_at))
 
-    def end(self, call: Call, status: str, total: float = 0.0) -> None:
-        if not call.open:  # given up on, and lost with its connection: nothing more is known of it
+    def end_call(self, call: CounterCall, status: str, total: float = 0.0) -> None:
+        """Report the end of a call, unless that was done before."""
+        if not call.is_pending:  # timed out, then lost with its connection: nothing more is known of it
             return
-        call.open = False
+        call.is_pending = False
         if call.timer is not None:
             call.timer.cancel()
         self.metrics.add("count_" + status)
-        self.tell(i.Counted(call.name, status, total, self.loop.clock() - call.at))
+        self.on_event(interface.Counted(call.name, status, total, self.loop.clock() - call.started_at))
 
     def stop(self) -> None:
-        for line in [*self._retired, *([self._line] if self._line else [])]:
-            line.broken()
+        """Close all connections, ending their calls."""
+        for connection in [*self._retired_connections, *([self._connection] if self._connection else [])]:
+            connection.fail()
--- a/brackenpulley/net/south.py
+++ b/brackenpulley/net/south.py
@@ -192,8 +192,8 @@
         before that if the response is long enough to be streamed."""
         now = self.loop.clock()
         relay = ServerRelay(self, message, server, now + left, done, began)
-        address = self.inventory.address(server)
-        if address is None or not self.inventory.usable(server):
+        address = self.inventory.find_address(server)
+        if address is None or not self.inventory.is_usable(server):
             self._finish(relay, RelayEnd("connect_failed"))
             return relay
         connection = self._take_idle((server, address), now) or self._open_connection((server, address), now)
@@ -302,7 +302,7 @@
         """Send the relay on a connection that was just established, perhaps late."""
         # The inventory may have changed since the decision module chose: nothing is sent to a server that drains or
         # was removed meanwhile.
-        if not self.inventory.usable(relay.server) or self.inventory.address(relay.server) != connection.key[1]:
+        if not self.inventory.is_usable(relay.server) or self.inventory.find_address(relay.server) != connection.key[1]:
             self.metrics.add("drained_before_send")
             self._return_to_idle(connection)
             self._finish(relay, RelayEnd("connect_failed"))
@@ -592,7 +592,7 @@
         oldest = self.loop.clock() - self.max_idle_seconds
         for key in list(self.idle_connections):
             server, address = key
-            is_gone = self.inventory.address(server) != address or not self.inventory.usable(server)
+            is_gone = self.inventory.find_address(server) != address or not self.inventory.is_usable(server)
             for connection in [c for c in self.idle_connections[key] if is_gone or c.idle_since < oldest]:
                 self.close(connection)
             if not self.idle_connections[key]:
--- a/brackenpulley/net/watching.py
+++ b/brackenpulley/net/watching.py
@@ -1,105 +1,121 @@
-"""When a call to discovery counts as broken, and when the next one is made. No I/O.
-
-What a watch misses counts as told 6 s (`TOLD`) after it fell silent, whether it arrived or not. From its last byte on:
-
-    SILENT                  2.5   an empty line comes every 2 s, so one is late
-    WAITS[0] + OPENS[0]     1.2   the first new call: it does not come up, or comes up and says nothing
-    WAITS[1] + OPENS[1]     1.2   the second one, to its first byte
-                            4.9   which leaves a second for the list itself
-
-Whatever was allowed after calls that failed, a change counts as told 6 s after discovery had it and could be reached.
-From its return on, at worst:
-
-    OPENS[-1]               2.5   a call begun just before, which is never answered
-    PATIENT + CONNECT       1.4   the next one does not come up
-    PATIENT                 0.4   and the next is answered
-                            4.3   or, where calls were refused at once, WAITS[-1] + CONNECT + PATIENT: 2.9
-
-A list that trickles is given up `WHOLE` after it was asked for. Silence longer than that is discovery's own: calls are
-then made less and less often, with full jitter, and each is given longer, since a crowded discovery that answers in 2 s
-would otherwise be left unheard by all that ask it. A call that took its patience has spread them already.
-
-    state   | begins with                  | ends with
-    --------+------------------------------+-------------------------------------------------------------
-    away    | the call before broke        | the wait is over: asking
-    asking  | a connection is begun        | a byte: hearing; not up in CONNECT, or OPENS without a byte: away
-    hearing | a byte                       | SILENT without one, an object open for OBJECT; of the whole list LIST
-            |                              | without one, or WHOLE since it was asked for: away
-
-A watch that was heard and stood for `STOOD` has mended what was broken before; so has a list that is told. One that
-opens, says an empty line and ends again at once has not: it would be asked for without any pause."""
+"""Timeouts and back-off of the calls to discovery. No I/O; used by `inventory.Discovery`.
+
+A change that a broken watch misses counts as delivered MISSED_CHANGE_DEADLINE_SECONDS (6 s) after the watch fell
+silent, whether it arrived or not. In seconds from the watch's last byte on:
+
+    SILENCE_TIMEOUT                     2.5   an empty line comes every 2 s, so one is late
+    BACKOFFS[0] + OPEN_TIMEOUTS[0]      1.2   first new call: the connect fails, or no byte comes
+    BACKOFFS[1] + OPEN_TIMEOUTS[1]      1.2   second new call, to its first byte
+                                        4.9   which leaves a second for the list itself
+
+However many calls failed before, a change counts as delivered 6 s after discovery had it and became reachable. In
+seconds from its recovery on, in the worst case:
+
+    OPEN_TIMEOUTS[-1]                   2.5   a call started just before the recovery is never answered
+    TIMEOUT_BACKOFF + CONNECT_TIMEOUT   1.4   the next one does not connect
+    TIMEOUT_BACKOFF                     0.4   the one after it is answered
+                                        4.3   or, where calls were refused at once,
+                                              BACKOFFS[-1] + CONNECT_TIMEOUT + TIMEOUT_BACKOFF: 2.9
+
+A list that comes too slowly is abandoned LIST_TIMEOUT after it was requested. Longer silence is discovery's own
+failure: calls then become less frequent, with full jitter, and each is given more time, since an overloaded discovery
+that answers in 2 s would otherwise be given up by every caller. A call that timed out is already spread in time, so it
+needs a shorter back-off.
+
+    state       | begins when                 | ends when
+    ------------+-----------------------------+--------------------------------------------------------------
+    waiting     | the previous call failed    | the back-off is over: opening
+    opening     | a connect is started        | a byte comes: receiving; no connect in CONNECT_TIMEOUT, or no
+                |                             | byte in OPEN_TIMEOUTS: waiting
+    receiving   | a byte comes                | SILENCE_TIMEOUT without a byte, or an object open for
+                |                             | OBJECT_TIMEOUT; of the whole list LIST_SILENCE_TIMEOUT without a
+                |                             | byte, or LIST_TIMEOUT since the request: waiting
+
+A watch that received bytes and lasted STABLE_SECONDS resets the count of failures; so does an applied list. A watch
+that opens, sends an empty line and ends at once does not: it would be reopened without any pause."""
 
 from __future__ import annotations
 
 import random
 
-TOLD = 6.0
-SILENT = 2.5  # s between two bytes of a watch
-OBJECT = 1.0  # s from an object's first byte to its last: empty lines inside it are no signs of life
-LIST = 1.0  # s between two bytes of the whole list
-WHOLE = 3.0  # s from asking for it to its last byte
-STOOD = 1.0  # s
-WAITS = (0.2, 0.2, 0.5, 1.0, 1.5)  # s at most before the first new call, the second, ...; the last holds on
-PATIENT = 0.4  # s at most of that where the call before took CONNECT or more
-OPENS = (1.0, 1.0, 2.0, 2.5)  # s to its first byte, the time that the connection takes to come up within
-CONNECT = 1.0  # s for that, whatever failed before: one that never comes up is not a crowded discovery
+MISSED_CHANGE_DEADLINE_SECONDS = 6.0
+SILENCE_TIMEOUT_SECONDS = 2.5  # between two bytes of a watch
+OBJECT_TIMEOUT_SECONDS = 1.0  # from an object's first byte to its last: empty lines inside it are no heartbeat
+LIST_SILENCE_TIMEOUT_SECONDS = 1.0  # between two bytes of the whole list
+LIST_TIMEOUT_SECONDS = 3.0  # from the request for the whole list to its last byte
+STABLE_SECONDS = 1.0  # after which a watch resets the count of failures
+BACKOFFS_SECONDS = (0.2, 0.2, 0.5, 1.0, 1.5)  # longest wait after the first failure, the second, ...; the last repeats
+TIMEOUT_BACKOFF_SECONDS = 0.4  # longest wait after a call that took CONNECT_TIMEOUT_SECONDS or more
+OPEN_TIMEOUTS_SECONDS = (1.0, 1.0, 2.0, 2.5)  # from the start of a call to its first byte, by failures in a row
+CONNECT_TIMEOUT_SECONDS = 1.0  # constant: a connect that never succeeds is not a sign of an overloaded discovery
 
 
-class Watch:
-    """Of one call after another. Times are the caller's clock, in s."""
+class WatchSchedule:
+    """Deadlines and back-off of one call to discovery after another. Times are the caller's clock, in seconds."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._failed = 0  # calls in a row
-        self._slow = False  # discovery says nothing before its first line, so a watch has to be given a line's time
-        self._began = self._last = 0.0
-        self._up = self._hearing = self._whole = False
-        self._open = 0.0  # since when an object is open; 0 = none is
-
-    def moved(self) -> None:
-        """Discovery is elsewhere: what failed before says nothing of it."""
-        self._failed, self._slow = 0, False
-
-    def asking(self, now: float, whole: bool) -> None:
-        """A connection is begun, for the whole list or for a watch."""
-        self._began = self._last = now
-        self._up, self._hearing, self._whole, self._open = False, False, whole, 0.0
-
-    def connected(self) -> None:
-        self._up = True
-
-    def heard(self, now: float) -> None:
-        """A byte came, of the answer's head or its body."""
-        if not self._hearing and not self._whole:
-            self._slow = now - self._began >= OPENS[0]
-        self._hearing, self._last = True, now
-
-    def holds(self, part: bool, now: float) -> None:
-        """Whether a part of an object is held whose end has not come."""
-        self._open = (self._open or now) if part else 0.0
-
-    def told(self) -> None:
-        """A list, or a change of it."""
-        self._failed = 0
-
-    def due(self) -> float:
-        """When this call is broken unless something is heard before."""
-        if self._hearing and self._whole:
-            return min(self._last + LIST, self._began + WHOLE)
-        if self._hearing:
-            return min(self._last + SILENT, self._open + OBJECT) if self._open else self._last + SILENT
-        if not self._up:
-            return self._began + CONNECT
-        patience = OPENS[min(max(self._failed - 1, 0), len(OPENS) - 1)]
-        return self._began + (max(patience, SILENT) if self._slow and not self._whole else patience)
-
-    def broken(self, now: float) -> float:
-        """It broke, whatever the cause. Seconds until the next call, with full jitter: many ingresses that ask in step
-        keep a crowded discovery crowded."""
-        if self._hearing and not self._whole and now - self._began >= STOOD:
-            self._failed = 0
-        wait = WAITS[min(self._failed, len(WAITS) - 1)]
-        if now - self._began >= CONNECT:
-            wait = min(wait, PATIENT)
-        self._failed += 1
-        return self._rng.uniform(0.0, wait)
+        self._failure_count = 0  # in a row
+        self._is_slow_to_open = False  # discovery sends no head before its first line, so the wait is a line's interval
+        self._started_at = 0.0
+        self._last_byte_at = 0.0
+        self._is_connected = False
+        self._is_receiving = False
+        self._is_full_list = False  # the call asks for the whole list, else it is a watch
+        self._object_since = 0.0  # since when an object is open; 0 = none is
+
+    def reset(self) -> None:
+        """Forget failures, since discovery has another address now."""
+        self._failure_count, self._is_slow_to_open = 0, False
+
+    def start_call(self, now: float, is_full_list: bool) -> None:
+        """Record the start of a connect, for the whole list or for a watch."""
+        self._started_at = self._last_byte_at = now
+        self._is_connected, self._is_receiving, self._is_full_list, self._object_since = False, False, is_full_list, 0.0
+
+    def set_connected(self) -> None:
+        """Record that the connect succeeded."""
+        self._is_connected = True
+
+    def record_byte(self, now: float) -> None:
+        """Record that a byte of the response's head or body came."""
+        if not self._is_receiving and not self._is_full_list:
+            self._is_slow_to_open = now - self._started_at >= OPEN_TIMEOUTS_SECONDS[0]
+        self._is_receiving, self._last_byte_at = True, now
+
+    def set_object_open(self, is_open: bool, now: float) -> None:
+        """Record whether an object has begun and not ended yet."""
+        self._object_since = (self._object_since or now) if is_open else 0.0
+
+    def record_list(self) -> None:
+        """Record that a list, or a change of it, was applied."""
+        self._failure_count = 0
+
+    def next_deadline(self) -> float:
+        """Return when this call fails unless a byte comes before."""
+        if self._is_receiving and self._is_full_list:
+            return min(self._last_byte_at + LIST_SILENCE_TIMEOUT_SECONDS, self._started_at + LIST_TIMEOUT_SECONDS)
+        if self._is_receiving:
+            return (
+                min(self._last_byte_at + SILENCE_TIMEOUT_SECONDS, self._object_since + OBJECT_TIMEOUT_SECONDS)
+                if self._object_since
+                else self._last_byte_at + SILENCE_TIMEOUT_SECONDS
+            )
+        if not self._is_connected:
+            return self._started_at + CONNECT_TIMEOUT_SECONDS
+        timeout = OPEN_TIMEOUTS_SECONDS[min(max(self._failure_count - 1, 0), len(OPEN_TIMEOUTS_SECONDS) - 1)]
+        return self._started_at + (
+            max(timeout, SILENCE_TIMEOUT_SECONDS) if self._is_slow_to_open and not self._is_full_list else timeout
+        )
+
+    def record_failure(self, now: float) -> float:
+        """Record the end of the call, whatever the cause, and return the seconds until the next one.
+
+        Full jitter: many ingresses that reconnect in step would keep an overloaded discovery overloaded."""
+        if self._is_receiving and not self._is_full_list and now - self._started_at >= STABLE_SECONDS:
+            self._failure_count = 0
+        max_wait = BACKOFFS_SECONDS[min(self._failure_count, len(BACKOFFS_SECONDS) - 1)]
+        if now - self._started_at >= CONNECT_TIMEOUT_SECONDS:
+            max_wait = min(max_wait, TIMEOUT_BACKOFF_SECONDS)
+        self._failure_count += 1
+        return self._rng.uniform(0.0, max_wait)
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -170,7 +170,7 @@
     def start(self, signals: bool = True) -> None:
         if self.config.known:
             try:
-                self.inventory.told(self.config.known, stale=True)
+                self.inventory.apply_object(self.config.known, is_stale=True)
             except (ValueError, TypeError) as error:  # an old list is a help, not a need
                 self.log.error("known", error=str(error))
         for part in (self.ledger, self.plans, self.leases, self.discovery):
@@ -250,7 +250,7 @@
         return {
             "active": asked + self.north.flowing,
             "pool_size": len(self.inventory),
-            "pool_ejected": sum(self.inventory.address(name) is not None for name in apart),
+            "pool_ejected": sum(self.inventory.find_address(name) is not None for name in apart),
         }
 
     def report(self) -> None:
--- a/brackenpulley/xds/source.py
+++ b/brackenpulley/xds/source.py
@@ -139,7 +139,7 @@
         clusters, assignments, version = resources(text)
         found = rows(clusters, assignments, self.part.cluster)
         number = int(version) if version.isascii() and version.isdigit() else self.inventory.version + 1
-        self.inventory.change("full", found, number)
+        self.inventory.apply("full", found, number)
         self.heard, self._said = True, ""
         self.metrics.add("lists")
 
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -16,7 +16,7 @@
 from brackenpulley.maintenance.permits import Enter, Permits, Said, Step, encode
 from brackenpulley.members.protocol import Timing
 from brackenpulley.members.station import Station
-from brackenpulley.net.counter import encode as counter_call
+from brackenpulley.net.counter import encode_add as counter_call
 from brackenpulley.simulation.links import Link, Links
 from brackenpulley.simulation.voters import Voters
 from brackenpulley.simulation.world import START, Host, World
@@ -246,8 +246,8 @@
         begin = r.daemon.clock()
         change = {**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}
         say(wire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change), "s-0 drains, version 8")
-        r.until(lambda: not r.daemon.inventory.usable("s-0"))
-        told.say(f"{0:6.1f} ingress: uses s-0: {r.daemon.inventory.usable('s-0')}")
+        r.until(lambda: not r.daemon.inventory.is_usable("s-0"))
+        told.say(f"{0:6.1f} ingress: uses s-0: {r.daemon.inventory.is_usable('s-0')}")
         told.say("       discovery says nothing more")
         for _ in range(2):
             call = None
@@ -261,8 +261,8 @@
             + chunk({**r.listing(), "reset": False, "generation": 9}),
             "s-0 serves, version 9",
         )
-        r.until(lambda: r.daemon.inventory.usable("s-0"))
-        told.say(f"       ingress: uses s-0: {r.daemon.inventory.usable('s-0')}")
+        r.until(lambda: r.daemon.inventory.is_usable("s-0"))
+        told.say(f"       ingress: uses s-0: {r.daemon.inventory.is_usable('s-0')}")
     assert told.text() == approved
 
 
@@ -272,7 +272,7 @@
         ends: list[str] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda event: ends.append(f"{event.status} {event.total:g}")
+        client.on_event = lambda event: ends.append(f"{event.status} {event.total:g}")
 
         def asked(name: int, amount: float) -> None:
             told.say("ingress: " + counter_call(name, amount, 4.0).decode().replace("\r\n", " "))
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -146,7 +146,7 @@
 
 def test_a_draining_endpoint_is_not_named() -> None:
     with rig(2, operator=SERVER) as r, asker(r) as stub:
-        r.daemon.inventory.told(r.listing(s_0="DRAINING"))
+        r.daemon.inventory.apply_object(r.listing(s_0="DRAINING"))
         names = {
             result(r, stub.Check.future(check(n), timeout=5)).ok_response.headers[0].header.value for n in range(1, 7)
         }
@@ -441,10 +441,10 @@
         assert (e.zone, e.size, e.started, e.cell) == ("hall-a", 4.0, 5.0, 2)
         write(path, "{")  # what cannot be used leaves the last good list in force
         r.skip(0.3)
-        assert r.count("xds_errors") == 1 and r.daemon.inventory.usable("127.0.0.1:1")
+        assert r.count("xds_errors") == 1 and r.daemon.inventory.is_usable("127.0.0.1:1")
         write(path, discovery("4", endpoint(1, healthStatus="DRAINING")))
         r.skip(0.3)
-        assert not r.daemon.inventory.usable("127.0.0.1:1") and r.daemon.inventory.version == 4
+        assert not r.daemon.inventory.is_usable("127.0.0.1:1") and r.daemon.inventory.version == 4
 
 
 def test_the_second_front_as_a_process_serves_and_ends_in_order(tmp_path: Path) -> None:
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -380,7 +380,7 @@
             ("end", e.name, e.status, e.total) if isinstance(e, Counted) else ("total", e.call, e.status, e.total)
         )
 
-    client.tell = tell
+    client.on_event = tell
     return told
 
 
@@ -417,7 +417,7 @@
         wire.until(b"4000\r\n")
         r.step(0.04)
         wire.reset()
-        r.until(lambda: client._line is None)
+        r.until(lambda: client._connection is None)
         client.add(5, 2, 4.0, 12)
         wire = r.counter.accept()
         wire.until(b"4000\r\n")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -374,7 +374,7 @@
         r.until(lambda: r.daemon.discovery.heard_at > 0)
         r.freeze()
         wire.send(b'd\r\n{"generation"\r\n')
-        r.until(lambda: r.daemon.discovery._objects.open)
+        r.until(lambda: r.daemon.discovery._splitter.is_open)
         for _ in range(4):
             wire.send(b"1\r\n\n\r\n")
             r.step(0.3)
@@ -405,7 +405,7 @@
             + chunk({"generation": 8, "instances": [{**rows[0], **bad}, rows[1]]})
         )
         r.until(lambda: r.daemon.inventory.version == 8)
-        assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
+        assert not r.daemon.inventory.is_usable("s-0") and r.daemon.inventory.is_usable("s-1")
         assert r.count("list_entries_unread") == 1 and r.count("watch_breaks") == 0
         client = r.ask(1)
         name, server = r.served()
@@ -431,7 +431,7 @@
         def crossing(conn: Any, attempt: Any) -> None:
             if not r.count("crossed"):  # it has come up in this turn; the list is told in the same one
                 r.daemon.metrics.add("crossed")
-                r.daemon.inventory.told({"generation": 8, "reset": how == "left out", "instances": told})
+                r.daemon.inventory.apply_object({"generation": 8, "reset": how == "left out", "instances": told})
             began(conn, attempt)
 
         r.daemon.south._handle_connected = crossing  # type: ignore[method-assign]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -581,7 +581,7 @@
         r.until(lambda: bool(service.clerk.entered))
         service.propose(Ask("h", "ann", ["s-0"], zone="z"), lambda answer: None, 5.0)
         r.until(lambda: "s-0" in service.permits.away())
-        assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
+        assert not r.daemon.inventory.is_usable("s-0") and r.daemon.inventory.is_usable("s-1")
 
 
 def test_an_ingress_that_cannot_be_reached_holds_a_machine_and_is_named() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,8 +23,8 @@
 from brackenpulley.address import address
 from brackenpulley.net import sockets
 from brackenpulley.net.answers import MalformedResponseError, ResponseReader, to_relay_end
-from brackenpulley.net.counter import Replies
-from brackenpulley.net.counter import encode as encode_call
+from brackenpulley.net.counter import ReplyParser
+from brackenpulley.net.counter import encode_add as encode_call
 from brackenpulley.net.requests import Fault, Reader
 from brackenpulley.net.south import IdleReusePolicy
 from brackenpulley.policy.interface import Counted, Total
@@ -167,7 +167,7 @@
     with rig() as r:
         client = r.ask()
         r.until(lambda: r.count("connects") == 1)
-        r.daemon.inventory.told(r.listing(s_0="DRAINING"))  # the connection is not up yet
+        r.daemon.inventory.apply_object(r.listing(s_0="DRAINING"))  # the connection is not up yet
         assert client.answer()[0] == 503 and r.count("drained_before_send") == 1
         assert r.peers["s-0"].accept().seen == b""
         assert r.count("relay_connect_failed") == 1
@@ -494,7 +494,7 @@
             else:
                 late.append((e.call, e.status, e.total))
 
-        client.tell = tell
+        client.on_event = tell
         client.add(5, 1.5, 4.0, 71)
         wire = r.counter.accept()
         assert wire.until(b"4000\r\n") == b"*4\r\n$7\r\nCNT.ADD\r\n$1\r\n5\r\n$3\r\n1.5\r\n$4\r\n4000\r\n"
@@ -539,7 +539,7 @@
         assert r.client().send(b"GET /ready HTTP/1.1\r\n\r\n").answer()[0] == 200
         change = {**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change))
-        r.until(lambda: not r.daemon.inventory.usable("s-0"))
+        r.until(lambda: not r.daemon.inventory.is_usable("s-0"))
         wire.reset()
         wire = source.accept()
         assert b"from=8 " in wire.until(b"\r\n\r\n")
@@ -612,9 +612,9 @@
     ],
 )
 def test_counter_answers(data: list[bytes], found: list[Any], good: bool) -> None:
-    replies = Replies()
+    replies = ReplyParser()
     assert [replies.feed(part) for part in data][-1] is good
-    assert replies.taken() == found
+    assert replies.take_replies() == found
 
 
 def test_a_spoilt_answer_of_the_counter_costs_its_connection_alone() -> None:
@@ -622,7 +622,7 @@
         ends: list[tuple[int, str, float]] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda e: ends.append((e.name, e.status, e.total))
+        client.on_event = lambda e: ends.append((e.name, e.status, e.total))
         r.freeze()
         for name in (1, 2, 3):
             client.add(name, 1, 4.0)
@@ -646,7 +646,7 @@
         assert client is not None
         r.freeze()
         ends: list[str] = []
-        client.tell = lambda e: ends.append(e.status)
+        client.on_event = lambda e: ends.append(e.status)
         for _ in range(4):
             client.add(1, 1, 4.0)
             r.turn()
@@ -662,7 +662,7 @@
         ends: list[tuple[int, str]] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda e: ends.append((e.name, e.status))
+        client.on_event = lambda e: ends.append((e.name, e.status))
         r.freeze()
         client.add(1, 1, 4.0)
         old = r.counter.accept()
@@ -832,7 +832,7 @@
         server.send(OK)
         assert client.answer()[0] == 200
         r.peers["s-9"] = r.peers.pop("s-0")
-        r.daemon.inventory.told(r.listing())
+        r.daemon.inventory.apply_object(r.listing())
         r.ask(2, wire=client)
         _, new = r.served()
         new.answer()
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -11,8 +11,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenpulley.net.objects import Objects
-from brackenpulley.net.watching import CONNECT, OPENS, SILENT, TOLD, WAITS, Watch
+from brackenpulley.net.objects import JsonObjectSplitter
+from brackenpulley.net.watching import (
+    BACKOFFS_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
+    MISSED_CHANGE_DEADLINE_SECONDS,
+    OPEN_TIMEOUTS_SECONDS,
+    SILENCE_TIMEOUT_SECONDS,
+    WatchSchedule,
+)
 
 from .rig import Peer, Rig, rig
 from .test_platform import chunk
@@ -31,9 +38,9 @@
 
 
 def objects(parts: list[bytes], most: int = 1 << 20) -> list[Any]:
-    found = Objects(most)
+    found = JsonObjectSplitter(most)
     taken = [json.loads(data) for part in parts for data in found.feed(part)]
-    found.end()
+    found.finish()
     return taken
 
 
@@ -101,7 +108,7 @@
             return part
 
     data = json.dumps({"instances": [LIST] * 500}, indent=1).encode()
-    found = Objects(1 << 22)
+    found = JsonObjectSplitter(1 << 22)
     whole = [x for at in range(0, len(data), 64) for x in found.feed(Counted(data[at : at + 64]))]
     assert whole == [data] and looked < 1.5 * len(data)
 
@@ -114,27 +121,27 @@
 def told_after(does: Does, seed: int, breaks: int = 0, whole: bool = False, up: bool = True) -> tuple[float, int]:
     """Seconds from a watch's last byte to the next list, and the calls that it took. `up`: a call that gets no list
     has a connection that came up."""
-    watch, now = Watch(random.Random(seed)), 100.0
+    watch, now = WatchSchedule(random.Random(seed)), 100.0
     for _ in range(breaks):  # opened and ended again, with nothing changed
-        watch.asking(now, False)
-        watch.heard(now + 0.01)
-        now += 0.02 + watch.broken(now + 0.02)
-    watch.asking(now, whole)
+        watch.start_call(now, False)
+        watch.record_byte(now + 0.01)
+        now += 0.02 + watch.record_failure(now + 0.02)
+    watch.start_call(now, whole)
     last = now
     if not whole:
-        watch.heard(now + 0.01)
+        watch.record_byte(now + 0.01)
         last = now + 0.01
-    now = watch.due()
+    now = watch.next_deadline()
     for call in range(1, 60):
-        now += watch.broken(now)
-        watch.asking(now, whole)
+        now += watch.record_failure(now)
+        watch.start_call(now, whole)
         takes = does(call, now - last)
         if up or takes < 99.0:
-            watch.connected()
-        if now + takes < watch.due():
-            watch.told()
+            watch.set_connected()
+        if now + takes < watch.next_deadline():
+            watch.record_list()
             return now + takes - last, call
-        now = watch.due()
+        now = watch.next_deadline()
     raise AssertionError("never told")
 
 
@@ -147,18 +154,25 @@
     for seed in SEEDS:
         assert told_after(lambda call, _: 0.05 if call == 1 else 99.0, seed, breaks)[0] < 3.4
         after, calls = told_after(lambda call, _: 99.0 if call == 1 else 0.9, seed, breaks)
-        assert calls == 2 and after < TOLD - 0.4
-    assert SILENT + WAITS[0] + OPENS[0] + WAITS[1] + OPENS[1] <= TOLD - 0.5
+        assert calls == 2 and after < MISSED_CHANGE_DEADLINE_SECONDS - 0.4
+    assert (
+        SILENCE_TIMEOUT_SECONDS
+        + BACKOFFS_SECONDS[0]
+        + OPEN_TIMEOUTS_SECONDS[0]
+        + BACKOFFS_SECONDS[1]
+        + OPEN_TIMEOUTS_SECONDS[1]
+        <= MISSED_CHANGE_DEADLINE_SECONDS - 0.5
+    )
 
 
 def test_a_list_that_is_silent_from_the_start_is_asked_for_again_in_time() -> None:
     assert max(told_after(lambda call, _: 99.0 if call == 1 else 0.9, seed, whole=True)[0] for seed in SEEDS) < 3.5
 
 
-@pytest.mark.parametrize(("up", "most"), [(True, OPENS[-1]), (False, CONNECT)])
+@pytest.mark.parametrize(("up", "most"), [(True, OPEN_TIMEOUTS_SECONDS[-1]), (False, CONNECT_TIMEOUT_SECONDS)])
 def test_a_discovery_that_was_down_for_8_s_is_heard_soon_after_and_not_in_step(up: bool, most: float) -> None:
     found = [told_after(lambda call, since: 0.05 if since > 8.0 else 99.0, seed, up=up) for seed in SEEDS]
-    assert max(after for after, _ in found) < 8.0 + most + WAITS[-1] + 0.1
+    assert max(after for after, _ in found) < 8.0 + most + BACKOFFS_SECONDS[-1] + 0.1
     assert max(calls for _, calls in found) <= 7  # over 8 s, and 200 ask
     times = sorted(after for after, _ in found)
     assert max(sum(at <= other < at + 0.1 for other in times) for at in times) < len(times) / 4
@@ -171,24 +185,24 @@
 
 def test_a_watch_that_opens_and_ends_at_once_is_not_asked_for_without_a_pause() -> None:
     for seed in SEEDS:
-        watch, now = Watch(random.Random(seed)), 0.0
+        watch, now = WatchSchedule(random.Random(seed)), 0.0
         for _ in range(40):
-            watch.asking(now, False)
-            watch.heard(now + 0.01)
-            now += 0.02 + watch.broken(now + 0.02)
+            watch.start_call(now, False)
+            watch.record_byte(now + 0.01)
+            now += 0.02 + watch.record_failure(now + 0.02)
         assert now > 20.0
 
 
 def test_a_discovery_whose_answer_begins_with_its_first_line_is_given_the_time_of_a_line() -> None:
-    watch = Watch(random.Random(1))
-    watch.asking(10.0, False)
-    watch.connected()
-    assert watch.due() == 11.0
-    watch.heard(12.0)  # the caller looked late, or the head came with an empty line
-    watch.broken(15.0)
-    watch.asking(15.1, False)
-    watch.connected()
-    assert watch.due() == pytest.approx(15.1 + SILENT)
+    watch = WatchSchedule(random.Random(1))
+    watch.start_call(10.0, False)
+    watch.set_connected()
+    assert watch.next_deadline() == 11.0
+    watch.record_byte(12.0)  # the caller looked late, or the head came with an empty line
+    watch.record_failure(15.0)
+    watch.start_call(15.1, False)
+    watch.set_connected()
+    assert watch.next_deadline() == pytest.approx(15.1 + SILENCE_TIMEOUT_SECONDS)
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -209,7 +223,7 @@
         change = json.dumps({**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}, indent=indent).encode()
         for part in (change[:40], change[40:] + b"\n\n"):  # a change in two chunks
             wire.send(b"%x\r\n%s\r\n" % (len(part), part))
-        r.until(lambda: not r.daemon.inventory.usable("s-0"))
+        r.until(lambda: not r.daemon.inventory.is_usable("s-0"))
         wire.send(chunk({"generation": 9})[:-2] + b"\r\n")  # no list: the whole one is asked for
         assert source.accept().until(b"\r\n\r\n").startswith(b"GET /v1/endpoints HTTP/1.1")
 
@@ -227,7 +241,7 @@
         r.until(lambda: r.daemon.discovery.heard)
         last = r.daemon.clock()
         calls: list[Any] = []  # none of them is ever answered
-        while len(calls) < 2 and r.daemon.clock() < last + TOLD:
+        while len(calls) < 2 and r.daemon.clock() < last + MISSED_CHANGE_DEADLINE_SECONDS:
             r.step(0.05)
             calls += [call] if (call := source.connected()) is not None else []
         assert len(calls) == 2 and r.daemon.clock() < last + 4.7
@@ -247,37 +261,44 @@
     """The call that is out at the return is never answered, the next one never comes up, the third one is answered."""
     for seed in SEEDS:
         for before in range(12):
-            watch, now = Watch(random.Random(seed)), 100.0
-            watch.asking(now, False)
-            watch.connected()
-            watch.heard(now + (2.0 if slow else 0.1))
+            watch, now = WatchSchedule(random.Random(seed)), 100.0
+            watch.start_call(now, False)
+            watch.set_connected()
+            watch.record_byte(now + (2.0 if slow else 0.1))
             now += 3.0
-            now += watch.broken(now)
+            now += watch.record_failure(now)
             for call in range(before + 1):
-                watch.asking(now, False)
-                watch.connected()
+                watch.start_call(now, False)
+                watch.set_connected()
                 back = now + 0.001  # discovery is back right after the last of these was begun
-                now = now + took if (took := FAILS[how](call)) else watch.due()
-                now += watch.broken(now)
-            watch.asking(now, False)  # does not come up
-            now = watch.due()
-            now += watch.broken(now)
+                now = now + took if (took := FAILS[how](call)) else watch.next_deadline()
+                now += watch.record_failure(now)
+            watch.start_call(now, False)  # does not come up
+            now = watch.next_deadline()
+            now += watch.record_failure(now)
             assert now + 0.05 - back < 5.0
 
 
 def test_a_list_that_trickles_and_an_object_that_stays_open_are_given_up_in_time() -> None:
-    watch = Watch(random.Random(1))
-    watch.asking(10.0, True)
-    watch.connected()
+    watch = WatchSchedule(random.Random(1))
+    watch.start_call(10.0, True)
+    watch.set_connected()
     for step in range(12):
-        watch.heard(10.1 + step * 0.25)  # never a second without a byte
-    assert watch.due() == pytest.approx(13.0)
-    watch.asking(20.0, False)
-    watch.connected()
+        watch.record_byte(10.1 + step * 0.25)  # never a second without a byte
+    assert watch.next_deadline() == pytest.approx(13.0)
+    watch.start_call(20.0, False)
+    watch.set_connected()
     for at in (20.1, 22.0, 24.0, 26.0):  # empty lines, the last three of them inside an object
-        watch.heard(at)
-        watch.holds(at >= 22.0, at)
-    assert watch.due() == pytest.approx(23.0)
-    watch.holds(False, 26.0)
-    assert watch.due() == pytest.approx(26.0 + SILENT)
-    assert SILENT + WAITS[0] + OPENS[0] + WAITS[1] + OPENS[1] < 5.0
+        watch.record_byte(at)
+        watch.set_object_open(at >= 22.0, at)
+    assert watch.next_deadline() == pytest.approx(23.0)
+    watch.set_object_open(False, 26.0)
+    assert watch.next_deadline() == pytest.approx(26.0 + SILENCE_TIMEOUT_SECONDS)
+    assert (
+        SILENCE_TIMEOUT_SECONDS
+        + BACKOFFS_SECONDS[0]
+        + OPEN_TIMEOUTS_SECONDS[0]
+        + BACKOFFS_SECONDS[1]
+        + OPEN_TIMEOUTS_SECONDS[1]
+        < 5.0
+    )
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -109,23 +109,23 @@
 
 def test_a_server_taken_out_gets_nothing_and_comes_back_whatever_the_source_says() -> None:
     with rig(2) as r:
-        r.daemon.inventory.take_out(frozenset({"s-0"}))
-        assert not r.daemon.inventory.usable("s-0") and r.daemon.inventory.usable("s-1")
-        assert {e.server: e.state for e in r.daemon.inventory.listed()} == {"s-0": "up", "s-1": "up"}
-        r.daemon.inventory.told({**r.listing(), "generation": 8})  # told anew as serving: it stays out
-        assert not r.daemon.inventory.usable("s-0")
+        r.daemon.inventory.set_cordoned(frozenset({"s-0"}))
+        assert not r.daemon.inventory.is_usable("s-0") and r.daemon.inventory.is_usable("s-1")
+        assert {e.server: e.state for e in r.daemon.inventory.list_entries()} == {"s-0": "up", "s-1": "up"}
+        r.daemon.inventory.apply_object({**r.listing(), "generation": 8})  # told anew as serving: it stays out
+        assert not r.daemon.inventory.is_usable("s-0")
         for number in range(1, 4):
             client = r.ask(number)
             name, server = r.served()
             server.answer()
             server.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
             assert name == "s-1" and client.answer()[0] == 200
-        r.daemon.inventory.take_out(frozenset())
-        assert r.daemon.inventory.usable("s-0")
-        r.daemon.inventory.told(r.listing(s_0="DRAINING"))
-        r.daemon.inventory.take_out(frozenset({"s-0"}))
-        r.daemon.inventory.take_out(frozenset())
-        assert not r.daemon.inventory.usable("s-0")  # it drains by its own word
+        r.daemon.inventory.set_cordoned(frozenset())
+        assert r.daemon.inventory.is_usable("s-0")
+        r.daemon.inventory.apply_object(r.listing(s_0="DRAINING"))
+        r.daemon.inventory.set_cordoned(frozenset({"s-0"}))
+        r.daemon.inventory.set_cordoned(frozenset())
+        assert not r.daemon.inventory.is_usable("s-0")  # it drains by its own word
 
 
 MEMBERS = {"fleet": "f", "listen": "127.0.0.1:9300", "keys": "k"}
