--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""Discovery's list: objects told apart by their own syntax, and the clock of a watch in virtual time."""
+"""Discovery's stream: splitting it into JSON objects, and the timeouts of a watch in virtual time."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 from .rig import Peer, Rig, rig
 from .test_platform import chunk
 
-LIST: dict[str, Any] = {
+SAMPLE_LIST: dict[str, Any] = {
     "generation": 3,
     "reset": True,
     "instances": [{"instanceId": 's-"{1}\\', "hostPort": "10.0.0.1:1", "zone": "é}", "cell": 0, "weight": 1.0}],
 }
 LAYOUTS = [
-    json.dumps(LIST).encode(),
-    json.dumps(LIST, indent=2).encode(),
-    json.dumps(LIST, indent="\t").encode(),
-    json.dumps(LIST, ensure_ascii=False, indent=1).encode(),
+    json.dumps(SAMPLE_LIST).encode(),
+    json.dumps(SAMPLE_LIST, indent=2).encode(),
+    json.dumps(SAMPLE_LIST, indent="\t").encode(),
+    json.dumps(SAMPLE_LIST, ensure_ascii=False, indent=1).encode(),
 ]
 
 
-def objects(parts: list[bytes], most: int = 1 << 20) -> list[Any]:
+def split_objects(parts: list[bytes], most: int = 1 << 20) -> list[Any]:
     found = JsonObjectSplitter(most)
     taken = [json.loads(data) for part in parts for data in found.feed(part)]
     found.finish()
@@ -45,16 +45,16 @@
 
 
 @pytest.mark.parametrize("layout", LAYOUTS)
-def test_an_object_cut_at_every_byte_is_taken_once(layout: bytes) -> None:
+def test_an_object_split_at_any_byte_is_parsed_once(layout: bytes) -> None:
     for cut in range(len(layout) + 1):
-        assert objects([layout[:cut], layout[cut:]]) == [LIST]
-    assert objects([bytes([byte]) for byte in layout]) == [LIST]
+        assert split_objects([layout[:cut], layout[cut:]]) == [SAMPLE_LIST]
+    assert split_objects([bytes([byte]) for byte in layout]) == [SAMPLE_LIST]
 
 
-def test_several_objects_a_read_and_empty_lines_between_them() -> None:
+def test_several_objects_in_one_read_with_empty_lines_between_them() -> None:
     data = b"\n\r\n" + b"\n \n".join(LAYOUTS) + b"\n\n" + b"".join(LAYOUTS)
-    assert objects([data]) == [LIST] * 8
-    assert objects([data[at : at + 7] for at in range(0, len(data), 7)]) == [LIST] * 8
+    assert split_objects([data]) == [SAMPLE_LIST] * 8
+    assert split_objects([data[at : at + 7] for at in range(0, len(data), 7)]) == [SAMPLE_LIST] * 8
 
 
 @pytest.mark.parametrize(
@@ -74,9 +74,9 @@
         [b'{"never closed":'] * 9,
     ],
 )
-def test_what_is_no_object_or_too_long_or_cut_off_is_refused(parts: list[bytes]) -> None:
+def test_invalid_too_long_and_truncated_objects_are_rejected(parts: list[bytes]) -> None:
     with pytest.raises(ValueError, match="object"):
-        objects(parts, most=100)
+        split_objects(parts, most=100)
 
 
 @given(
@@ -89,40 +89,43 @@
     st.lists(st.integers(0, 300), max_size=5),
 )
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_any_object_in_any_parts(inner: Any, plain: bool, cuts: list[int]) -> None:
+def test_any_object_split_into_any_parts(inner: Any, plain: bool, cuts: list[int]) -> None:
     data = json.dumps({"x": inner}, ensure_ascii=plain, indent=None if plain else 1).encode(errors="surrogatepass")
     data += b"\n" + json.dumps({"y": inner}).encode()
     at = [0, *sorted(cuts), len(data)]
-    assert objects([data[a:b] for a, b in zip(at, at[1:], strict=False)]) == [{"x": inner}, {"y": inner}]
+    assert split_objects([data[a:b] for a, b in zip(at, at[1:], strict=False)]) == [{"x": inner}, {"y": inner}]
 
 
 def test_a_long_object_costs_the_same_in_many_parts() -> None:
-    """Parsed again from the start with each part, it would be looked at thousands of times."""
-    looked = 0
+    """Guards against rescanning the object from its start with each part, which is quadratic."""
+    scanned_bytes = 0
 
-    class Counted(bytes):
+    class CountedBytes(bytes):
         def __getitem__(self, place: Any) -> Any:
-            nonlocal looked
+            nonlocal scanned_bytes
             part = super().__getitem__(place)
-            looked += len(part) if isinstance(place, slice) else 1
+            scanned_bytes += len(part) if isinstance(place, slice) else 1
             return part
 
-    data = json.dumps({"instances": [LIST] * 500}, indent=1).encode()
+    data = json.dumps({"instances": [SAMPLE_LIST] * 500}, indent=1).encode()
     found = JsonObjectSplitter(1 << 22)
-    whole = [x for at in range(0, len(data), 64) for x in found.feed(Counted(data[at : at + 64]))]
-    assert whole == [data] and looked < 1.5 * len(data)
+    whole = [x for at in range(0, len(data), 64) for x in found.feed(CountedBytes(data[at : at + 64]))]
+    assert whole == [data] and scanned_bytes < 1.5 * len(data)
 
 
-# The clock. A discovery in virtual time: what it does with the n-th call after its silence began, at `now`.
+# Timeouts and back-off, against a discovery in virtual time.
 
-Does = Callable[[int, float], float]  # seconds from the call to the list; more than a call may last: never
+ListDelay = Callable[[int, float], float]  # (n-th call, s since silence) -> s from the call to its list; 99 = never
 
 
-def told_after(does: Does, seed: int, breaks: int = 0, whole: bool = False, up: bool = True) -> tuple[float, int]:
-    """Seconds from a watch's last byte to the next list, and the calls that it took. `up`: a call that gets no list
-    has a connection that came up."""
+def seconds_until_list(
+    list_delay: ListDelay, seed: int, short_watches: int = 0, whole: bool = False, is_up: bool = True
+) -> tuple[float, int]:
+    """Return the seconds from a watch's last byte to the next list, and the number of calls that it took.
+
+    `is_up`: a call without a list connects all the same. `short_watches`: watches before that opened and ended."""
     watch, now = WatchSchedule(random.Random(seed)), 100.0
-    for _ in range(breaks):  # opened and ended again, with nothing changed
+    for _ in range(short_watches):  # opens, receives a byte and ends again without a change
         watch.start_call(now, False)
         watch.record_byte(now + 0.01)
         now += 0.02 + watch.record_failure(now + 0.02)
@@ -135,25 +138,25 @@
     for call in range(1, 60):
         now += watch.record_failure(now)
         watch.start_call(now, whole)
-        takes = does(call, now - last)
-        if up or takes < 99.0:
+        delay = list_delay(call, now - last)
+        if is_up or delay < 99.0:
             watch.set_connected()
-        if now + takes < watch.next_deadline():
+        if now + delay < watch.next_deadline():
             watch.record_list()
-            return now + takes - last, call
+            return now + delay - last, call
         now = watch.next_deadline()
-    raise AssertionError("never told")
+    raise AssertionError("no list within 60 calls")
 
 
 SEEDS = range(60)
 
 
-@pytest.mark.parametrize("breaks", [0, 1, 3, 10])
-def test_after_silence_two_calls_fit_into_the_time_that_counts_as_told(breaks: int) -> None:
-    """The first call never comes up, or comes up and says nothing: the second one is told in time."""
+@pytest.mark.parametrize("short_watches", [0, 1, 3, 10])
+def test_two_calls_fit_between_silence_and_the_deadline_of_a_missed_change(short_watches: int) -> None:
+    """The first call never connects or gets no byte; the second one gets the list in time."""
     for seed in SEEDS:
-        assert told_after(lambda call, _: 0.05 if call == 1 else 99.0, seed, breaks)[0] < 3.4
-        after, calls = told_after(lambda call, _: 99.0 if call == 1 else 0.9, seed, breaks)
+        assert seconds_until_list(lambda call, _: 0.05 if call == 1 else 99.0, seed, short_watches)[0] < 3.4
+        after, calls = seconds_until_list(lambda call, _: 99.0 if call == 1 else 0.9, seed, short_watches)
         assert calls == 2 and after < MISSED_CHANGE_DEADLINE_SECONDS - 0.4
     assert (
         SILENCE_TIMEOUT_SECONDS
@@ -165,25 +168,27 @@
     )
 
 
-def test_a_list_that_is_silent_from_the_start_is_asked_for_again_in_time() -> None:
-    assert max(told_after(lambda call, _: 99.0 if call == 1 else 0.9, seed, whole=True)[0] for seed in SEEDS) < 3.5
+def test_an_unanswered_list_request_is_repeated_in_time() -> None:
+    assert (
+        max(seconds_until_list(lambda call, _: 99.0 if call == 1 else 0.9, seed, whole=True)[0] for seed in SEEDS) < 3.5
+    )
 
 
-@pytest.mark.parametrize(("up", "most"), [(True, OPEN_TIMEOUTS_SECONDS[-1]), (False, CONNECT_TIMEOUT_SECONDS)])
-def test_a_discovery_that_was_down_for_8_s_is_heard_soon_after_and_not_in_step(up: bool, most: float) -> None:
-    found = [told_after(lambda call, since: 0.05 if since > 8.0 else 99.0, seed, up=up) for seed in SEEDS]
+@pytest.mark.parametrize(("is_up", "most"), [(True, OPEN_TIMEOUTS_SECONDS[-1]), (False, CONNECT_TIMEOUT_SECONDS)])
+def test_calls_recover_soon_and_spread_out_after_an_outage_of_8_s(is_up: bool, most: float) -> None:
+    found = [seconds_until_list(lambda call, since: 0.05 if since > 8.0 else 99.0, seed, is_up=is_up) for seed in SEEDS]
     assert max(after for after, _ in found) < 8.0 + most + BACKOFFS_SECONDS[-1] + 0.1
-    assert max(calls for _, calls in found) <= 7  # over 8 s, and 200 ask
+    assert max(calls for _, calls in found) <= 7  # in 8 s; with 200 ingresses more would overload discovery
     times = sorted(after for after, _ in found)
     assert max(sum(at <= other < at + 0.1 for other in times) for at in times) < len(times) / 4
 
 
-def test_a_crowded_discovery_that_takes_long_is_heard_all_the_same() -> None:
+def test_an_overloaded_slow_discovery_still_delivers_its_list() -> None:
     for seed in SEEDS:
-        assert told_after(lambda call, _: 2.4, seed)[1] == 4
+        assert seconds_until_list(lambda call, _: 2.4, seed)[1] == 4
 
 
-def test_a_watch_that_opens_and_ends_at_once_is_not_asked_for_without_a_pause() -> None:
+def test_a_watch_that_opens_and_ends_at_once_is_backed_off() -> None:
     for seed in SEEDS:
         watch, now = WatchSchedule(random.Random(seed)), 0.0
         for _ in range(40):
@@ -193,12 +198,12 @@
         assert now > 20.0
 
 
-def test_a_discovery_whose_answer_begins_with_its_first_line_is_given_the_time_of_a_line() -> None:
+def test_a_discovery_that_sends_no_head_before_its_first_line_gets_a_longer_timeout() -> None:
     watch = WatchSchedule(random.Random(1))
     watch.start_call(10.0, False)
     watch.set_connected()
     assert watch.next_deadline() == 11.0
-    watch.record_byte(12.0)  # the caller looked late, or the head came with an empty line
+    watch.record_byte(12.0)  # two seconds late: the head came only with an empty line
     watch.record_failure(15.0)
     watch.start_call(15.1, False)
     watch.set_connected()
@@ -206,89 +211,92 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_an_indented_list_makes_an_ingress_ready_and_an_indented_change_is_heard(indent: int | None) -> None:
-    scout = Rig()
-    source = Peer(scout)
-    scout.close()
-    with rig(discovery=source.at, known={}) as r:
-        source.rig = r
+def test_an_indented_list_makes_an_ingress_ready_and_an_indented_change_is_applied(indent: int | None) -> None:
+    setup_rig = Rig()
+    source = Peer(setup_rig)
+    setup_rig.close()
+    with rig(discovery=source.at, known={}) as harness:
+        source.rig = harness
         wire = source.accept()
         wire.until(b"\r\n\r\n")
-        body = json.dumps(r.listing(), indent=indent).encode()
+        body = json.dumps(harness.listing(), indent=indent).encode()
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         wire = source.accept()
         wire.until(b"\r\n\r\n")
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        assert r.daemon.ready()
-        change = json.dumps({**r.listing(s_0="DRAINING"), "reset": False, "generation": 8}, indent=indent).encode()
-        for part in (change[:40], change[40:] + b"\n\n"):  # a change in two chunks
+        assert harness.daemon.ready()
+        change = json.dumps(
+            {**harness.listing(s_0="DRAINING"), "reset": False, "generation": 8}, indent=indent
+        ).encode()
+        for part in (change[:40], change[40:] + b"\n\n"):  # one change in two chunks
             wire.send(b"%x\r\n%s\r\n" % (len(part), part))
-        r.until(lambda: not r.daemon.inventory.is_usable("s-0"))
-        wire.send(chunk({"generation": 9})[:-2] + b"\r\n")  # no list: the whole one is asked for
+        harness.until(lambda: not harness.daemon.inventory.is_usable("s-0"))
+        # An object without a list makes the ingress request the whole list.
+        wire.send(chunk({"generation": 9})[:-2] + b"\r\n")
         assert source.accept().until(b"\r\n\r\n").startswith(b"GET /v1/endpoints HTTP/1.1")
 
 
-def test_a_silent_watch_is_asked_for_again_twice_before_what_it_missed_counts_as_told() -> None:
-    scout = Rig()
-    source = Peer(scout)
-    scout.close()
-    with rig(discovery=source.at) as r:
-        source.rig = r
+def test_a_silent_watch_is_reopened_twice_before_the_deadline_of_a_missed_change() -> None:
+    setup_rig = Rig()
+    source = Peer(setup_rig)
+    setup_rig.close()
+    with rig(discovery=source.at) as harness:
+        source.rig = harness
         wire = source.accept()
         wire.until(b"\r\n\r\n")
-        r.freeze()
-        wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(r.listing()))
-        r.until(lambda: r.daemon.discovery.heard)
-        last = r.daemon.clock()
-        calls: list[Any] = []  # none of them is ever answered
-        while len(calls) < 2 and r.daemon.clock() < last + MISSED_CHANGE_DEADLINE_SECONDS:
-            r.step(0.05)
+        harness.freeze()
+        wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(harness.listing()))
+        harness.until(lambda: harness.daemon.discovery.heard)
+        last = harness.daemon.clock()
+        calls: list[Any] = []  # no call is ever answered
+        while len(calls) < 2 and harness.daemon.clock() < last + MISSED_CHANGE_DEADLINE_SECONDS:
+            harness.step(0.05)
             calls += [call] if (call := source.connected()) is not None else []
-        assert len(calls) == 2 and r.daemon.clock() < last + 4.7
+        assert len(calls) == 2 and harness.daemon.clock() < last + 4.7
 
 
-FAILS: dict[str, Callable[[int], float]] = {  # seconds until the n-th call has failed; 0 = not until it is given up
+FAILURE_DELAYS: dict[str, Callable[[int], float]] = {  # s until the n-th call fails; 0 = at its timeout
     "silent": lambda call: 0.0,
     "refused": lambda call: 0.001,
     "answered 503": lambda call: 0.05,
-    "one and the other": lambda call: 0.001 if call % 2 else 0.0,
+    "alternating": lambda call: 0.001 if call % 2 else 0.0,
 }
 
 
-@pytest.mark.parametrize("how", FAILS)
+@pytest.mark.parametrize("failure", FAILURE_DELAYS)
 @pytest.mark.parametrize("slow", [False, True])
-def test_from_its_return_on_discovery_is_heard_within_5_s_whatever_failed_before(how: str, slow: bool) -> None:
-    """The call that is out at the return is never answered, the next one never comes up, the third one is answered."""
+def test_a_recovered_discovery_is_reached_within_5_s_whatever_failed_before(failure: str, slow: bool) -> None:
+    """The call in flight at the recovery is never answered, the next one never connects, the third one is answered."""
     for seed in SEEDS:
-        for before in range(12):
+        for failures_before in range(12):
             watch, now = WatchSchedule(random.Random(seed)), 100.0
             watch.start_call(now, False)
             watch.set_connected()
             watch.record_byte(now + (2.0 if slow else 0.1))
             now += 3.0
             now += watch.record_failure(now)
-            for call in range(before + 1):
+            for call in range(failures_before + 1):
                 watch.start_call(now, False)
                 watch.set_connected()
-                back = now + 0.001  # discovery is back right after the last of these was begun
-                now = now + took if (took := FAILS[how](call)) else watch.next_deadline()
+                recovered_at = now + 0.001  # discovery recovers right after the start of the last call
+                now = now + failure_delay if (failure_delay := FAILURE_DELAYS[failure](call)) else watch.next_deadline()
                 now += watch.record_failure(now)
-            watch.start_call(now, False)  # does not come up
+            watch.start_call(now, False)  # never connects
             now = watch.next_deadline()
             now += watch.record_failure(now)
-            assert now + 0.05 - back < 5.0
+            assert now + 0.05 - recovered_at < 5.0
 
 
-def test_a_list_that_trickles_and_an_object_that_stays_open_are_given_up_in_time() -> None:
+def test_a_slow_list_and_an_unfinished_object_time_out() -> None:
     watch = WatchSchedule(random.Random(1))
     watch.start_call(10.0, True)
     watch.set_connected()
     for step in range(12):
-        watch.record_byte(10.1 + step * 0.25)  # never a second without a byte
+        watch.record_byte(10.1 + step * 0.25)  # a byte every 0.25 s
     assert watch.next_deadline() == pytest.approx(13.0)
     watch.start_call(20.0, False)
     watch.set_connected()
-    for at in (20.1, 22.0, 24.0, 26.0):  # empty lines, the last three of them inside an object
+    for at in (20.1, 22.0, 24.0, 26.0):  # empty lines, all but the first inside an object
         watch.record_byte(at)
         watch.set_object_open(at >= 22.0, at)
     assert watch.next_deadline() == pytest.approx(23.0)
