--- a/brackenpulley/net/watching.py
+++ b/brackenpulley/net/watching.py
@@ -1,7 +1,7 @@
 """Timeouts and back-off of the calls to discovery. No I/O; used by `inventory.Discovery`.
 
 A change that a broken watch misses counts as delivered MISSED_CHANGE_DEADLINE_SECONDS (6 s) after the watch fell
-silent, whether it arrived or not. In seconds from the watch's last byte on:
+silent, whether it arrived or not. In seconds from the watch's last byte on, with constants named without _SECONDS:
 
     SILENCE_TIMEOUT                     2.5   an empty line comes every 2 s, so one is late
     BACKOFFS[0] + OPEN_TIMEOUTS[0]      1.2   first new call: the connect fails, or no byte comes
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -227,7 +227,7 @@
     with rig(counter=True, operator=operator(tmp_path)) as r:
         knows(r)
         assert r.daemon.counter is not None
-        file = r.daemon.counter.at
+        file = r.daemon.counter.address
         r.daemon.configuration.daemon.counter.move = moved.append
         change(r, tmp_path, 0, addresses={"counter": "127.0.0.1:7777"})
         assert moved == [("127.0.0.1", 7777)]
