--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -212,7 +212,7 @@
         """
         if self.config.initial_servers:
             try:
-                self.inventory.told(self.config.initial_servers, stale=True)
+                self.inventory.apply_object(self.config.initial_servers, is_stale=True)
             except (ValueError, TypeError) as error:  # discovery replaces this list, so serving can go on without it
                 self.log.error("initial server list rejected", error=str(error))
         for part in (self.ledger, self.plans, self.leases, self.discovery):
@@ -294,7 +294,7 @@
         return {
             "active": waiting + self.north.streaming_responses,
             "pool_size": len(self.inventory),
-            "pool_ejected": sum(self.inventory.address(name) is not None for name in ejected),
+            "pool_ejected": sum(self.inventory.find_address(name) is not None for name in ejected),
         }
 
     def log_counters(self) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,7 +15,7 @@
 import structlog
 
 from brackenpulley.config import decode
-from brackenpulley.net.south import REST
+from brackenpulley.net.south import REUSE_DELAY_SECONDS
 from brackenpulley.operator import decode as operator_of
 from brackenpulley.serve import Daemon
 
@@ -206,7 +206,7 @@
         `more` are further header lines; `ident` is the request id, by default `number`.
         """
         if wire is not None:  # a reused client connection: the pause lets the ingress reuse its server connection too
-            self.clock_offset += REST
+            self.clock_offset += REUSE_DELAY_SECONDS
         head = (
             f"{method} /a/{number:016x}?q=1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: {ident or number:016x}\r\n"
             f"X-Priority-Class: a\r\nX-Tariff: p\r\nX-Timeout: {timeout}\r\n{more}"
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -22,7 +22,7 @@
 from brackenpulley.bodies.pace import Pace
 from brackenpulley.bodies.spool import SpoolFolder
 from brackenpulley.net import north
-from brackenpulley.net.answers import EARLY, Reply
+from brackenpulley.net.answers import STREAM_MIN_BYTES, ResponseReader
 from brackenpulley.net.http import MAX_BUFFERED_BODY_BYTES
 from brackenpulley.net.requests import RequestReader
 from brackenpulley.operator import decode
@@ -239,15 +239,15 @@
 def test_an_answer_in_any_form_and_pieces(size: int, form: str, cut: int, step: int) -> None:
     body, body_memory = noise(size), BodyMemory(TOTAL)
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + frame(body, form, cut)
-    reply, stream = Reply(32 << 20), None
+    reply, stream = ResponseReader(32 << 20), None
     for i in range(0, len(data), step):
         reply.feed(data[i : i + step])
-        if reply.long and stream is None:
-            stream = Body(body_memory, reply.length)
-            reply.flow(stream)
-    reply.end()
-    assert reply.whole and (stream.take(1 << 30) if stream else [reply.body])
-    assert stream is None or size > MAX_BUFFERED_BODY_BYTES or reply.length > MAX_BUFFERED_BODY_BYTES
+        if reply.is_long and stream is None:
+            stream = Body(body_memory, reply.content_length)
+            reply.stream_to(stream)
+    reply.handle_eof()
+    assert reply.is_complete and (stream.take(1 << 30) if stream else [reply.body])
+    assert stream is None or size > MAX_BUFFERED_BODY_BYTES or reply.content_length > MAX_BUFFERED_BODY_BYTES
     if stream is not None:
         stream.begin()
 
@@ -256,12 +256,12 @@
 def test_an_answer_cut_at_any_byte_is_never_whole(form: str) -> None:
     data = b"HTTP/1.1 200 OK\r\n" + frame(noise(40), form, 17)
     for end in range(len(data) - 1):
-        reply = Reply()
+        reply = ResponseReader()
         reply.feed(data[:end])
-        reply.end()
+        reply.handle_eof()
         # Without another framing the end of the connection is the end of the body, wherever it is.
         is_end_unknown = form == "close" and end >= data.index(b"\r\n\r\n") + 4
-        assert reply.whole == is_end_unknown
+        assert reply.is_complete == is_end_unknown
 
 
 # Long answers, over sockets.
@@ -435,7 +435,7 @@
         for _ in range(attempts):
             _, server = harness.accept_relay()
             server.read_http()
-            server.send(H200 + b"Content-Length: %d\r\n\r\n" % announced + noise(EARLY))
+            server.send(H200 + b"Content-Length: %d\r\n\r\n" % announced + noise(STREAM_MIN_BYTES))
         assert client.read_http()[0] == status and harness.count("relays") == attempts
         assert any(s.error_rate for s in harness.daemon.ingress.decision_module.servers.values()) == (attempts > 1)
 
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -1,4 +1,4 @@
-"""The counter's late answers: far, loaded, silent; doubled, after a new name, a new connection, an emptied counter."""
+"""Late replies of the counter: a distant, overloaded or silent counter; duplicates; a new name; a lost connection."""
 
 from __future__ import annotations
 
@@ -13,451 +13,456 @@
 from .test_link import SETTINGS
 from .util import Driver, select
 
-WAIT = 0.03  # s, the time-out of a call
-START = 1005.0  # a while into the life of a counter's name, so that none ends within a short test
+CALL_TIMEOUT_SECONDS = 0.03
+START_SECONDS = 1005.0  # far enough from the expiry of a counter name that none expires within a short test
 
 
-def drive(start: float = START) -> Driver:
-    d = Driver(servers=20, start=start, counter_timeout=WAIT)
-    d.decision_module.started_at = start
-    return d
+def make_drive(start: float = START_SECONDS) -> Driver:
+    drive = Driver(servers=20, start=start, counter_timeout=CALL_TIMEOUT_SECONDS)
+    drive.decision_module.started_at = start
+    return drive
 
 
-def busy(d: Driver, count: int = 8) -> AddToCounter:
-    """A customer takes so much that it is told; the call."""
+def make_first_call(drive: Driver, count: int = 8) -> AddToCounter:
+    """Use so much of a firm's quota that the counter is called, and return the call."""
     for _ in range(count):
-        d.send_message(spread=3)
-    (call,) = select(AddToCounter, d.actions)
-    d.actions.clear()
+        drive.send_message(spread=3)
+    (call,) = select(AddToCounter, drive.actions)
+    drive.actions.clear()
     return call
 
 
-def again(d: Driver, after: float = 1.0) -> AddToCounter:
-    """The next call, after this time and a few more tries."""
-    d.now += after
-    d.actions.clear()
-    for tries in range(20):
-        if tries >= 4 and select(AddToCounter, d.actions):
+def make_next_call(drive: Driver, after: float = 1.0) -> AddToCounter:
+    """Return the next call, after `after` seconds and a few more messages."""
+    drive.now += after
+    drive.actions.clear()
+    for request_number in range(20):
+        if request_number >= 4 and select(AddToCounter, drive.actions):
             break
-        for send in select(Send, d.send_message(spread=3)):
-            d.handle(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
+        for send in select(Send, drive.send_message(spread=3)):
+            drive.handle(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
     for _ in range(40):
-        if not select(AddToCounter, d.actions):
-            d.now += 0.05
-            d.handle(TimerFired(d.decision_module.timer_token))
-    (call,) = select(AddToCounter, d.actions)
-    d.actions.clear()
+        if not select(AddToCounter, drive.actions):
+            drive.now += 0.05
+            drive.handle(TimerFired(drive.decision_module.timer_token))
+    (call,) = select(AddToCounter, drive.actions)
+    drive.actions.clear()
     return call
 
 
-def lost(d: Driver, call: AddToCounter) -> None:
-    d.now += WAIT
-    d.handle(CounterResult(call.name, "timeout", 0.0, WAIT))
+def time_out(drive: Driver, call: AddToCounter) -> None:
+    drive.now += CALL_TIMEOUT_SECONDS
+    drive.handle(CounterResult(call.name, "timeout", 0.0, CALL_TIMEOUT_SECONDS))
 
 
-def late(d: Driver, call: AddToCounter, total: float, after: float = 0.025) -> None:
-    d.now += after
-    d.handle(LateCounterResult(call.call, "ok", total, WAIT + after))
+def deliver_late(drive: Driver, call: AddToCounter, total: float, after: float = 0.025) -> None:
+    drive.now += after
+    drive.handle(LateCounterResult(call.call, "ok", total, CALL_TIMEOUT_SECONDS + after))
 
 
 def test_a_late_total_is_a_reading_as_of_the_time_its_call_was_sent() -> None:
-    """Of 377 calls of one day 376 were answered after their time-out, and nothing was learned all day."""
-    d = drive()
-    call, sent = busy(d), d.now
-    lost(d, call)
-    c = d.decision_module.firms[1]
-    before = c.level
-    late(d, call, call.amount + 2.0)
-    assert (c.reading_at, c.counter_total, c.pending_calls) == (sent, call.amount + 2.0, [])
-    assert c.level > before + 5  # all of the store is known of now, not this gateway's share alone
-
-
-def test_what_was_granted_up_to_a_call_is_known_when_it_is_sent() -> None:
-    """Else a part of it counts as granted after the call, and the reading grants it a second time."""
-    d = drive()
-    busy(d)
-    c = d.decision_module.firms[1]
-    c.unreported, at = 5.0, c.filled_at
-    d.decision_module.firms.set_due(c, True)
-    d.now += 0.7
-    (call,) = select(AddToCounter, d.handle(TimerFired(d.decision_module.timer_token)))
-    assert c.filled_at == d.now > at and c.pending_calls[-1].serial == call.call
-    assert c.pending_calls[-1].granted == c.granted > 0
+    """Guards against discarding late totals: where 376 of 377 calls timed out first, the level was never corrected."""
+    drive = make_drive()
+    call, sent = make_first_call(drive), drive.now
+    time_out(drive, call)
+    firm = drive.decision_module.firms[1]
+    before = firm.level
+    deliver_late(drive, call, call.amount + 2.0)
+    assert (firm.reading_at, firm.counter_total, firm.pending_calls) == (sent, call.amount + 2.0, [])
+    assert firm.level > before + 5  # refilled at the whole known rate, no longer at this ingress's share alone
+
+
+def test_a_call_records_the_units_granted_before_it() -> None:
+    """Guards against a double grant: units not recorded by the call would be granted again by its reading."""
+    drive = make_drive()
+    make_first_call(drive)
+    firm = drive.decision_module.firms[1]
+    firm.unreported, at = 5.0, firm.filled_at
+    drive.decision_module.firms.set_due(firm, True)
+    drive.now += 0.7
+    (call,) = select(AddToCounter, drive.handle(TimerFired(drive.decision_module.timer_token)))
+    assert firm.filled_at == drive.now > at and firm.pending_calls[-1].serial == call.call
+    assert firm.pending_calls[-1].granted == firm.granted > 0
 
 
 @pytest.mark.parametrize("after", [0.025, 0.4])
-def test_what_is_granted_and_used_while_the_total_is_on_its_way_is_left_as_it_is(after: float) -> None:
-    """In time or late, a total says the same, and then the same of the store at the time of the call."""
+def test_units_granted_and_used_while_a_total_is_in_flight_are_kept(after: float) -> None:
+    """A total leads to the same level in time or late, since it is a reading as of the time of its call."""
     levels = []
-    for way in (0.0, after):
-        d = drive()
-        first = busy(d)
-        d.handle(CounterResult(first.name, "ok", first.amount, 0.0))
-        call = again(d)
-        if not way:
-            d.handle(CounterResult(call.name, "ok", first.amount + call.amount + 6.0, 0.0))
-        d.now += WAIT
-        if way:
-            d.handle(CounterResult(call.name, "timeout", 0.0, WAIT))
-        d.send_message(spread=3, units=2.0)  # own use since is not the others'
-        d.now += after
-        d.decision_module.fill_bucket(d.now, c := d.decision_module.firms[1])
-        if way:
-            d.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, WAIT + after))
-        levels.append((c.level, c.reading_at, c.counter_total))
+    for round_trip in (0.0, after):
+        drive = make_drive()
+        first = make_first_call(drive)
+        drive.handle(CounterResult(first.name, "ok", first.amount, 0.0))
+        call = make_next_call(drive)
+        if not round_trip:
+            drive.handle(CounterResult(call.name, "ok", first.amount + call.amount + 6.0, 0.0))
+        drive.now += CALL_TIMEOUT_SECONDS
+        if round_trip:
+            drive.handle(CounterResult(call.name, "timeout", 0.0, CALL_TIMEOUT_SECONDS))
+        drive.send_message(spread=3, units=2.0)  # own use since the call, not use by others
+        drive.now += after
+        drive.decision_module.fill_bucket(drive.now, firm := drive.decision_module.firms[1])
+        if round_trip:
+            drive.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, CALL_TIMEOUT_SECONDS + after))
+        levels.append((firm.level, firm.reading_at, firm.counter_total))
     (prompt, *same), (after_all, *also) = levels
     assert same == also
-    assert after_all == pytest.approx(prompt, abs=10.0 * (WAIT + after))  # but for what the pace of filling was since
+    # The tolerance is the refill in between, whose rate differed.
+    assert after_all == pytest.approx(prompt, abs=10.0 * (CALL_TIMEOUT_SECONDS + after))
 
 
-def test_a_far_total_credits_no_more_than_the_rate_and_loses_nothing_over_many_readings() -> None:
-    """The bound is the sending: a total counted as of its arrival would credit the way of each call anew."""
-    d = drive(start=1000.0 * 30)
-    call, at = busy(d), d.now
+def test_totals_with_a_long_round_trip_credit_at_most_the_rate_and_lose_nothing() -> None:
+    """A total counted as of its arrival, not of its call, would credit the round trip of each call again."""
+    drive = make_drive(start=1000.0 * 30)
+    call, at = make_first_call(drive), drive.now
     total = call.amount
-    lost(d, call)
-    late(d, call, total)
-    c = d.decision_module.firms[1]
+    time_out(drive, call)
+    deliver_late(drive, call, total)
+    firm = drive.decision_module.firms[1]
     for _ in range(12):
-        level = c.level
-        call = again(d, 0.5)
+        level = firm.level
+        call = make_next_call(drive, 0.5)
         total += call.amount + 5.0
-        sent, used = d.now, c.used
-        lost(d, call)
-        late(d, call, total, 0.085)
-        assert c.reading_at == sent
-        # Filled for a part of the time since, by the whole rate at most; the others took the rest.
-        assert c.level <= level - (c.used - used) + 10.0 * (d.now - at) + 1e-6
+        sent, used = drive.now, firm.used
+        time_out(drive, call)
+        deliver_late(drive, call, total, 0.085)
+        assert firm.reading_at == sent
+        # Refilled for a part of the time since, at the whole rate at most; the others took the rest.
+        assert firm.level <= level - (firm.used - used) + 10.0 * (drive.now - at) + 1e-6
         at = sent
-    assert -5 <= c.level <= 20
+    assert -5 <= firm.level <= 20
 
 
-def test_own_amounts_sent_since_are_not_taken_for_others_use() -> None:
-    d = drive()
-    first = busy(d)
-    lost(d, first)
-    second = again(d, 0.2)
-    c = d.decision_module.firms[1]
+def test_own_amounts_sent_since_do_not_count_as_use_by_others() -> None:
+    drive = make_drive()
+    first = make_first_call(drive)
+    time_out(drive, first)
+    second = make_next_call(drive, 0.2)
+    firm = drive.decision_module.firms[1]
     assert second.amount >= 3
-    late(d, first, first.amount, 0.005)  # while the second is out
-    assert c.others_rate == 0 and c.counter_total == first.amount and [x.serial for x in c.pending_calls] == [second.call]
-    lost(d, second)
-    late(d, second, first.amount + second.amount)
-    assert c.others_rate == 0 and c.counter_total == first.amount + second.amount and not c.pending_calls
-    third = again(d)
-    d.handle(CounterResult(third.name, "ok", c.counter_total + third.amount + 4.0, 0.01))
-    assert c.others_rate > 0
-
-
-def test_a_call_whose_total_never_came_may_have_been_added_or_not() -> None:
-    """Its connection broke. Whichever it was, no own unit counts as the others'."""
+    deliver_late(drive, first, first.amount, 0.005)  # while the second one is in flight
+    assert firm.others_rate == 0 and firm.counter_total == first.amount and [x.serial for x in firm.pending_calls] == [second.call]
+    time_out(drive, second)
+    deliver_late(drive, second, first.amount + second.amount)
+    assert firm.others_rate == 0 and firm.counter_total == first.amount + second.amount and not firm.pending_calls
+    third = make_next_call(drive)
+    drive.handle(CounterResult(third.name, "ok", firm.counter_total + third.amount + 4.0, 0.01))
+    assert firm.others_rate > 0
+
+
+def test_a_call_without_a_total_may_have_been_added_or_not() -> None:
+    """Its connection broke. In either case no own unit counts as use by others."""
     for added in (True, False):
-        d = drive()
-        first = busy(d)
-        d.handle(CounterResult(first.name, "ok", first.amount, 0.001))
-        second = again(d)
-        lost(d, second)
-        third = again(d)
-        lost(d, third)
-        c = d.decision_module.firms[1]
-        late(d, third, first.amount + second.amount * added + third.amount)
-        assert c.others_rate == 0 and not c.pending_calls and not d.decision_module.counter_calls.timed_out
-        late(d, second, first.amount + second.amount)  # cannot be: it would be out of turn
-        assert c.counter_total == first.amount + second.amount * added + third.amount
-
-
-def test_a_doubled_late_answer_counts_once() -> None:
-    d = drive()
-    call = busy(d)
-    lost(d, call)
-    late(d, call, call.amount + 9.0)
-    c = d.decision_module.firms[1]
-    before = (c.level, c.granted, c.reading_at, c.counter_total, c.others_rate, d.decision_module.counter_calls.interval)
-    d.handle(LateCounterResult(call.call, "ok", call.amount + 9.0, WAIT + 0.025))
-    d.handle(LateCounterResult(call.call, "ok", call.amount + 30.0, WAIT + 0.025))
-    d.handle(LateCounterResult(call.call, "full", 0.0, WAIT + 0.025))
-    d.handle(LateCounterResult(99, "ok", 1.0, 0.1))
-    assert (c.level, c.granted, c.reading_at, c.counter_total, c.others_rate, d.decision_module.counter_calls.interval) == before
-
-
-def test_a_late_total_never_answers_the_call_that_is_out() -> None:
-    """It ends nothing: one call is out at a time, under the same name as the late one."""
-    d = drive()
-    first = busy(d)
-    lost(d, first)
-    second = again(d, 0.2)
-    late(d, first, first.amount, 0.0)
-    assert d.decision_module.counter_calls.current is not None and d.decision_module.counter_calls.current.serial == second.call
-    d.now += 0.001
+        drive = make_drive()
+        first = make_first_call(drive)
+        drive.handle(CounterResult(first.name, "ok", first.amount, 0.001))
+        second = make_next_call(drive)
+        time_out(drive, second)
+        third = make_next_call(drive)
+        time_out(drive, third)
+        firm = drive.decision_module.firms[1]
+        deliver_late(drive, third, first.amount + second.amount * added + third.amount)
+        assert firm.others_rate == 0 and not firm.pending_calls and not drive.decision_module.counter_calls.timed_out
+        deliver_late(drive, second, first.amount + second.amount)  # out of order, so it is ignored
+        assert firm.counter_total == first.amount + second.amount * added + third.amount
+
+
+def test_a_duplicated_late_reply_counts_once() -> None:
+    drive = make_drive()
+    call = make_first_call(drive)
+    time_out(drive, call)
+    deliver_late(drive, call, call.amount + 9.0)
+    firm = drive.decision_module.firms[1]
+    before = (firm.level, firm.granted, firm.reading_at, firm.counter_total, firm.others_rate, drive.decision_module.counter_calls.interval)
+    drive.handle(LateCounterResult(call.call, "ok", call.amount + 9.0, CALL_TIMEOUT_SECONDS + 0.025))
+    drive.handle(LateCounterResult(call.call, "ok", call.amount + 30.0, CALL_TIMEOUT_SECONDS + 0.025))
+    drive.handle(LateCounterResult(call.call, "full", 0.0, CALL_TIMEOUT_SECONDS + 0.025))
+    drive.handle(LateCounterResult(99, "ok", 1.0, 0.1))
+    assert (firm.level, firm.granted, firm.reading_at, firm.counter_total, firm.others_rate, drive.decision_module.counter_calls.interval) == before
+
+
+def test_a_late_total_does_not_end_the_call_in_flight() -> None:
+    """One call is in flight at a time, under the same counter name as the late one."""
+    drive = make_drive()
+    first = make_first_call(drive)
+    time_out(drive, first)
+    second = make_next_call(drive, 0.2)
+    deliver_late(drive, first, first.amount, 0.0)
+    assert drive.decision_module.counter_calls.current is not None and drive.decision_module.counter_calls.current.serial == second.call
+    drive.now += 0.001
     for customer in (2, 3):
         for _ in range(8):
-            d.send_message(firm=customer, spread=3)
-    assert not select(AddToCounter, d.actions)
+            drive.send_message(firm=customer, spread=3)
+    assert not select(AddToCounter, drive.actions)
 
 
-def test_a_late_total_of_a_name_that_is_no_longer_in_use_is_no_reading() -> None:
-    d = drive(start=1019.9)  # the name's life ends at 1020
-    first = busy(d)
-    lost(d, first)
-    d.now = 1020.05
-    d.actions.clear()
-    second = again(d, 0.0)
+def test_a_late_total_of_an_expired_counter_name_is_ignored() -> None:
+    drive = make_drive(start=1019.9)  # the counter name expires at 1020
+    first = make_first_call(drive)
+    time_out(drive, first)
+    drive.now = 1020.05
+    drive.actions.clear()
+    second = make_next_call(drive, 0.0)
     assert second.name != first.name
-    c = d.decision_module.firms[1]
-    before = (c.level, c.counter_total, c.reading_at, len(c.pending_calls))
-    late(d, first, 500.0, 0.0)
-    assert (c.level, c.counter_total, c.reading_at, len(c.pending_calls)) == before
-    lost(d, second)
-    late(d, second, second.amount)
-    assert c.counter_total == second.amount and c.others_rate == 0
-
-
-def test_a_late_total_for_a_customer_that_was_forgotten_and_came_back_is_no_reading() -> None:
-    d = drive()
-    call = busy(d)
-    lost(d, call)
-    del d.decision_module.firms[1]
-    late(d, call, 30.0)
-    d.send_message(spread=3)
-    late(d, call, 30.0)
-    assert d.decision_module.firms[1].counter_total == 0 and d.decision_module.firms[1].reading_at < 0
-
-
-def test_a_late_total_below_what_is_known_says_that_the_counter_came_back_empty() -> None:
-    d = drive()
-    first = busy(d)
-    d.handle(CounterResult(first.name, "ok", first.amount + 30, 0.001))
-    c = d.decision_module.firms[1]
-    read_at = c.reading_at
-    second = again(d)
-    lost(d, second)
-    late(d, second, second.amount)
-    assert c.reading_at == read_at and c.counter_total == second.amount  # no reading, and the next one starts from it
-    third = again(d)
-    lost(d, third)
-    late(d, third, second.amount + third.amount)
-    assert c.reading_at > read_at and c.counter_total == second.amount + third.amount
-
-
-def test_what_is_turned_away_late_is_told_again() -> None:
-    d = drive()
-    call = busy(d)
-    lost(d, call)
-    c = d.decision_module.firms[1]
-    before, gap = c.unreported, d.decision_module.counter_calls.interval
-    d.now += 0.02
-    d.handle(LateCounterResult(call.call, "full", 0.0, 0.05))
-    assert c.unreported == before + call.amount and not c.pending_calls
-    assert d.decision_module.counter_calls.interval == gap  # it was slowed down for the time-out already
-
-
-def test_a_plan_that_changes_while_a_total_is_on_its_way_costs_nothing() -> None:
-    """The rate was the old one up to the call, whenever its total comes."""
+    firm = drive.decision_module.firms[1]
+    before = (firm.level, firm.counter_total, firm.reading_at, len(firm.pending_calls))
+    deliver_late(drive, first, 500.0, 0.0)
+    assert (firm.level, firm.counter_total, firm.reading_at, len(firm.pending_calls)) == before
+    time_out(drive, second)
+    deliver_late(drive, second, second.amount)
+    assert firm.counter_total == second.amount and firm.others_rate == 0
+
+
+def test_a_late_total_for_a_firm_that_was_evicted_and_came_back_is_ignored() -> None:
+    drive = make_drive()
+    call = make_first_call(drive)
+    time_out(drive, call)
+    del drive.decision_module.firms[1]
+    deliver_late(drive, call, 30.0)
+    drive.send_message(spread=3)
+    deliver_late(drive, call, 30.0)
+    assert drive.decision_module.firms[1].counter_total == 0 and drive.decision_module.firms[1].reading_at < 0
+
+
+def test_a_late_total_below_the_known_one_means_that_the_counter_was_reset() -> None:
+    drive = make_drive()
+    first = make_first_call(drive)
+    drive.handle(CounterResult(first.name, "ok", first.amount + 30, 0.001))
+    firm = drive.decision_module.firms[1]
+    read_at = firm.reading_at
+    second = make_next_call(drive)
+    time_out(drive, second)
+    deliver_late(drive, second, second.amount)
+    assert firm.reading_at == read_at and firm.counter_total == second.amount  # no reading, but the base of the next one
+    third = make_next_call(drive)
+    time_out(drive, third)
+    deliver_late(drive, third, second.amount + third.amount)
+    assert firm.reading_at > read_at and firm.counter_total == second.amount + third.amount
+
+
+def test_an_amount_rejected_late_is_sent_again() -> None:
+    drive = make_drive()
+    call = make_first_call(drive)
+    time_out(drive, call)
+    firm = drive.decision_module.firms[1]
+    before, gap = firm.unreported, drive.decision_module.counter_calls.interval
+    drive.now += 0.02
+    drive.handle(LateCounterResult(call.call, "full", 0.0, 0.05))
+    assert firm.unreported == before + call.amount and not firm.pending_calls
+    assert drive.decision_module.counter_calls.interval == gap  # the time-out has slowed the calls down already
+
+
+def test_a_plan_change_while_a_total_is_in_flight_costs_nothing() -> None:
+    """The old rate applies up to the call, whenever its total comes."""
     levels = []
-    for moved_first in (False, True):
-        d = drive()
-        first = busy(d)
-        d.handle(CounterResult(first.name, "ok", first.amount, 0.0))
-        call = again(d)
-        lost(d, call)
+    for is_plan_first in (False, True):
+        drive = make_drive()
+        first = make_first_call(drive)
+        drive.handle(CounterResult(first.name, "ok", first.amount, 0.0))
+        call = make_next_call(drive)
+        time_out(drive, call)
         change = PlansChanged([PlanSpec("gold", rate=40.0, burst=20.0)])
-        if moved_first:
-            d.handle(change)
-        d.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 4.0, WAIT))
-        if not moved_first:
-            d.handle(change)
-        levels.append(d.decision_module.firms[1].level)
+        if is_plan_first:
+            drive.handle(change)
+        drive.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 4.0, CALL_TIMEOUT_SECONDS))
+        if not is_plan_first:
+            drive.handle(change)
+        levels.append(drive.decision_module.firms[1].level)
     assert levels[0] == pytest.approx(levels[1])
 
 
-class Far:
-    """A counter so far away, that serves so many calls a second in turn; `silent` while it takes and never answers."""
+class DistantCounter:
+    """A counter with a round trip and a time per call, in seconds, that serves calls in order.
 
-    def __init__(self, way: float, each: float = 0.001) -> None:
-        self.way, self.each, self.free, self.silent = way, each, 0.0, False
+    While `is_silent`, it accepts calls and never replies."""
+
+    def __init__(self, round_trip: float, service_time: float = 0.001) -> None:
+        self.round_trip, self.service_time, self.free_at, self.is_silent = round_trip, service_time, 0.0, False
         self.totals: dict[int, float] = {}
-        self.due = deque[tuple[float, float, AddToCounter, float]]()  # answer's time, sending's, call, total
-        self.calls = self.told = 0
+        self.pending_replies = deque[tuple[float, float, AddToCounter, float]]()  # (reply due at, sent at, call, total)
+        self.calls = self.late_count = 0
 
-    def take(self, now: float, call: AddToCounter) -> None:
+    def receive(self, now: float, call: AddToCounter) -> None:
         self.calls += 1
-        if not self.silent:
-            self.free = max(self.free, now + self.way / 2) + self.each
+        if not self.is_silent:
+            self.free_at = max(self.free_at, now + self.round_trip / 2) + self.service_time
             self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-            self.due.append((self.free + self.way / 2, now, call, self.totals[call.name]))
+            self.pending_replies.append((self.free_at + self.round_trip / 2, now, call, self.totals[call.name]))
 
 
-def days(d: Driver, counter: Far, seconds: float) -> None:
-    """Firms that all have something to tell, in steps of 5 ms of virtual time."""
+def run_load(drive: Driver, counter: DistantCounter, seconds: float) -> None:
+    """Send messages of 40 firms, all with use to report, in steps of 5 ms of virtual time."""
     ended: set[int] = set()
     out: list[tuple[float, AddToCounter]] = []
-    beat = d.now
+    last_timer = drive.now
     for step in range(round(seconds / 0.005)):
-        d.now += 0.005
-        d.actions.clear()
-        while counter.due and counter.due[0][0] <= d.now:
-            _, sent, call, total = counter.due.popleft()
-            if d.now - sent <= WAIT:
+        drive.now += 0.005
+        drive.actions.clear()
+        while counter.pending_replies and counter.pending_replies[0][0] <= drive.now:
+            _, sent, call, total = counter.pending_replies.popleft()
+            if drive.now - sent <= CALL_TIMEOUT_SECONDS:
                 ended.add(call.call)
-                d.handle(CounterResult(call.name, "ok", total, d.now - sent))
+                drive.handle(CounterResult(call.name, "ok", total, drive.now - sent))
             else:
-                counter.told += 1
-                d.handle(LateCounterResult(call.call, "ok", total, d.now - sent))
+                counter.late_count += 1
+                drive.handle(LateCounterResult(call.call, "ok", total, drive.now - sent))
         for sent, call in list(out):
-            if call.call not in ended and d.now - sent >= WAIT:
+            if call.call not in ended and drive.now - sent >= CALL_TIMEOUT_SECONDS:
                 ended.add(call.call)
-                d.handle(CounterResult(call.name, "timeout", 0.0, WAIT))
+                drive.handle(CounterResult(call.name, "timeout", 0.0, CALL_TIMEOUT_SECONDS))
         out = [(sent, call) for sent, call in out if call.call not in ended]
-        for send in select(Send, d.send_message(firm=step % 40, spread=3, units=2.0)):
-            d.handle(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
-        if d.now >= beat + 0.1:
-            beat = d.now
-            d.handle(TimerFired(d.decision_module.timer_token))
-        for count in select(AddToCounter, d.actions):
-            counter.take(d.now, count)
-            out.append((d.now, count))
-
-
-def test_a_far_and_idle_counter_is_asked_as_often_as_a_near_one() -> None:
-    """It was asked ever less often, down to 1.6 calls a second, though it answered every call."""
-    made = {}
-    for way in (0.004, 0.06):
-        d, counter = drive(), Far(way)
-        days(d, counter, 8.0)
-        made[way] = counter.calls
-        known = [c for c in d.decision_module.firms.values() if d.now - c.reading_at <= 3.0]
+        for send in select(Send, drive.send_message(firm=step % 40, spread=3, units=2.0)):
+            drive.handle(Outcome(send.id, send.server, 0, "ok", 0.05, closed=True))
+        if drive.now >= last_timer + 0.1:
+            last_timer = drive.now
+            drive.handle(TimerFired(drive.decision_module.timer_token))
+        for count in select(AddToCounter, drive.actions):
+            counter.receive(drive.now, count)
+            out.append((drive.now, count))
+
+
+def test_a_distant_idle_counter_is_called_as_often_as_a_near_one() -> None:
+    """Guards against backing off for a long round trip alone: 1.6 calls/s were left though all were answered."""
+    calls_made = {}
+    for round_trip in (0.004, 0.06):
+        drive, counter = make_drive(), DistantCounter(round_trip)
+        run_load(drive, counter, 8.0)
+        calls_made[round_trip] = counter.calls
+        known = [firm for firm in drive.decision_module.firms.values() if drive.now - firm.reading_at <= 3.0]
         assert len(known) > 30
-    assert made[0.06] > made[0.004] * 0.5 and made[0.06] > 60
+    assert calls_made[0.06] > calls_made[0.004] * 0.5 and calls_made[0.06] > 60
 
 
-def test_a_counter_whose_latency_rises_is_asked_less_often_near_or_far() -> None:
-    for way in (0.004, 0.06):
-        d, counter = drive(), Far(way)
-        days(d, counter, 4.0)
-        quick = d.decision_module.counter_calls.interval
-        counter.free = d.now + 60.0  # others' calls: the queue there is long, and grows as fast as it is served
+def test_a_counter_whose_latency_rises_is_called_less_often_near_or_distant() -> None:
+    for round_trip in (0.004, 0.06):
+        drive, counter = make_drive(), DistantCounter(round_trip)
+        run_load(drive, counter, 4.0)
+        gap_before = drive.decision_module.counter_calls.interval
+        counter.free_at = drive.now + 60.0  # a long queue of calls by others, which grows as fast as it is served
         for _ in range(12):
-            counter.free = max(counter.free, d.now) - counter.free + d.now + 0.05 + way / 2
-            days(d, counter, 0.1)
-        assert d.decision_module.counter_calls.interval > 2 * quick
+            counter.free_at = max(counter.free_at, drive.now) - counter.free_at + drive.now + 0.05 + round_trip / 2
+            run_load(drive, counter, 0.1)
+        assert drive.decision_module.counter_calls.interval > 2 * gap_before
 
 
-def test_a_counter_that_falls_silent_is_asked_less_often_near_or_far_and_found_again() -> None:
-    for way in (0.004, 0.06):
-        d, counter = drive(), Far(way)
-        days(d, counter, 4.0)
-        quick, made = d.decision_module.counter_calls.interval, counter.calls
-        counter.silent = True
-        days(d, counter, 6.0)
-        assert d.decision_module.counter_calls.interval == 0.6 > 4 * quick and counter.calls - made < 20
-        counter.silent = False
-        days(d, counter, 6.0)
-        assert d.decision_module.counter_calls.interval < 0.2
+def test_a_silent_counter_is_called_less_often_and_recovers_near_or_distant() -> None:
+    for round_trip in (0.004, 0.06):
+        drive, counter = make_drive(), DistantCounter(round_trip)
+        run_load(drive, counter, 4.0)
+        gap_before, calls_made = drive.decision_module.counter_calls.interval, counter.calls
+        counter.is_silent = True
+        run_load(drive, counter, 6.0)
+        assert drive.decision_module.counter_calls.interval == 0.6 > 4 * gap_before and counter.calls - calls_made < 20
+        counter.is_silent = False
+        run_load(drive, counter, 6.0)
+        assert drive.decision_module.counter_calls.interval < 0.2
 
 
-def test_a_counter_that_moves_farther_away_is_asked_as_often_as_before_within_seconds() -> None:
-    d, counter = drive(), Far(0.004)
-    days(d, counter, 4.0)
-    counter.way = 0.08
-    days(d, counter, 16.0)
-    assert d.decision_module.counter_calls.interval < 0.12
+def test_the_call_rate_recovers_within_seconds_after_the_round_trip_grows() -> None:
+    drive, counter = make_drive(), DistantCounter(0.004)
+    run_load(drive, counter, 4.0)
+    counter.round_trip = 0.08
+    run_load(drive, counter, 16.0)
+    assert drive.decision_module.counter_calls.interval < 0.12
 
 
-def test_calls_whose_answers_never_come_are_not_kept_without_bound() -> None:
-    d, counter = drive(), Far(0.004)
-    counter.silent = True
-    days(d, counter, 400.0)
-    assert len(d.decision_module.counter_calls.timed_out) <= 256 and all(len(c.pending_calls) < 100 for c in d.decision_module.firms.values())
+def test_the_number_of_calls_without_a_reply_is_bounded() -> None:
+    drive, counter = make_drive(), DistantCounter(0.004)
+    counter.is_silent = True
+    run_load(drive, counter, 400.0)
+    assert len(drive.decision_module.counter_calls.timed_out) <= 256 and all(len(firm.pending_calls) < 100 for firm in drive.decision_module.firms.values())
 
 
-def heard(r: Rig) -> list[tuple[str, int, str, float]]:
-    client = r.daemon.counter
+def record_events(harness: Rig) -> list[tuple[str, int, str, float]]:
+    client = harness.daemon.counter
     assert client is not None
-    told: list[tuple[str, int, str, float]] = []
+    events: list[tuple[str, int, str, float]] = []
 
-    def tell(e: CounterResult | LateCounterResult) -> None:
-        told.append(
-            ("end", e.name, e.status, e.total) if isinstance(e, CounterResult) else ("total", e.call, e.status, e.total)
+    def record_event(event: CounterResult | LateCounterResult) -> None:
+        events.append(
+            ("end", event.name, event.status, event.total)
+            if isinstance(event, CounterResult)
+            else ("total", event.call, event.status, event.total)
         )
 
-    client.tell = tell
-    return told
+    client.on_event = record_event
+    return events
 
 
-def test_late_answers_on_the_wire_go_to_their_calls_in_order_once_each() -> None:
-    with rig(counter=True) as r:
-        told, client = heard(r), r.daemon.counter
+def test_late_replies_on_the_wire_are_matched_to_their_calls_in_order_once_each() -> None:
+    with rig(counter=True) as harness:
+        events, client = record_events(harness), harness.daemon.counter
         assert client is not None
-        r.freeze_clock()
+        harness.freeze_clock()
         client.add(5, 1, 4.0, 11)
-        wire = r.counter.accept()
+        wire = harness.counter.accept()
         wire.read_until(b"4000\r\n")
-        r.step_clock(0.04)
+        harness.step_clock(0.04)
         client.add(5, 2, 4.0, 12)
         wire.read_until(b"4000\r\n")
-        wire.send(b"$1\r\n1\r\n")  # the late one, while the second is out under the same name
-        r.run_until(lambda: len(told) == 2)
-        assert told == [("end", 5, "timeout", 0.0), ("total", 11, "ok", 1.0)]
-        r.step_clock(0.04)
+        wire.send(b"$1\r\n1\r\n")  # the late reply, while the second call is in flight under the same name
+        harness.run_until(lambda: len(events) == 2)
+        assert events == [("end", 5, "timeout", 0.0), ("total", 11, "ok", 1.0)]
+        harness.step_clock(0.04)
         client.add(6, 3, 4.0, 13)
         wire.read_until(b"4000\r\n")
         wire.send(b"-BUSY\r\n$1\r\n7\r\n")
-        r.run_until(lambda: len(told) == 5)
-        assert told[2:] == [("end", 5, "timeout", 0.0), ("total", 12, "full", 0.0), ("end", 6, "ok", 7.0)]
-        assert r.count("count_late") == 2
+        harness.run_until(lambda: len(events) == 5)
+        assert events[2:] == [("end", 5, "timeout", 0.0), ("total", 12, "full", 0.0), ("end", 6, "ok", 7.0)]
+        assert harness.count("count_late") == 2
 
 
-def test_no_total_is_told_of_calls_that_are_lost_with_their_connection() -> None:
-    with rig(counter=True) as r:
-        told, client = heard(r), r.daemon.counter
+def test_calls_lost_with_their_connection_report_no_total() -> None:
+    with rig(counter=True) as harness:
+        events, client = record_events(harness), harness.daemon.counter
         assert client is not None
-        r.freeze_clock()
+        harness.freeze_clock()
         client.add(5, 1, 4.0, 11)
-        wire = r.counter.accept()
+        wire = harness.counter.accept()
         wire.read_until(b"4000\r\n")
-        r.step_clock(0.04)
+        harness.step_clock(0.04)
         wire.reset()
-        r.run_until(lambda: client._line is None)
+        harness.run_until(lambda: client._connection is None)
         client.add(5, 2, 4.0, 12)
-        wire = r.counter.accept()
+        wire = harness.counter.accept()
         wire.read_until(b"4000\r\n")
         wire.send(b"$1\r\n2\r\n")
-        r.run_until(lambda: len(told) == 2)
-        assert told == [("end", 5, "timeout", 0.0), ("end", 5, "ok", 2.0)] and r.count("count_late") == 0
+        harness.run_until(lambda: len(events) == 2)
+        assert events == [("end", 5, "timeout", 0.0), ("end", 5, "ok", 2.0)] and harness.count("count_late") == 0
 
 
-def test_leases_hear_of_ends_alone() -> None:
-    """A late total would be taken for the answer to the call that is out under the same name."""
-    heard_of: list[CounterResult | LateCounterResult] = []
+def test_leases_receive_ends_but_no_totals() -> None:
+    """Leases would take a late total for the reply to the call in flight under the same name."""
+    received: list[CounterResult | LateCounterResult] = []
 
     class Leases:
-        counted = heard_of.append
-
-    with rig(counter=True) as r:
-        r.daemon.ingress.leases = Leases()  # type: ignore[assignment]
-        r.daemon.ingress.handle_counter_answer(end := CounterResult(5, "timeout"))
-        r.daemon.ingress.handle_counter_answer(LateCounterResult(0, "ok", 3.0, 0.05))
-        r.daemon.ingress.leases = None
-    assert heard_of == [end]
-
-
-def test_an_ingress_knows_a_firm_by_a_counter_that_only_answers_late() -> None:
-    """The whole way: the call times out, its total comes, and the store of the firm is put right by it."""
-    told = copy.deepcopy(SETTINGS)
-    told["Extra"] = {"MayCount": True, "CountWait": WAIT, "MostUnits": 8}
-    with rig(counter=True, settings={**told, "NInstances": 3}) as r:
-        r.freeze_clock()
-        gateway = r.daemon.ingress.decision_module
-        clients = [r.send_request(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
-        r.run_until(lambda: r.count("accepted") == len(clients) and r.count("counts") == 1)
-        wire = r.counter.accept()
+        counted = received.append
+
+    with rig(counter=True) as harness:
+        harness.daemon.ingress.leases = Leases()  # type: ignore[assignment]
+        harness.daemon.ingress.handle_counter_answer(end := CounterResult(5, "timeout"))
+        harness.daemon.ingress.handle_counter_answer(LateCounterResult(0, "ok", 3.0, 0.05))
+        harness.daemon.ingress.leases = None
+    assert received == [end]
+
+
+def test_an_ingress_corrects_a_firm_by_a_counter_whose_replies_are_all_late() -> None:
+    """End to end: the call times out, its total comes late, and the firm's token bucket is corrected by it."""
+    raw_settings = copy.deepcopy(SETTINGS)
+    raw_settings["Extra"] = {"MayCount": True, "CountWait": CALL_TIMEOUT_SECONDS, "MostUnits": 8}
+    with rig(counter=True, settings={**raw_settings, "NInstances": 3}) as harness:
+        harness.freeze_clock()
+        decision_module = harness.daemon.ingress.decision_module
+        clients = [harness.send_request(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
+        harness.run_until(lambda: harness.count("accepted") == len(clients) and harness.count("counts") == 1)
+        wire = harness.counter.accept()
         wire.read_until(b"60000\r\n")
-        (c,) = gateway.firms.values()
-        (call,) = c.pending_calls
-        assert call.amount > 0 and c.reading_at < 0
-        r.step_clock(0.035)
-        assert r.count("count_timeout") == 1 and c.reading_at < 0 and c.pending_calls == [call]
-        r.step_clock(0.02)
+        (firm,) = decision_module.firms.values()
+        (call,) = firm.pending_calls
+        assert call.amount > 0 and firm.reading_at < 0
+        harness.step_clock(0.035)
+        assert harness.count("count_timeout") == 1 and firm.reading_at < 0 and firm.pending_calls == [call]
+        harness.step_clock(0.02)
         wire.send(b"$2\r\n40\r\n")
-        r.run_until(lambda: r.count("count_late") == 1)
-        assert c.reading_at == call.sent_at and c.counter_total == 40.0 and c.others_rate > 0 and not c.pending_calls
+        harness.run_until(lambda: harness.count("count_late") == 1)
+        assert firm.reading_at == call.sent_at and firm.counter_total == 40.0 and firm.others_rate > 0 and not firm.pending_calls
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,11 +22,11 @@
 import brackenpulley
 from brackenpulley.address import parse_address
 from brackenpulley.net import sockets
-from brackenpulley.net.answers import Malformed, Reply, outcome
-from brackenpulley.net.counter import Replies
-from brackenpulley.net.counter import encode as encode_call
+from brackenpulley.net.answers import MalformedResponseError, ResponseReader, to_relay_end
+from brackenpulley.net.counter import ReplyParser
+from brackenpulley.net.counter import encode_add as encode_call
 from brackenpulley.net.requests import RequestError, RequestReader
-from brackenpulley.net.south import Trust
+from brackenpulley.net.south import IdleReusePolicy
 from brackenpulley.policy.interface import CounterResult, LateCounterResult
 
 from .rig import Peer, Rig, rig
@@ -119,9 +119,9 @@
         server.send(OK)
         assert client.read_http()[0] == 200
         # The ingress does not notice the close.
-        r.daemon.loop.unregister(next(iter(r.daemon.south.unused.values()))[0].sock)
+        r.daemon.loop.unregister(next(iter(r.daemon.south.idle_connections.values()))[0].sock)
         server.close()
-        conn = next(iter(r.daemon.south.unused.values()))[0]
+        conn = next(iter(r.daemon.south.idle_connections.values()))[0]
         r.daemon.loop.register(conn.sock, 1, lambda events: None)
         r.send_request(2, wire=client)
         _, server = r.accept_relay()
@@ -166,7 +166,7 @@
     with rig() as r:
         client = r.send_request()
         r.run_until(lambda: r.count("connects") == 1)
-        r.daemon.inventory.told(r.make_listing(s_0="DRAINING"))  # the connection is not established yet
+        r.daemon.inventory.apply_object(r.make_listing(s_0="DRAINING"))  # the connection is not established yet
         assert client.read_http()[0] == 503 and r.count("drained_before_send") == 1
         assert r.servers["s-0"].accept().received == b""
         assert r.count("relay_connect_failed") == 1
@@ -373,11 +373,11 @@
 
 def test_parsers_are_freed_without_the_garbage_collector() -> None:
     # Guards against reference cycles: each connection and each chunked response waited for a full collection.
-    reader, reply = RequestReader(), Reply()
+    reader, reply = RequestReader(), ResponseReader()
     reader.feed(memoryview(HEAD))
     reader.close()
     reply.feed(CHUNKS)
-    assert reply.whole
+    assert reply.is_complete
     refs = [weakref.ref(reader), weakref.ref(reply)]
     gc.disable()
     try:
@@ -493,7 +493,7 @@
             else:
                 late_totals.append((event.call, event.status, event.total))
 
-        client.tell = tell
+        client.on_event = tell
         client.add(5, 1.5, 4.0, 71)
         wire = r.counter.accept()
         assert wire.read_until(b"4000\r\n") == b"*4\r\n$7\r\nCNT.ADD\r\n$1\r\n5\r\n$3\r\n1.5\r\n$4\r\n4000\r\n"
@@ -538,7 +538,7 @@
         assert r.connect().send(b"GET /ready HTTP/1.1\r\n\r\n").read_http()[0] == 200
         change = {**r.make_listing(s_0="DRAINING"), "reset": False, "generation": 8}
         wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change))
-        r.run_until(lambda: not r.daemon.inventory.usable("s-0"))
+        r.run_until(lambda: not r.daemon.inventory.is_usable("s-0"))
         wire.reset()
         wire = source.accept()
         assert b"from=8 " in wire.read_until(b"\r\n\r\n")
@@ -611,9 +611,9 @@
     ],
 )
 def test_counter_responses(data: list[bytes], found: list[Any], good: bool) -> None:
-    replies = Replies()
+    replies = ReplyParser()
     assert [replies.feed(part) for part in data][-1] is good
-    assert replies.taken() == found
+    assert replies.take_replies() == found
 
 
 def test_a_malformed_counter_response_ends_only_its_connection() -> None:
@@ -621,7 +621,7 @@
         outcomes: list[tuple[int, str, float]] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda event: outcomes.append((event.name, event.status, event.total))
+        client.on_event = lambda event: outcomes.append((event.name, event.status, event.total))
         r.freeze_clock()
         for name in (1, 2, 3):
             client.add(name, 1, 4.0)
@@ -645,7 +645,7 @@
         assert client is not None
         r.freeze_clock()
         outcomes: list[str] = []
-        client.tell = lambda event: outcomes.append(event.status)
+        client.on_event = lambda event: outcomes.append(event.status)
         for _ in range(4):
             client.add(1, 1, 4.0)
             r.run_once()
@@ -661,7 +661,7 @@
         outcomes: list[tuple[int, str]] = []
         client = r.daemon.counter
         assert client is not None
-        client.tell = lambda event: outcomes.append((event.name, event.status))
+        client.on_event = lambda event: outcomes.append((event.name, event.status))
         r.freeze_clock()
         client.add(1, 1, 4.0)
         old = r.counter.accept()
@@ -694,10 +694,10 @@
     ],
 )
 def test_outcomes(head: bytes, status: str, used: int, cost: float, load: list[float]) -> None:
-    reply = Reply()
+    reply = ResponseReader()
     reply.feed(b"HTTP/1.1 " + head + b"\r\nContent-Length: 0\r\n\r\n")
-    end = outcome(reply, ["svc_ms"])
-    assert (end.status, end.used, end.cost, end.load) == (status, used, cost, load) and reply.whole and reply.keep
+    end = to_relay_end(reply, ["svc_ms"])
+    assert (end.status, end.used, end.cost, end.load) == (status, used, cost, load) and reply.is_complete and reply.keep_alive
 
 
 @pytest.mark.parametrize(
@@ -710,10 +710,10 @@
     ],
 )
 def test_a_response_that_ends_with_its_connection(data: bytes, whole: bool) -> None:
-    reply = Reply()
+    reply = ResponseReader()
     reply.feed(data)
-    reply.end()
-    assert reply.whole is whole and not reply.keep
+    reply.handle_eof()
+    assert reply.is_complete is whole and not reply.keep_alive
 
 
 H200 = b"HTTP/1.1 200 OK\r\n"
@@ -737,9 +737,9 @@
     ],
 )
 def test_only_the_first_response_is_taken(data: bytes, keep: bool) -> None:
-    reply = Reply()
+    reply = ResponseReader()
     reply.feed(data)
-    assert (reply.whole, reply.body, reply.keep) == (True, b"ab", keep)
+    assert (reply.is_complete, reply.body, reply.keep_alive) == (True, b"ab", keep)
 
 
 @pytest.mark.parametrize(
@@ -763,8 +763,8 @@
 )
 @pytest.mark.parametrize("step", [13, 100000])
 def test_a_malformed_response_is_rejected(data: bytes, step: int) -> None:
-    reply = Reply()
-    with pytest.raises(Malformed):
+    reply = ResponseReader()
+    with pytest.raises(MalformedResponseError):
         for at in range(0, len(data), step):
             reply.feed(data[at : at + step])
 
@@ -808,15 +808,15 @@
 
 
 def test_old_idle_connections_are_not_reused_once_many_have_broken() -> None:
-    trust = Trust()
-    assert trust.allows(5.0)
+    trust = IdleReusePolicy()
+    assert trust.allows_reuse(5.0)
     for _ in range(5):
-        trust.learn(0.5, True)
-        trust.learn(0.01, False)
-    assert trust.allows(0.05) and [trust.allows(0.5) for _ in range(32)].count(True) == 2
+        trust.record(0.5, True)
+        trust.record(0.01, False)
+    assert trust.allows_reuse(0.05) and [trust.allows_reuse(0.5) for _ in range(32)].count(True) == 2
     for _ in range(30):
-        trust.learn(0.5, False)
-    assert trust.allows(0.5)
+        trust.record(0.5, False)
+    assert trust.allows_reuse(0.5)
 
 
 def test_a_new_server_at_a_known_address_inherits_no_connection() -> None:
@@ -827,7 +827,7 @@
         server.send(OK)
         assert client.read_http()[0] == 200
         r.servers["s-9"] = r.servers.pop("s-0")
-        r.daemon.inventory.told(r.make_listing())
+        r.daemon.inventory.apply_object(r.make_listing())
         r.send_request(2, wire=client)
         _, new = r.accept_relay()
         new.read_http()
