--- a/brackenpulley/authz/convert.py
+++ b/brackenpulley/authz/convert.py
@@ -50,7 +50,9 @@
     headers.setdefault("x-request-id", http.id)
     headers.setdefault("x-timeout", f"{max(0, int(left * 1e6))}u")
     found = decode(headers, http.path, http)
-    found.timeout = max(0.0, min(found.timeout, left - ANSWER_MARGIN_SECONDS))  # the asker's deadline holds beside the client's
+    found.timeout = max(
+        0.0, min(found.timeout, left - ANSWER_MARGIN_SECONDS)
+    )  # the asker's deadline holds beside the client's
     return found
 
 
--- a/brackenpulley/core/ingress.py
+++ b/brackenpulley/core/ingress.py
@@ -201,13 +201,17 @@
             self.metrics.add("refused_unopened")
             self._finish(
                 exchange,
-                Answer("back-off", 429, NOT_READY_RETRY_AFTER_SECONDS if self.decision_module.settings.retry_after else 0.0),
+                Answer(
+                    "back-off", 429, NOT_READY_RETRY_AFTER_SECONDS if self.decision_module.settings.retry_after else 0.0
+                ),
             )
         elif ledger is not None and ledger.refuses:
             self.metrics.add("refused_unstored")
             self._finish(
                 exchange,
-                Answer("back-off", 503, UNSTORED_RETRY_AFTER_SECONDS if self.decision_module.settings.retry_after else 0.0),
+                Answer(
+                    "back-off", 503, UNSTORED_RETRY_AFTER_SECONDS if self.decision_module.settings.retry_after else 0.0
+                ),
             )
         elif self.authoriser is None:
             self._admit(exchange)
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -159,7 +159,9 @@
     def start(self) -> None:
         told, agreement = self.told, self.agreement.agreement
         assert agreement is not None
-        bounds = Bounds(told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server)
+        bounds = Bounds(
+            told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server
+        )
         self.clerk = Clerk(
             self.daemon.config.name,
             agreement,
@@ -215,7 +217,12 @@
         permits, told = self.permits, self.told
         waiting: list[Wanted] = [job.wanted() for job in permits.jobs.values() if job.state in ("asked", WAITING)]
         out = [job.wanted() for job in permits.out()]
-        rows = plan(waiting, out, self.port.facts(), Bounds(told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server))
+        rows = plan(
+            waiting,
+            out,
+            self.port.facts(),
+            Bounds(told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server),
+        )
         return [{"id": one.id, "state": permits.jobs[one.id].state, "why": why or "goes next"} for one, why in rows]
 
     def status(self) -> dict[str, Any]:
--- a/brackenpulley/net/answers.py
+++ b/brackenpulley/net/answers.py
@@ -33,7 +33,12 @@
     to the stream passed to `stream_to`. A longer body with another status is cut off there, since nobody reads it.
     Raises ResponseTooLargeError past `max_bytes` of body. `has_no_body`: the request was a HEAD."""
 
-    def __init__(self, max_bytes: int = MAX_BUFFERED_BODY_BYTES, buffer_limit: int = MAX_BUFFERED_BODY_BYTES, has_no_body: bool = False) -> None:
+    def __init__(
+        self,
+        max_bytes: int = MAX_BUFFERED_BODY_BYTES,
+        buffer_limit: int = MAX_BUFFERED_BODY_BYTES,
+        has_no_body: bool = False,
+    ) -> None:
         self.max_bytes = max_bytes
         self._buffer_limit = buffer_limit
         self._has_no_body = has_no_body
--- a/brackenpulley/net/north.py
+++ b/brackenpulley/net/north.py
@@ -680,7 +680,11 @@
             elif client.outgoing:
                 if stalled_for > write_timeout:
                     self.close(client)
-            elif not client.is_busy and client.reader.is_partial and client.pace.has_timed_out(now, client.reader.body_bytes):
+            elif (
+                not client.is_busy
+                and client.reader.is_partial
+                and client.pace.has_timed_out(now, client.reader.body_bytes)
+            ):
                 client.is_busy, client.keep_alive = True, False
                 self._respond(client, 408)
             elif (
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -69,7 +69,14 @@
         if self.lost and self.part.share_on_counter_loss:
             self._share(now, message, plan)
         waits, effects = self.keeper.need(
-            now, firm, message.plan, message.units, message.spread, message.first, self.level(firm), message.requested_plan
+            now,
+            firm,
+            message.plan,
+            message.units,
+            message.spread,
+            message.first,
+            self.level(firm),
+            message.requested_plan,
         )
         waiting = Waiting(self, firm, done) if waits else None
         if waiting is not None:
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -74,7 +74,11 @@
         header = reply.ok_response.headers[0].header
         assert (header.key, header.value) == ("x-envoy-original-dst-host", r.servers["s-0"].address)
         gateway = r.daemon.ingress.decision_module
-        assert not gateway.messages and not gateway.servers["s-0"].relays and gateway.rate_controllers["a"].mean_latency == before
+        assert (
+            not gateway.messages
+            and not gateway.servers["s-0"].relays
+            and gateway.rate_controllers["a"].mean_latency == before
+        )
         assert not r.daemon.ingress.exchanges and r.servers["s-0"].try_accept() is None
 
 
@@ -366,7 +370,11 @@
 
 def test_the_operators_file_in_deploy_loads() -> None:
     operator = load(str(Path(__file__).parent.parent / "deploy" / "operator.toml"))
-    assert operator.server and operator.client == AuthzClientOptions(("127.0.0.1", 9292), 0.25, False) and operator.xds is None
+    assert (
+        operator.server
+        and operator.client == AuthzClientOptions(("127.0.0.1", 9292), 0.25, False)
+        and operator.xds is None
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -198,7 +198,17 @@
 
 # Every framing, split at any place.
 
-BODIES = st.one_of(st.integers(0, 300), st.sampled_from([MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, MAX_BUFFERED_BODY_BYTES + 70_000]))
+BODIES = st.one_of(
+    st.integers(0, 300),
+    st.sampled_from(
+        [
+            MAX_BUFFERED_BODY_BYTES - 1,
+            MAX_BUFFERED_BODY_BYTES,
+            MAX_BUFFERED_BODY_BYTES + 1,
+            MAX_BUFFERED_BODY_BYTES + 70_000,
+        ]
+    ),
+)
 
 
 def frame(body: bytes, form: str, cut: int) -> bytes:
@@ -228,7 +238,11 @@
     reader.feed(memoryview(data[fed_bytes:]))
     (first_payload, _), (second_payload, _) = reader.complete
     found = first_payload.body if first_payload.stream is None else b"".join(first_payload.stream.take(1 << 30))
-    assert found == body and (first_payload.stream is not None) == (size > MAX_BUFFERED_BODY_BYTES) and second_payload.target == b"/b"
+    assert (
+        found == body
+        and (first_payload.stream is not None) == (size > MAX_BUFFERED_BODY_BYTES)
+        and second_payload.target == b"/b"
+    )
     assert (b"x-tariff", b"p") in first_payload.headers  # surrounding white space is not part of a value
     reader.close()
     assert not body_memory.open_bodies and not body_memory.kept_bytes
@@ -291,7 +305,10 @@
         server.send(b"HTTP/1.1 200 OK\r\nX-True-Cost: 1\r\n" + frame(body, form, 1_000_000)[:200_000])
         harness.run_until(lambda: harness.count("flowed") == 1)
         harness.advance_clock(0.9)  # the measured latency ends with the first bytes
-        assert harness.daemon.collect_gauges()["active"] == 1 and not harness.daemon.ingress.decision_module.servers["s-0"].relays
+        assert (
+            harness.daemon.collect_gauges()["active"] == 1
+            and not harness.daemon.ingress.decision_module.servers["s-0"].relays
+        )
         server.send(frame(body, form, 1_000_000)[200_000:])
         if form == "close":
             server.close()
@@ -304,7 +321,10 @@
             and not harness.daemon.ingress.exchanges
             and not harness.daemon.shares.open_bodies
         )
-        assert harness.daemon.collect_gauges()["active"] == 0 and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
+        assert (
+            harness.daemon.collect_gauges()["active"] == 0
+            and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
+        )
         if form != "close":
             harness.send_request(2, wire=client)
             assert b"x-request-id" in server.read_http()[1]  # both connections are reused
@@ -355,7 +375,10 @@
                 ended = "reset"
             assert ended == ("reset" if cut else "close")
             if not cut:
-                assert client.received.split(b"\r\n\r\n", 1)[1] == noise(300_000) and b"chunked" not in client.received[:200]
+                assert (
+                    client.received.split(b"\r\n\r\n", 1)[1] == noise(300_000)
+                    and b"chunked" not in client.received[:200]
+                )
 
 
 def test_a_client_that_does_not_take_stops_its_server_from_being_read_and_is_not_held_against_it() -> None:
@@ -424,7 +447,10 @@
         harness.run_until(lambda: harness.count("flowed") == 1)
         client.reset()
         assert server.wait_closed() and not harness.daemon.ingress.exchanges and not harness.daemon.shares.open_bodies
-        assert harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0 and harness.count("relay_cancelled") == 1
+        assert (
+            harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
+            and harness.count("relay_cancelled") == 1
+        )
 
 
 @pytest.mark.parametrize(("announced", "status", "attempts"), [((32 << 20) + 1, 503, 1), (3 << 30, 503, 3)])
@@ -467,7 +493,9 @@
         harness.advance_clock(3.0)
         server.send(OK)
         assert (
-            client.read_http()[0] == 200 and decision_module.rate_controllers["a"].mean_latency < 4.0 and not harness.daemon.shares.kept_bytes
+            client.read_http()[0] == 200
+            and decision_module.rate_controllers["a"].mean_latency < 4.0
+            and not harness.daemon.shares.kept_bytes
         )
         assert not harness.daemon.shares.open_bodies and not harness.daemon.ingress.exchanges
 
@@ -598,7 +626,10 @@
         _, server = harness.accept_relay()
         harness.advance_clock(3.0)
         assert client.read_http()[0] == 408 and server.wait_closed() and not harness.daemon.ingress.exchanges
-        assert not harness.daemon.shares.open_bodies and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
+        assert (
+            not harness.daemon.shares.open_bodies
+            and harness.daemon.ingress.decision_module.servers["s-0"].error_rate == 0
+        )
 
 
 @pytest.mark.parametrize("tail", [b"", b"not a chunk\r\n"])
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -46,7 +46,11 @@
 def test_it_is_off_unless_told_and_the_file_with_every_setting_can_be_read() -> None:
     assert decode(AGREED).configuration is None
     told = load(str(Path(__file__).parent.parent / "deploy/together.toml")).configuration
-    assert told is not None and (told.max_entries, told.max_snapshot_bytes, told.max_change_bytes) == (50_000, 184_000, 12_000)
+    assert told is not None and (told.max_entries, told.max_snapshot_bytes, told.max_change_bytes) == (
+        50_000,
+        184_000,
+        12_000,
+    )
 
 
 def operator(tmp_path: Path, voter: bool = True, **more: Any) -> dict[str, Any]:
--- a/tests/test_counter_late.py
+++ b/tests/test_counter_late.py
@@ -7,7 +7,16 @@
 
 import pytest
 
-from brackenpulley.policy.interface import AddToCounter, CounterResult, LateCounterResult, Outcome, PlansChanged, PlanSpec, Send, TimerFired
+from brackenpulley.policy.interface import (
+    AddToCounter,
+    CounterResult,
+    LateCounterResult,
+    Outcome,
+    PlansChanged,
+    PlanSpec,
+    Send,
+    TimerFired,
+)
 
 from .rig import Rig, rig
 from .test_link import SETTINGS
@@ -103,7 +112,9 @@
         drive.now += after
         drive.decision_module.fill_bucket(drive.now, firm := drive.decision_module.firms[1])
         if round_trip:
-            drive.handle(LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, CALL_TIMEOUT_SECONDS + after))
+            drive.handle(
+                LateCounterResult(call.call, "ok", first.amount + call.amount + 6.0, CALL_TIMEOUT_SECONDS + after)
+            )
         levels.append((firm.level, firm.reading_at, firm.counter_total))
     (prompt, *same), (after_all, *also) = levels
     assert same == also
@@ -141,7 +152,11 @@
     firm = drive.decision_module.firms[1]
     assert second.amount >= 3
     deliver_late(drive, first, first.amount, 0.005)  # while the second one is in flight
-    assert firm.others_rate == 0 and firm.counter_total == first.amount and [x.serial for x in firm.pending_calls] == [second.call]
+    assert (
+        firm.others_rate == 0
+        and firm.counter_total == first.amount
+        and [x.serial for x in firm.pending_calls] == [second.call]
+    )
     time_out(drive, second)
     deliver_late(drive, second, first.amount + second.amount)
     assert firm.others_rate == 0 and firm.counter_total == first.amount + second.amount and not firm.pending_calls
@@ -173,12 +188,26 @@
     time_out(drive, call)
     deliver_late(drive, call, call.amount + 9.0)
     firm = drive.decision_module.firms[1]
-    before = (firm.level, firm.granted, firm.reading_at, firm.counter_total, firm.others_rate, drive.decision_module.counter_calls.interval)
+    before = (
+        firm.level,
+        firm.granted,
+        firm.reading_at,
+        firm.counter_total,
+        firm.others_rate,
+        drive.decision_module.counter_calls.interval,
+    )
     drive.handle(LateCounterResult(call.call, "ok", call.amount + 9.0, CALL_TIMEOUT_SECONDS + 0.025))
     drive.handle(LateCounterResult(call.call, "ok", call.amount + 30.0, CALL_TIMEOUT_SECONDS + 0.025))
     drive.handle(LateCounterResult(call.call, "full", 0.0, CALL_TIMEOUT_SECONDS + 0.025))
     drive.handle(LateCounterResult(99, "ok", 1.0, 0.1))
-    assert (firm.level, firm.granted, firm.reading_at, firm.counter_total, firm.others_rate, drive.decision_module.counter_calls.interval) == before
+    assert (
+        firm.level,
+        firm.granted,
+        firm.reading_at,
+        firm.counter_total,
+        firm.others_rate,
+        drive.decision_module.counter_calls.interval,
+    ) == before
 
 
 def test_a_late_total_does_not_end_the_call_in_flight() -> None:
@@ -188,7 +217,10 @@
     time_out(drive, first)
     second = make_next_call(drive, 0.2)
     deliver_late(drive, first, first.amount, 0.0)
-    assert drive.decision_module.counter_calls.current is not None and drive.decision_module.counter_calls.current.serial == second.call
+    assert (
+        drive.decision_module.counter_calls.current is not None
+        and drive.decision_module.counter_calls.current.serial == second.call
+    )
     drive.now += 0.001
     for customer in (2, 3):
         for _ in range(8):
@@ -233,7 +265,9 @@
     second = make_next_call(drive)
     time_out(drive, second)
     deliver_late(drive, second, second.amount)
-    assert firm.reading_at == read_at and firm.counter_total == second.amount  # no reading, but the base of the next one
+    assert (
+        firm.reading_at == read_at and firm.counter_total == second.amount
+    )  # no reading, but the base of the next one
     third = make_next_call(drive)
     time_out(drive, third)
     deliver_late(drive, third, second.amount + third.amount)
@@ -370,7 +404,9 @@
     drive, counter = make_drive(), DistantCounter(0.004)
     counter.is_silent = True
     run_load(drive, counter, 400.0)
-    assert len(drive.decision_module.counter_calls.timed_out) <= 256 and all(len(firm.pending_calls) < 100 for firm in drive.decision_module.firms.values())
+    assert len(drive.decision_module.counter_calls.timed_out) <= 256 and all(
+        len(firm.pending_calls) < 100 for firm in drive.decision_module.firms.values()
+    )
 
 
 def record_events(harness: Rig) -> list[tuple[str, int, str, float]]:
@@ -453,7 +489,9 @@
     with rig(counter=True, settings={**raw_settings, "NInstances": 3}) as harness:
         harness.freeze_clock()
         decision_module = harness.daemon.ingress.decision_module
-        clients = [harness.send_request(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)]
+        clients = [
+            harness.send_request(77, more="X-Weight: units=1,spread=3,first=0\r\n", ident=n) for n in range(1, 9)
+        ]
         harness.run_until(lambda: harness.count("accepted") == len(clients) and harness.count("counts") == 1)
         wire = harness.counter.accept()
         wire.read_until(b"60000\r\n")
@@ -465,4 +503,9 @@
         harness.step_clock(0.02)
         wire.send(b"$2\r\n40\r\n")
         harness.run_until(lambda: harness.count("count_late") == 1)
-        assert firm.reading_at == call.sent_at and firm.counter_total == 40.0 and firm.others_rate > 0 and not firm.pending_calls
+        assert (
+            firm.reading_at == call.sent_at
+            and firm.counter_total == 40.0
+            and firm.others_rate > 0
+            and not firm.pending_calls
+        )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -263,11 +263,14 @@
     """Each has a message in flight when it is closed: none is reset, and no message is relayed."""
     with rig() as harness:
         wires = [
-            harness.connect().send(b"GET /ready HTTP/1.1\r\n\r\n") for _ in range(3 * harness.daemon.north.max_lingering)
+            harness.connect().send(b"GET /ready HTTP/1.1\r\n\r\n")
+            for _ in range(3 * harness.daemon.north.max_lingering)
         ]
         assert [wire.read_http()[0] for wire in wires] == [200] * len(wires)
         send_sigterm(harness)
-        harness.daemon.loop.call_soon(lambda: [harness.send_request(n, wire=wire) for n, wire in enumerate(wires, 1)] and None)
+        harness.daemon.loop.call_soon(
+            lambda: [harness.send_request(n, wire=wire) for n, wire in enumerate(wires, 1)] and None
+        )
         harness.daemon.north.close_idle()
         harness.run_once()
         assert all(ended_cleanly(wire) for wire in wires) and harness.count("messages") == 0
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -156,7 +156,10 @@
     assert select(Charge, driver.handle(Settle("r1", 1, "school", 3, 6.0, 1.0, driver.now)))[0].units == 1.0
     assert driver.decision_module.firms[1].level == 5.0
     driver.handle(Reserve("r3", 1, "school", 5.0))
-    assert not driver.handle(Settle("r3", 1, "school", 3, 5.0, 0.0, driver.now)) and driver.decision_module.firms[1].level == 5.0
+    assert (
+        not driver.handle(Settle("r3", 1, "school", 3, 5.0, 0.0, driver.now))
+        and driver.decision_module.firms[1].level == 5.0
+    )
 
 
 def test_a_message_paid_by_a_reservation_takes_no_further_units() -> None:
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -91,7 +91,9 @@
     def __init__(self, folder: str, now: float) -> None:
         self.now = now
         self.loop = Loop(lambda: self.now, Metrics(), Silent())
-        gateway = DecisionModule(util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now)
+        gateway = DecisionModule(
+            util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now
+        )
         self.ingress = Ingress(gateway, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
         part = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
         self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -697,7 +697,11 @@
     reply = ResponseReader()
     reply.feed(b"HTTP/1.1 " + head + b"\r\nContent-Length: 0\r\n\r\n")
     end = to_relay_end(reply, ["svc_ms"])
-    assert (end.status, end.used, end.cost, end.load) == (status, used, cost, load) and reply.is_complete and reply.keep_alive
+    assert (
+        (end.status, end.used, end.cost, end.load) == (status, used, cost, load)
+        and reply.is_complete
+        and reply.keep_alive
+    )
 
 
 @pytest.mark.parametrize(
