--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -33,7 +33,7 @@
 from brackenpulley.plans.book import Book, Change, Figures, firm_text
 from brackenpulley.plans.snapshot import load
 from brackenpulley.serve import wall_clock
-from brackenpulley.settings import settings as decode_settings
+from brackenpulley.settings import decode_settings
 from brackenpulley.standins import audit
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.clients import Firm, Load
