--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -141,7 +141,7 @@
         answer = self.ingress.reserve(i.Reserve(ident, firm, plan, units, spread, first))
         if isinstance(answer, i.Refuse):
             self.metrics.add("reservations_refused")
-            return None, answer.after
+            return None, answer.retry_after
         one = Reservation(ident, firm, plan, revision, units, now, now + lifetime)
         self._hold(one)
         return one, 0.0
