--- a/benchmarks/capacity/sheet.py
+++ b/benchmarks/capacity/sheet.py
@@ -140,7 +140,7 @@
         TURN,
         "5 ms a turn",
         "issue",
-        "`Discovery._apply_object`, `Inventory.apply_object`, `Servers.told`, in one turn",
+        "`Discovery._told`, `Inventory.told`, `Servers.told`, in one turn",
         "every request waits as long",
     ),
     Row(
