--- a/benchmarks/capacity/second.py
+++ b/benchmarks/capacity/second.py
@@ -45,7 +45,8 @@
             "source": "counting",
             "n": SIZE["ingresses"],
             "value": round(ingresses / CALL_INTERVAL_MAX_SECONDS, 1),
-            "how": f"one call of each in PACE_MAX = {CALL_INTERVAL_MAX_SECONDS} s, its slowest pace; the page takes the greater",
+            "how": f"one call of each in PACE_MAX = {CALL_INTERVAL_MAX_SECONDS} s, its slowest pace; "
+            "the page takes the greater",
         }
     )
     rows.append(
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -68,7 +68,7 @@
                 assert action.attempt < self.attempts[action.id]
 
     @rule(cls=st.sampled_from(sorted(EFFECTS)), firm=st.integers(1, 4), time_left=st.floats(0.01, 12.0))
-    def request(self, cls: str, firm: int, time_left: float) -> None:
+    def message(self, cls: str, firm: int, time_left: float) -> None:
         message_id = f"{self.driver.serial + 1:016x}"
         self.classes[message_id], self.answers[message_id] = cls, 0
         self.check_actions(self.driver.send_message(cls, firm, time_left=time_left, spread=1 + firm % 3))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cost", "worth", "tries", "units"),
+    ("cost", "worth", "granted", "units"),
     [
         (1.2, 0.0, 1, 1.0),
         (1.0, 0.0, 1, 1.0),
@@ -49,7 +49,7 @@
     ],
 )
 def test_the_grant_without_a_reading_follows_the_cost_of_a_message_beyond_the_quota(
-    cost: float, worth: float, tries: int, units: float
+    cost: float, worth: float, granted: int, units: float
 ) -> None:
     """Each of 200 ingresses granted the largest message, and a firm at three times its rate reaches nearly all of them
     for the first time. Only the first message must be granted, whatever its size."""
@@ -60,7 +60,7 @@
         for _ in range(6):
             sent += count_sent(driver, 1, spread=200, units=units)
             answer_all(driver)
-    assert sent == 50 * tries
+    assert sent == 50 * granted
 
 
 def make_driver(cost: float = 1.0, spread: int = 200, rate: float = 4.0) -> Driver:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -291,8 +291,8 @@
         decision_modules.append(decision_module)
     for step in range(20):  # 2 s, the window of the rule; multiple 3, at least a fifth warm
         for index, decision_module in enumerate(decision_modules):
-            request = MessageReceived(f"{step * 300 + index:016x}", "check", "gold", step, 5.0)
-            sent += len(select(Send, decision_module.handle(1000.0 + 0.1 * step, request)))
+            message = MessageReceived(f"{step * 300 + index:016x}", "check", "gold", step, 5.0)
+            sent += len(select(Send, decision_module.handle(1000.0 + 0.1 * step, message)))
     assert 1 <= sent <= 3 * 0.5 * 2.0 * 2.0
 
 
@@ -430,7 +430,7 @@
 
 
 def test_a_server_probed_before_it_restarted_is_not_sent_to_once_it_drains() -> None:
-    """A record kept by reference from the probe was that of the previous process: up and warm for ever."""
+    """The record kept from a probe was that of the previous process: up and warm for ever."""
     driver = Driver(servers=8, probes=True, gateways=300)
     driver.handle(ProbeResult("s0", "ok", 0.001))
     driver.handle(ServerList("changes", [ServerEntry("s0", zone="a", started=driver.now)]))
