--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -0,0 +1,1 @@
+"""Programs that embed the decision module."""
