--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -26,9 +26,9 @@
 
 from benchmarks.configuration_processes import cost, processes
 from benchmarks.configuration_sizes import FLEET, LOOK, compaction, size_run, tenants
-from brackenpulley.configuration.force import InForce, log_here
+from brackenpulley.configuration.active import ActiveRevision, log_state
 from brackenpulley.configuration.revisions import PART, Revisions
-from brackenpulley.configuration.rules import Change, ChangeError, Content, check, encoded
+from brackenpulley.configuration.rules import Change, ChangeError, Content, check, encode_msgpack
 from brackenpulley.configuration.wire import WireError, pack, pack_change, seal, unpack, unseal
 from brackenpulley.consensus.agreement import KIND, Agreement
 from brackenpulley.consensus.machine import Machine, Outcome
@@ -67,7 +67,7 @@
 
     def __init__(self, seed: int, voters: int = 3, followers: int = 3, every: float = 0.6, **more: Any) -> None:
         self.logs: dict[str, Revisions] = {}
-        self.force: dict[str, InForce] = {}
+        self.force: dict[str, ActiveRevision] = {}
         self.copies: dict[str, list[bytes]] = {}  # the file of a host, newest last
         self.lives: dict[str, int] = {}
         self.reference = Machine({"register": Register(), PART: Revisions(FLEET)})
@@ -100,7 +100,7 @@
         )
         part.applied = lambda entry: self._entry(host, part, entry, register)
         part.restored = lambda: self._snapshot(host, part, register)
-        self.force[host.name] = InForce(host.clock(self.world.now))
+        self.force[host.name] = ActiveRevision(host.clock(self.world.now))
         self._own_copy(host)
         life = host.life
 
@@ -133,10 +133,10 @@
         if entry.index == self.reference.index + 1:
             self._agreed(entry)
         log = self.logs[host.name]
-        if self.marks.get(log.number) != log.mark:
+        if self.marks.get(log.number) != log.digest:
             raise Broken(f"{host.name} holds another revision {log.number} after entry {entry.index}")
         force = self.force[host.name]
-        if pack(force.content) != self.contents[force.mark]:
+        if pack(force.content) != self.contents[force.digest]:
             raise Broken(f"{host.name} has in force what the log is only about to hold")
         self._look(host, part)
 
@@ -155,27 +155,27 @@
         for firm, plan in log.content.firms.items():
             if plan not in log.content.plans:
                 raise Broken(f"revision {log.number}: firm {firm} is on {plan}, which is not there")
-        self.marks[log.number] = log.mark
-        self.contents[log.mark] = pack(log.content)
+        self.marks[log.number] = log.digest
+        self.contents[log.digest] = pack(log.content)
 
     def _snapshot(self, host: Host, part: Agreement, register: Register) -> None:
         self._restored(part, register)
         log = self.logs[host.name]
         if part.machine.index > self.reference.index and not log.number and max(self.marks) == 0:
             self.reference.index = part.machine.index  # the log's founding, which is no entry
-        if self.marks.get(log.number) != log.mark or pack(log.content) != self.contents[log.mark]:
+        if self.marks.get(log.number) != log.digest or pack(log.content) != self.contents[log.digest]:
             raise Broken(f"{host.name} has another revision {log.number} by a snapshot")
 
     def _look(self, host: Host, part: Agreement) -> None:
         now, force = host.clock(self.world.now), self.force[host.name]
         before = force.number
-        if force.look(now, self.logs[host.name], log_here(part, now)) is None:
+        if force.update(now, self.logs[host.name], log_state(part, now)) is None:
             return
         if force.number < before:
             self._count("went_back")
-        if pack(force.content) != self.contents.get(force.mark) or self.marks.get(force.number) != force.mark:
+        if pack(force.content) != self.contents.get(force.digest) or self.marks.get(force.number) != force.digest:
             raise Broken(f"{host.name} has what was not agreed in force as {force.number}, after {before}")
-        data = seal(_copy.encode((force.number, force.at, force.mark, pack(force.content))), FLEET)
+        data = seal(_copy.encode((force.number, force.agreed_at, force.digest, pack(force.content))), FLEET)
         self.copies.setdefault(host.name, []).append(data)
 
     # Operators.
@@ -196,12 +196,12 @@
         if log.number and rng.random() < 0.2:
             to = log.number - rng.randint(1, min(5, log.number))
             try:
-                change = log.way_back(to, host.name)
+                change = log.revert_change(to, host.name)
                 check(change, log.content)
             except ChangeError:
                 self._count("no_way_back")
                 return
-            if change.entries:
+            if change.entry_count:
                 self._propose_change(host, change, pack_change(change, FLEET), to)
             return
         change = drawn_change(rng, log.number, log.content, host.name)
@@ -270,7 +270,7 @@
         """All have the last one that was agreed, and of its content."""
         mark = self.marks[max(self.marks)]
         return all(
-            force.mark == mark and pack(force.content) == self.contents[mark]
+            force.digest == mark and pack(force.content) == self.contents[mark]
             for name, force in self.force.items()
             if self.world.host(name).driven is not None
         )
@@ -281,7 +281,7 @@
 
     @staticmethod
     def encode(rows: tuple[int, float, bytes, bytes]) -> bytes:
-        return encoded(rows)
+        return encode_msgpack(rows)
 
     @staticmethod
     def decode(data: bytes) -> tuple[int, float, bytes, bytes]:
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import Any
 
-from brackenpulley.configuration.force import Here, InForce, log_here
+from brackenpulley.configuration.active import ActiveRevision, LogState, log_state
 from brackenpulley.configuration.revisions import PART, Revisions
 from brackenpulley.configuration.rules import Change
 from brackenpulley.configuration.wire import pack, pack_change, seal
@@ -56,7 +56,7 @@
         links = Links(Link(delay=0.0005, spread=0.001, loss=0.005, double=0.002))
         self.world, self.rng = Streams(seed, links), random.Random(seed)
         self.logs: dict[str, Revisions] = {}
-        self.force: dict[str, InForce] = {}
+        self.force: dict[str, ActiveRevision] = {}
         self.reached: dict[int, dict[str, float]] = {}  # by number and host: when it came into force
         self.sent: dict[str, int] = {}
         self.snapshots = 0
@@ -94,11 +94,11 @@
             host.disk if host.name in self.seats else None,
         )
         self.logs[host.name] = log
-        force = self.force[host.name] = InForce(self.world.now)
+        force = self.force[host.name] = ActiveRevision(self.world.now)
 
         def look() -> None:
             now = self.world.now
-            if force.look(now, log, log_here(part, now)) is not None:
+            if force.update(now, log, log_state(part, now)) is not None:
                 self.reached.setdefault(force.number, {}).setdefault(host.name, now)
 
         def told() -> None:
@@ -193,7 +193,7 @@
     world.run(world.now + 6.0)  # who started anew there has asked each voter by now, of which it reaches one
     lasted, last = world.now - begin, max(asked)
     told = {name: count / lasted for name, count in fleet.sent.items()}
-    old = world.now - max((fleet.force[name].heard for name in cut_off), default=0.0)
+    old = world.now - max((fleet.force[name].last_heard for name in cut_off), default=0.0)
     served = {name: fleet.force[name].number for name in cut_off}
     fleet.sent.clear()
     heal = world.now
@@ -270,8 +270,8 @@
         assert "revision" in answer, answer
         loads += 1
     del numbers[firms:]
-    force = InForce(0.0)
-    force.look(1.0, log, Here(True, 1.0, True))
+    force = ActiveRevision(0.0)
+    force.update(1.0, log, LogState(True, 1.0, True))
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - begin
     tracemalloc.stop()
@@ -281,7 +281,7 @@
     other = Revisions(FLEET)
     dump = log.dump()
     restore = took(lambda: other.load(dump))
-    first_force = took(lambda: InForce(0.0).look(1.0, log, Here(True, 1.0, True)))
+    first_force = took(lambda: ActiveRevision(0.0).update(1.0, log, LogState(True, 1.0, True)))
     apply, look = [], []
     for number in range(40):
         change = Change(
@@ -294,7 +294,7 @@
         start = time.perf_counter()
         log.apply(2.0, data)
         middle = time.perf_counter()
-        force.look(2.0, log, Here(True, 2.0, True))
+        force.update(2.0, log, LogState(True, 2.0, True))
         apply.append(middle - start)
         look.append(time.perf_counter() - middle)
     assert len(told) < STREAM, "longer than a stream's word"
@@ -302,9 +302,9 @@
         "firms": firms,
         "changesToLoad": loads,
         "memoryMb": round(held / 1e6, 2),
-        "countedBytes": log.content.size,
+        "countedBytes": log.content.size_bytes,
         "snapshotBytes": len(pack(log.content)),
-        "historyBytes": sum(row.size for row in log.history),
+        "historyBytes": sum(row.undo_bytes for row in log.history),
         "wordBytes": len(told),
         "secondsAt14KB": round(len(told) / 14_000, 1),
         "dumpMs": took(log.dump),
--- a/brackenpulley/configuration/__init__.py
+++ b/brackenpulley/configuration/__init__.py
@@ -1,4 +1,6 @@
-"""One revision of the configuration for all ingresses: checked whole, agreed in the log, in force one after the other.
+"""Agreed configuration of the fleet: revisions of plans, firms and addresses that every ingress applies in one order.
 
-`rules`, `revisions` (the part of the agreed log's machine), `wire`, `force` (which one holds here) and `rollcall` (who
-has which) have no I/O; `store` keeps the last one on disk, `service` is a daemon's; `control/api` calls it."""
+`rules`, `revisions` (the state machine of the replicated log), `wire`, `active` (the revision that applies in this
+process) and `adoption` (the revision that applies in each other process) do no I/O. `store` keeps the active revision
+on disk and `service` runs it all in a daemon; `control/api` calls `service`.
+"""
--- a/brackenpulley/configuration/store.py
+++ b/brackenpulley/configuration/store.py
@@ -1,7 +1,8 @@
-"""The last revision in force on a process's own disk: one file, written whole beside the old one and put in its place.
+"""Copy of the active revision on the process's own disk: one file, replaced atomically. Used by `service`.
 
-It is a help at the start and never a need: one that is torn, too large, of another fleet or format is counted, and the
-start goes on as without it."""
+The copy speeds up a start and is never required: a file that is torn, too large, or of another fleet or format is
+counted, and the process starts without it.
+"""
 
 from __future__ import annotations
 
@@ -12,41 +13,43 @@
 import msgspec
 
 from .rules import Content
-from .wire import LARGEST, WireError, pack, seal, unpack, unseal
+from .wire import MAX_BODY_BYTES, WireError, pack, seal, unpack, unseal
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class StoredRevision(msgspec.Struct, frozen=True, array_like=True):
+    """Encoded form of the active revision in the file."""
+
     number: int
-    at: float
-    mark: bytes
+    agreed_at: float  # Unix time
+    digest: bytes
     content: bytes
 
 
-_kept = msgspec.msgpack.Decoder(Kept).decode
+_decode = msgspec.msgpack.Decoder(StoredRevision).decode
 
 
-def save(path: str, fleet: str, number: int, at: float, mark: bytes, content: Content) -> None:
-    """Raises OSError; then the old one stands."""
-    data = seal(msgspec.msgpack.encode(Kept(number, at, mark, pack(content))), fleet)
-    beside = Path(path + ".new")
+def save(path: str, fleet: str, number: int, agreed_at: float, digest: bytes, content: Content) -> None:
+    """Write the file. Raises OSError and keeps the old file if that fails."""
+    data = seal(msgspec.msgpack.encode(StoredRevision(number, agreed_at, digest, pack(content))), fleet)
+    temporary = Path(path + ".new")
     try:
-        beside.write_bytes(data)  # not synced: one that a loss of power tears is known by its mark
-        os.replace(beside, path)
+        temporary.write_bytes(data)  # no fsync: the digest reveals a file torn by a power failure
+        os.replace(temporary, path)
     except OSError:
         with contextlib.suppress(OSError):
-            beside.unlink()
+            temporary.unlink()
         raise
 
 
-def load(path: str, fleet: str) -> tuple[Kept, Content] | None:
-    """None where there is none. Raises WireError, and OSError where it cannot be read."""
+def load(path: str, fleet: str) -> tuple[StoredRevision, Content] | None:
+    """Read the file, or return None if there is none. Raises WireError for bad content and OSError for a read error."""
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST + 1000)
+            data = file.read(MAX_BODY_BYTES + 1000)
     except FileNotFoundError:
         return None
     try:
-        kept = _kept(unseal(data, fleet))
+        stored = _decode(unseal(data, fleet))
     except msgspec.MsgspecError as error:
         raise WireError("torn", str(error)) from None
-    return kept, unpack(kept.content)
+    return stored, unpack(stored.content)
--- a/brackenpulley/configuration/wire.py
+++ b/brackenpulley/configuration/wire.py
@@ -1,8 +1,9 @@
-"""A change and a content as bytes: for the log, its snapshots and a process's own disk. Bounded, and checked whole.
+"""Encoding of changes and contents for the log, its snapshots and the copy on disk. Sizes are bounded and checked.
 
-An envelope has the format, the fleet and a mark of the rest: what is torn, too large, of another fleet or of another
-format is told apart by name, so that each can be counted. Firms go as ascending numbers by plan, compressed differences
-of 4 bytes: some 3 bytes a firm at 44,000 of them."""
+An envelope holds the format, the fleet and a digest of the body, so that data that is torn, too large, of another fleet
+or of another format is told apart and counted by cause. Firms are encoded by plan as ascending numbers: compressed
+differences of 4 bytes, which take about 3 bytes a firm at 44,000 firms.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +19,15 @@
 import msgspec
 
 from ..plans.book import Figures
-from .rules import HARD, MOST_BYTES, MOST_ENTRIES, Change, Content
+from .rules import HARD_LIMITS, MAX_ENTRIES, MAX_SNAPSHOT_BYTES, Change, Content
 
 FORMAT = 1
-LARGEST = 2 * MOST_BYTES  # bytes of anything here
-HALF = 1 << 32  # firms from here on stand in a row of their own, so that a difference has 4 bytes
+MAX_BODY_BYTES = 2 * MAX_SNAPSHOT_BYTES
+UPPER_HALF = 1 << 32  # firms from this number on form a group of their own, so that a difference fits into 4 bytes
 
 
 class WireError(ValueError):
-    """It cannot be taken; `cause` is a counter's name: torn, oversized, other_fleet, other_format."""
+    """The data cannot be used; `cause` is a counter's name: torn, oversized, other_fleet or other_format."""
 
     def __init__(self, cause: str, text: str) -> None:
         super().__init__(text)
@@ -34,14 +35,16 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
+    """A body with its format, fleet and digest."""
+
     format: int
     fleet: str
-    mark: bytes
+    digest: bytes
     body: bytes
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
-    """Firms on one plan; `base` is added to each."""
+class FirmGroup(msgspec.Struct, frozen=True, array_like=True):
+    """Firms on one plan; the differences in `packed` start at `base`."""
 
     plan: str
     base: int
@@ -49,99 +52,105 @@
     packed: bytes
 
 
-class Packed(msgspec.Struct, frozen=True, array_like=True):
+class PackedContent(msgspec.Struct, frozen=True, array_like=True):
+    """Encoded form of `Content`."""
+
     plans: dict[str, Figures]
     addresses: dict[str, str]
-    firms: list[Row]
+    firms: list[FirmGroup]
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_envelope = msgspec.msgpack.Decoder(Envelope).decode
-_change = msgspec.msgpack.Decoder(Change).decode
-_packed = msgspec.msgpack.Decoder(Packed).decode
+_decode_envelope = msgspec.msgpack.Decoder(Envelope).decode
+_decode_change = msgspec.msgpack.Decoder(Change).decode
+_decode_content = msgspec.msgpack.Decoder(PackedContent).decode
 
 
-def mark_of(*parts: bytes) -> bytes:
+def digest_of(*parts: bytes) -> bytes:
+    """Return the 8-byte digest of the parts."""
     return hashlib.blake2b(b"\0".join(parts), digest_size=8).digest()
 
 
 def seal(body: bytes, fleet: str) -> bytes:
-    return _encode(Envelope(FORMAT, fleet, mark_of(fleet.encode(), body), body))
+    """Put a body into an envelope."""
+    return _encode(Envelope(FORMAT, fleet, digest_of(fleet.encode(), body), body))
 
 
-def unseal(data: bytes, fleet: str, most: int = LARGEST) -> bytes:
-    """Raises WireError."""
-    if len(data) > most + 200:
-        raise WireError("oversized", f"{len(data)} bytes, {most} at most")
+def unseal(data: bytes, fleet: str, max_bytes: int = MAX_BODY_BYTES) -> bytes:
+    """Check an envelope and return its body. Raises WireError."""
+    if len(data) > max_bytes + 200:
+        raise WireError("oversized", f"{len(data)} bytes, {max_bytes} at most")
     try:
-        told = _envelope(data)
+        envelope = _decode_envelope(data)
     except msgspec.MsgspecError:
         raise WireError("torn", "cannot be read") from None
-    if told.format != FORMAT:
-        raise WireError("other_format", f"of format {told.format}, this is {FORMAT}")
-    if told.fleet != fleet:
-        raise WireError("other_fleet", f"of fleet {told.fleet[:64]!r}, this is {fleet!r}")
-    if told.mark != mark_of(fleet.encode(), told.body):
+    if envelope.format != FORMAT:
+        raise WireError("other_format", f"of format {envelope.format}, this is {FORMAT}")
+    if envelope.fleet != fleet:
+        raise WireError("other_fleet", f"of fleet {envelope.fleet[:64]!r}, this is {fleet!r}")
+    if envelope.digest != digest_of(fleet.encode(), envelope.body):
         raise WireError("torn", "its mark does not hold")
-    return told.body
+    return envelope.body
 
 
 def pack_change(change: Change, fleet: str) -> bytes:
+    """Encode a change in an envelope."""
     return seal(_encode(change), fleet)
 
 
 def unpack_change(data: bytes, fleet: str) -> Change:
-    """Raises WireError."""
+    """Decode a change from its envelope. Raises WireError."""
     try:
-        return _change(unseal(data, fleet, HARD.change))
+        return _decode_change(unseal(data, fleet, HARD_LIMITS.max_change_bytes))
     except msgspec.MsgspecError as error:
         raise WireError("torn", str(error)) from None
 
 
 def pack(content: Content) -> bytes:
-    """The same bytes for the same entries, in whatever order they came."""
-    groups: defaultdict[str, list[int]] = defaultdict(list)
+    """Encode a content: equal contents give equal bytes, whatever the order of their entries."""
+    firms_by_plan: defaultdict[str, list[int]] = defaultdict(list)
     for firm, plan in content.firms.items():
-        groups[plan].append(firm)
-    rows = []
-    for plan in sorted(groups):
-        firms = sorted(groups[plan])
-        split = bisect_left(firms, HALF)
-        rows += [
-            Row(plan, base, len(part), _squeezed(part, base))
-            for base, part in ((0, firms[:split]), (HALF, firms[split:]))
+        firms_by_plan[plan].append(firm)
+    groups = []
+    for plan in sorted(firms_by_plan):
+        firms = sorted(firms_by_plan[plan])
+        split = bisect_left(firms, UPPER_HALF)
+        groups += [
+            FirmGroup(plan, base, len(part), _compress_firms(part, base))
+            for base, part in ((0, firms[:split]), (UPPER_HALF, firms[split:]))
             if part
         ]
-    return _encode(Packed(dict(sorted(content.plans.items())), dict(sorted(content.addresses.items())), rows))
+    return _encode(PackedContent(dict(sorted(content.plans.items())), dict(sorted(content.addresses.items())), groups))
 
 
 def unpack(data: bytes) -> Content:
-    """Raises WireError."""
+    """Decode a content. Raises WireError."""
     try:
-        told = _packed(data)
+        packed = _decode_content(data)
         firms: dict[int, str] = {}
-        for row in told.firms:
-            firms.update(dict.fromkeys(_widened(row), row.plan))
+        for group in packed.firms:
+            firms.update(dict.fromkeys(_decompress_firms(group), group.plan))
     except (msgspec.MsgspecError, zlib.error, ValueError) as error:
         raise WireError("torn", str(error)) from None
-    found = Content(dict(told.plans), firms, dict(told.addresses))
-    found.count()
-    return found
+    content = Content(dict(packed.plans), firms, dict(packed.addresses))
+    content.recount_firms()
+    return content
 
 
-def _squeezed(firms: list[int], base: int) -> bytes:
-    """Ascending ones."""
+def _compress_firms(firms: list[int], base: int) -> bytes:
+    """Compress the differences of ascending numbers, the first one from `base`."""
     return zlib.compress(array("I", map(sub, firms, [base, *firms[:-1]])).tobytes(), 1)
 
 
-def _widened(row: Row) -> Iterable[int]:
-    if not 0 <= row.count <= MOST_ENTRIES:
-        raise ValueError(f"{row.count} firms")
-    data = zlib.decompressobj().decompress(row.packed, 4 * row.count + 1)  # no more than was said
-    if len(data) != 4 * row.count:
+def _decompress_firms(group: FirmGroup) -> Iterable[int]:
+    if not 0 <= group.count <= MAX_ENTRIES:
+        raise ValueError(f"{group.count} firms")
+    # Bounded by the announced count, so that a small body cannot expand without limit.
+    data = zlib.decompressobj().decompress(group.packed, 4 * group.count + 1)
+    if len(data) != 4 * group.count:
         raise ValueError("firms are cut short")
-    steps = array("I")
-    steps.frombytes(data)
-    found = accumulate(steps, initial=row.base)
-    next(found)
-    return found
+    differences = array("I")
+    differences.frombytes(data)
+    firms = accumulate(differences, initial=group.base)
+    next(firms)
+    return firms
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -581,11 +581,11 @@
 
     def firm(request: Request) -> Any:
         try:
-            return service.firm(request.parts[0])
+            return service.firm_status(request.parts[0])
         except BookError as error:
             raise ApiError(error.status, error.field, error.text) from None
 
-    routes.add("GET", "/v1/configuration", lambda request: service.shown())
+    routes.add("GET", "/v1/configuration", lambda request: service.describe())
     routes.add("GET", "/v1/configuration/history", lambda request: {"revisions": service.history()})
     routes.add("GET", "/v1/configuration/firms/{}", firm)
     routes.add("POST", "/v1/configuration", change)
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -317,7 +317,7 @@
         self.metrics.add("reloads")
         discovery, counter = new_config.discovery, new_config.counter
         if self.configuration is not None:  # the agreed revision overrides this host's file
-            discovery, counter = self.configuration.addresses(discovery, counter)
+            discovery, counter = self.configuration.resolve_addresses(discovery, counter)
         if discovery is not None and isinstance(self.discovery, Discovery):
             self.discovery.move(discovery)
         if counter is not None and self.counter is not None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,18 +12,23 @@
 from benchmarks.configuration import drawn_change, run
 from benchmarks.configuration_sizes import compaction, size_run
 from brackenpulley.configuration import store
-from brackenpulley.configuration.force import BACK, BLIND, Here, InForce
-from brackenpulley.configuration.revisions import HISTORY, Revisions
-from brackenpulley.configuration.rollcall import REMEMBERED, RollCall
-from brackenpulley.configuration.rollcall import pack as pack_row
-from brackenpulley.configuration.rules import Change, ChangeError, Content, Limits, check, encoded
+from brackenpulley.configuration.active import (
+    ROLLBACK_DELAY_SECONDS,
+    STARTUP_WAIT_SECONDS,
+    ActiveRevision,
+    LogState,
+)
+from brackenpulley.configuration.adoption import RETENTION_SECONDS, AdoptionTracker
+from brackenpulley.configuration.adoption import pack as pack_record
+from brackenpulley.configuration.revisions import MAX_HISTORY_BYTES, Revisions
+from brackenpulley.configuration.rules import Change, ChangeError, Content, Limits, check, encode_msgpack
 from brackenpulley.configuration.wire import (
     FORMAT,
     Envelope,
-    Row,
+    FirmGroup,
     WireError,
-    _widened,
-    mark_of,
+    _decompress_firms,
+    digest_of,
     pack,
     pack_change,
     seal,
@@ -86,11 +91,13 @@
 def test_limits_hold_for_what_grows_and_never_for_what_shrinks() -> None:
     held = content()
     with pytest.raises(ChangeError, match="firms: 6 entries in that revision, 5 at most"):
-        check(Change(0, "a", {}, {8: "county"}), held, Limits(entries=5))
-    with pytest.raises(ChangeError, match=f"plans: .* bytes in that revision, {held.size} at most"):
-        check(Change(0, "a", {"new": FIGURES}), held, Limits(size=held.size))
-    check(Change(0, "a", {}, {7: None}), held, Limits(entries=1, size=1))
-    check(Change(0, "a", {}, {7: "school"}), held, Limits(entries=5, size=held.size))  # as many as before
+        check(Change(0, "a", {}, {8: "county"}), held, Limits(max_entries=5))
+    with pytest.raises(ChangeError, match=f"plans: .* bytes in that revision, {held.size_bytes} at most"):
+        check(Change(0, "a", {"new": FIGURES}), held, Limits(max_snapshot_bytes=held.size_bytes))
+    check(Change(0, "a", {}, {7: None}), held, Limits(max_entries=1, max_snapshot_bytes=1))
+    check(
+        Change(0, "a", {}, {7: "school"}), held, Limits(max_entries=5, max_snapshot_bytes=held.size_bytes)
+    )  # as many as before
     check(Change(0, "a", {"county": None}, {7: "school", 9: None}), held)
 
 
@@ -99,7 +106,7 @@
     held = Content()
     held.apply(Change(0, "a", {"p" * 64: FIGURES}, {firm: "p" * 64 for firm in range(2000)}))
     change = Change(0, "a", {}, {firm: None for firm in range(2000)})
-    assert len(encoded(change)) < 12_000
+    assert len(encode_msgpack(change)) < 12_000
     with pytest.raises(ChangeError, match="firms: what takes it back has"):
         check(change, held)
 
@@ -110,8 +117,8 @@
         held = content()
         held.plans.update({f"plan-{n}": FIGURES for n in range(plans)})
         held.firms.update({rng.randrange(1 << 33): f"plan-{n % plans}" for n in range(many)})
-        held.count()
-        assert len(pack(held)) <= held.size + 20
+        held.recount_firms()
+        assert len(pack(held)) <= held.size_bytes + 20
         again = unpack(pack(held))
         assert again == held
 
@@ -129,7 +136,7 @@
     assert log.number == 1 and set(log.content.plans) == {"a"}
     assert proposed(log, Change(1, "bob", {"b": FIGURES}), 7.0) == {"revision": 2, "taken": "now"}
     assert proposed(log, Change(5, "bob", {"c": FIGURES}))["field"] == "base"  # no gap either
-    assert (log.number, log.at) == (2, 7.0)
+    assert (log.number, log.agreed_at) == (2, 7.0)
     assert log.counts == {"conflict": 2, "repeated": 1}
 
 
@@ -139,7 +146,7 @@
     before = log.dump()
     change = Change(1, "ann", {"a": Figures(1.0, 1.0)})
     good = pack_change(change, "f")
-    older = encoded(Envelope(FORMAT - 1, "f", mark_of(b"f", encoded(change)), encoded(change)))
+    older = encode_msgpack(Envelope(FORMAT - 1, "f", digest_of(b"f", encode_msgpack(change)), encode_msgpack(change)))
     for data, cause in (
         (good[:-1], "torn"),
         (good[:-9] + bytes((good[-9] ^ 1,)) + good[-8:], "torn"),
@@ -166,17 +173,17 @@
             if "revision" in proposed(log, change):
                 contents.append(pack(log.content))
         to = rng.randrange(12)
-        change = log.way_back(to, "bob")
-        if not change.entries:
+        change = log.revert_change(to, "bob")
+        if not change.entry_count:
             assert contents[to] == contents[12]
             continue
         assert proposed(log, change)["revision"] == 13
         assert pack(log.content) == contents[to]
         assert log.history[-1].note == f"back to revision {to}"
     with pytest.raises(ChangeError, match="to: no way back to revision 13; 0 to 12 can be gone back to"):
-        log.way_back(13, "bob")
+        log.revert_change(13, "bob")
     with pytest.raises(ChangeError, match="there is none"):
-        Revisions("f").way_back(0, "bob")
+        Revisions("f").revert_change(0, "bob")
 
 
 def test_what_is_remembered_is_bounded() -> None:
@@ -186,11 +193,11 @@
         firms = {(1 << 20) + 800 * number + firm: "p" * 20 for firm in range(450)}
         assert "revision" in proposed(log, Change(number, "a", {}, dict(firms)))
     assert log.number == 40
-    assert sum(row.size for row in log.history) <= HISTORY
+    assert sum(row.undo_bytes for row in log.history) <= MAX_HISTORY_BYTES
     oldest = log.history[0].number - 1
     assert 0 < oldest < 39
     with pytest.raises(ChangeError, match=f"to: no way back to revision {oldest - 1}; {oldest} to 39"):
-        log.way_back(oldest - 1, "a")
+        log.revert_change(oldest - 1, "a")
 
 
 def test_a_snapshot_holds_all_and_a_spoilt_one_changes_nothing() -> None:
@@ -201,10 +208,10 @@
     assert other.dump() == log.dump() and other.content == log.content
     torn = log.dump()[:-3]
     other.load(torn)
-    assert other.spoilt and other.number == 2 and other.dump() == torn and other.counts == {"torn": 1}
+    assert other.is_unreadable and other.number == 2 and other.dump() == torn and other.counts == {"torn": 1}
     assert proposed(other, Change(2, "ann", {"b": FIGURES}))["error"].startswith("the snapshot before it")
     other.load(log.dump())
-    assert not other.spoilt and proposed(other, Change(2, "ann", {"b": FIGURES}))["revision"] == 3
+    assert not other.is_unreadable and proposed(other, Change(2, "ann", {"b": FIGURES}))["revision"] == 3
     other.load(None)
     assert other.number == 0 and other.content == Content()
 
@@ -215,7 +222,7 @@
     bomb = zlib.compress(b"\0" * 40_000_000)
     for count in (3, 1 << 40, -1):
         with pytest.raises(ValueError):
-            _widened(Row("a", 0, count, bomb))
+            _decompress_firms(FirmGroup("a", 0, count, bomb))
     with pytest.raises(WireError) as error:
         unseal(seal(b"x", "f"), "g")
     assert error.value.cause == "other_fleet"
@@ -223,51 +230,57 @@
 
 
 def test_what_holds_here_follows_the_log_and_outlives_its_silence() -> None:
-    log, force = Revisions("f"), InForce(100.0)
+    log, active = Revisions("f"), ActiveRevision(100.0)
     proposed(log, Change(0, "ann", {"a": FIGURES}, {7: "a"}))
-    assert force.look(101.0, log, Here(False)) is None  # not caught up
-    assert not force.knows(101.0) and force.knows(100.0 + BLIND)
-    assert (force.number, force.source) == (0, "file")
-    taken = force.look(102.0, log, Here(True, 102.0, True))
-    assert taken is not None and (taken.plans, taken.firms) == (["a"], [7])
-    assert (force.number, force.source, force.since) == (1, "log", 102.0) and force.knows(102.0)
+    assert active.update(101.0, log, LogState(False)) is None  # not caught up
+    assert not active.is_settled(101.0) and active.is_settled(100.0 + STARTUP_WAIT_SECONDS)
+    assert (active.number, active.source) == (0, "file")
+    changed = active.update(102.0, log, LogState(True, 102.0, True))
+    assert changed is not None and (changed.plans, changed.firms) == (["a"], [7])
+    assert (active.number, active.source, active.since) == (1, "log", 102.0) and active.is_settled(102.0)
     proposed(log, Change(1, "ann", {}, {7: None}))
-    assert force.content.firms == {7: "a"}  # nothing shows through before it is looked at
-    assert force.look(103.0, log, Here(True, 103.0, True)) is not None and force.content.firms == {}
-    assert force.look(500.0, log, Here(False)) is None and force.number == 2 and force.silent(500.0) == 397.0
+    assert active.content.firms == {7: "a"}  # nothing shows through before it is looked at
+    assert active.update(103.0, log, LogState(True, 103.0, True)) is not None and active.content.firms == {}
+    assert active.update(500.0, log, LogState(False)) is None and active.number == 2 and active.silence(500.0) == 397.0
 
 
 def test_a_process_that_starts_anew_never_goes_the_way_by_and_a_log_that_is_behind_is_waited_for() -> None:
-    log, force = Revisions("f"), InForce(100.0)
+    log, active = Revisions("f"), ActiveRevision(100.0)
     proposed(log, Change(0, "ann", {"a": FIGURES}))
     behind = log.dump()
     proposed(log, Change(1, "ann", {"a": Figures(3.0, 3.0)}))
-    force.start(log.number, log.at, log.mark, log.content.copy())
-    assert (force.number, force.source) == (2, "copy")
+    active.start(log.number, log.agreed_at, log.digest, log.content.copy())
+    assert (active.number, active.source) == (2, "copy")
     log.load(behind)  # a voter's disk, before the others have said what is committed
-    assert force.look(101.0, log, Here(True, 101.0, True)) is None and force.number == 2
+    assert active.update(101.0, log, LogState(True, 101.0, True)) is None and active.number == 2
     proposed(log, Change(1, "ann", {"a": Figures(3.0, 3.0)}))
-    assert force.look(102.0, log, Here(True, 102.0, True)) is None and force.source == "log"
+    assert active.update(102.0, log, LogState(True, 102.0, True)) is None and active.source == "log"
     log.load(behind)  # and where the fleet's log is another one, it says so for as long
-    assert force.look(110.0, log, Here(True, 110.0, True)) is None
-    assert force.look(109.9 + BACK, log, Here(True, 110.0, True)) is None
-    taken = force.look(110.0 + BACK, log, Here(True, 110.0, True))
-    assert taken is not None and force.number == 1 and force.content.plans == {"a": FIGURES}
+    assert active.update(110.0, log, LogState(True, 110.0, True)) is None
+    assert active.update(109.9 + ROLLBACK_DELAY_SECONDS, log, LogState(True, 110.0, True)) is None
+    changed = active.update(110.0 + ROLLBACK_DELAY_SECONDS, log, LogState(True, 110.0, True))
+    assert changed is not None and active.number == 1 and active.content.plans == {"a": FIGURES}
 
 
 def test_a_side_without_a_leader_takes_what_was_agreed_and_goes_back_to_nothing() -> None:
     """Who starts anew there asks a voter that is cut off itself: what that calls committed is, and it may be old."""
-    log, force = Revisions("f"), InForce(100.0)
+    log, active = Revisions("f"), ActiveRevision(100.0)
     proposed(log, Change(0, "ann", {"a": FIGURES}))
-    assert force.look(101.0, log, Here(True)) is not None and force.number == 1
-    assert not force.knows(101.0) and force.knows(100.0 + BLIND) and force.silent(150.0) == 50.0
-    force = InForce(100.0)
-    force.start(5, 50.0, b"five", content())
-    for now in (101.0, 101.0 + BACK, 101.0 + 50 * BACK):
-        assert force.look(now, log, Here(True)) is None and force.number == 5
-    assert force.look(900.0, log, Here(True, 900.0, True)) is None
-    assert force.look(905.0, log, Here(True, 900.0)) is None  # its leader is gone: the time begins anew
-    assert force.look(900.1 + BACK, log, Here(True, 910.0, True)) is None and force.number == 5
+    assert active.update(101.0, log, LogState(True)) is not None and active.number == 1
+    assert (
+        not active.is_settled(101.0)
+        and active.is_settled(100.0 + STARTUP_WAIT_SECONDS)
+        and active.silence(150.0) == 50.0
+    )
+    active = ActiveRevision(100.0)
+    active.start(5, 50.0, b"five", content())
+    for now in (101.0, 101.0 + ROLLBACK_DELAY_SECONDS, 101.0 + 50 * ROLLBACK_DELAY_SECONDS):
+        assert active.update(now, log, LogState(True)) is None and active.number == 5
+    assert active.update(900.0, log, LogState(True, 900.0, True)) is None
+    assert active.update(905.0, log, LogState(True, 900.0)) is None  # its leader is gone: the time begins anew
+    assert (
+        active.update(900.1 + ROLLBACK_DELAY_SECONDS, log, LogState(True, 910.0, True)) is None and active.number == 5
+    )
 
 
 def test_the_own_copy_is_read_back_and_a_spoilt_one_is_told_apart(tmp_path: Path) -> None:
@@ -275,7 +288,7 @@
     assert store.load(path, "f") is None
     store.save(path, "f", 3, 5.0, b"12345678", content())
     found = store.load(path, "f")
-    assert found is not None and (found[0].number, found[0].at) == (3, 5.0) and found[1] == content()
+    assert found is not None and (found[0].number, found[0].agreed_at) == (3, 5.0) and found[1] == content()
     with pytest.raises(WireError) as error:
         store.load(path, "g")
     assert error.value.cause == "other_fleet"
@@ -290,24 +303,24 @@
 
 
 def test_who_has_which_revision_is_counted_and_the_silent_are_named() -> None:
-    roll = RollCall()
+    adoption = AdoptionTracker()
     for name, number in (("n0", 4), ("n1", 4), ("n2", 3)):
-        roll.told(f"{name}@1", pack_row(name, number, b"abcdefgh", 50.0))
-    assert roll.status(60.0) == {"byRevision": {"3": 1, "4": 2}, "silent": 0, "silentNamed": []}
-    roll.gone(70.0, "n2@1", left=False)
-    roll.gone(70.0, "n1@1", left=True)
-    assert roll.status(90.0) == {
+        adoption.update(f"{name}@1", pack_record(name, number, b"abcdefgh", 50.0))
+    assert adoption.status(60.0) == {"byRevision": {"3": 1, "4": 2}, "silent": 0, "silentNamed": []}
+    adoption.remove(70.0, "n2@1", has_left=False)
+    adoption.remove(70.0, "n1@1", has_left=True)
+    assert adoption.status(90.0) == {
         "byRevision": {"4": 1},
         "silent": 1,
         "silentNamed": [{"name": "n2", "revision": 3, "silentS": 20.0, "revisionAgeS": 40.0}],
     }
-    roll.told("n2@2", pack_row("n2", 4, b"abcdefgh", 95.0, 94.0))  # its next life
-    roll.told("n2@1", pack_row("n2", 3, b"abcdefgh", 50.0, 49.0))  # the old one's word, from who was cut off
-    roll.gone(96.0, "n2@1", left=False)  # the old one is forgotten late: it says nothing of the new one
-    assert roll.status(99.0)["byRevision"] == {"4": 2}
-    roll.gone(100.0, "n2@2", left=False)
-    roll.told("n3@1", b"\xc1")
-    assert roll.unread == 1 and roll.status(100.0 + REMEMBERED + 1)["silent"] == 0
+    adoption.update("n2@2", pack_record("n2", 4, b"abcdefgh", 95.0, 94.0))  # its next life
+    adoption.update("n2@1", pack_record("n2", 3, b"abcdefgh", 50.0, 49.0))  # the old one's word, from who was cut off
+    adoption.remove(96.0, "n2@1", has_left=False)  # the old one is forgotten late: it says nothing of the new one
+    assert adoption.status(99.0)["byRevision"] == {"4": 2}
+    adoption.remove(100.0, "n2@2", has_left=False)
+    adoption.update("n3@1", b"\xc1")
+    assert adoption.unreadable == 1 and adoption.status(100.0 + RETENTION_SECONDS + 1)["silent"] == 0
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -332,9 +345,9 @@
 
 PLANTS: dict[str, tuple[Any, str]] = {
     "a change counts on whatever stands": (Revisions, "apply"),
-    "the way back forgets the oldest step": (Revisions, "way_back"),
-    "what is in force is the log's own content": (InForce, "_take"),
-    "differences forget firms": (Revisions, "touched"),
+    "the way back forgets the oldest step": (Revisions, "revert_change"),
+    "what is in force is the log's own content": (ActiveRevision, "_adopt"),
+    "differences forget firms": (Revisions, "changed_since"),
     "a snapshot keeps the old content": (Revisions, "load"),
 }
 
@@ -357,18 +370,18 @@
             ),
         )
 
-    def way_back(self: Revisions, number: int, by: str) -> Change:
+    def revert_change(self: Revisions, number: int, by: str) -> Change:
         if number + 2 > self.number:
             return before(self, number, by)  # type: ignore[no-any-return]
         return before(self, number + 1, by)  # type: ignore[no-any-return]
 
-    def take(self: InForce, now: float, log: Revisions) -> Any:
-        taken = before(self, now, log)
+    def adopt(self: ActiveRevision, now: float, log: Revisions) -> Any:
+        changed = before(self, now, log)
         self.content = log.content
-        return taken
+        return changed
 
-    def touched(self: Revisions, mark: bytes) -> Change | None:
-        found = before(self, mark)
+    def changed_since(self: Revisions, digest: bytes) -> Change | None:
+        found = before(self, digest)
         return None if found is None else Change(found.base, "", found.plans, {}, found.addresses)
 
     def load(self: Revisions, dumped: Any) -> None:
@@ -377,6 +390,12 @@
         if dumped:
             self.content = held
 
-    planted = {"apply": apply, "way_back": way_back, "_take": take, "touched": touched, "load": load}
+    planted = {
+        "apply": apply,
+        "revert_change": revert_change,
+        "_adopt": adopt,
+        "changed_since": changed_since,
+        "load": load,
+    }
     monkeypatch.setattr(owner, member, planted[member])
     assert any(run(seed)["broken"] for seed in range(12))
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -78,7 +78,7 @@
     return told
 
 
-def knows(r: Rig) -> None:
+def wait_until_settled(r: Rig) -> None:
     """An election takes seconds, which the clock is moved on by."""
 
     def known() -> bool:
@@ -106,7 +106,7 @@
 
 def test_what_is_wrong_is_told_before_it_is_proposed(tmp_path: Path) -> None:
     with rig(operator=operator(tmp_path)) as r:
-        knows(r)
+        wait_until_settled(r)
         for told, field in BAD:
             code, answer = call(r, tmp_path, "POST", "/v1/configuration", {"base": 0, **told})
             assert (code, answer["error"]["field"]) == (400, field), answer
@@ -117,7 +117,7 @@
 
 def test_limits_of_the_settings_hold(tmp_path: Path) -> None:
     with rig(operator=operator(tmp_path, configuration={"most_entries": 1, "most_kb": 1, "change_kb": 1})) as r:
-        knows(r)
+        wait_until_settled(r)
         told = change(r, tmp_path, 0, 400, plans={"a": FIGURES, "b": FIGURES})
         assert told["error"] == {"field": "plans", "text": "2 entries in that revision, 1 at most"}
         assert change(r, tmp_path, 0, plans={"a": FIGURES})["revision"] == 1
@@ -126,12 +126,12 @@
 def test_a_change_holds_is_gone_back_from_and_survives_a_start(tmp_path: Path) -> None:
     told = operator(tmp_path)
     with rig(operator=told) as r:
-        knows(r)
+        wait_until_settled(r)
         assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "p"
         first: dict[str, Any] = {"plans": {"big": FIGURES, "p": {"rate": 7.0, "burst": 9.0}}, "firms": {FIRM: "big"}}
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "now"}
-        gateway = r.daemon.ingress.decision_module
-        assert gateway.firms[1].plan.name == "big" and gateway.plans["p"].rate == 7.0
+        decision_module = r.daemon.ingress.decision_module
+        assert decision_module.firms[1].plan.name == "big" and decision_module.plans["p"].rate == 7.0
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "before"}
         assert change(r, tmp_path, 0, 409, plans={"big": FIGURES})["error"]["field"] == "base"
         assert change(r, tmp_path, 1, 400, plans={"big": None})["error"] == {
@@ -153,7 +153,7 @@
                 200,
                 {"revision": 2, "taken": taken},
             )
-        assert gateway.plans["p"].rate == 5.0  # the file's again
+        assert decision_module.plans["p"].rate == 5.0  # the file's again
         assert r.daemon.configuration.plan_of(1, "big") == ("", 2)  # a plan that went is none
         rows = call(r, tmp_path, "GET", "/v1/configuration/history")[1]["revisions"]
         assert [(row["revision"], row["by"], row["note"]) for row in rows] == [
@@ -162,9 +162,9 @@
         ]
         assert change(r, tmp_path, 2, firms={FIRM: "big"}, plans={"big": FIGURES})["revision"] == 3
     with rig(operator=told) as r:  # the next life: by its own disk before anything is agreed
-        assert r.daemon.configuration.force.number == 3 and r.daemon.configuration.force.source == "copy"
+        assert r.daemon.configuration.active.number == 3 and r.daemon.configuration.active.source == "copy"
         assert r.daemon.ingress.decision_module.plans["big"].rate == 50.0
-        knows(r)
+        wait_until_settled(r)
         assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "big"
         assert call(r, tmp_path, "GET", "/v1/configuration")[1]["from"] == "log"
 
@@ -173,8 +173,8 @@
     told = operator(tmp_path)
     (tmp_path / "copy").write_bytes(b"torn")
     with rig(operator=told) as r:
-        assert r.count("configuration_copy_torn") == 1 and r.daemon.configuration.force.number == 0
-        knows(r)
+        assert r.count("configuration_copy_torn") == 1 and r.daemon.configuration.active.number == 0
+        wait_until_settled(r)
         change(r, tmp_path, 0, plans={"big": FIGURES})
         agreement = r.daemon.agreement.agreement
         assert agreement is not None and agreement.node is not None
@@ -185,7 +185,7 @@
                 ]
             )
         r.run_until(lambda: r.count("configuration_oversized") == 1)
-        assert r.count("configuration_torn") == 1 and r.daemon.configuration.force.number == 1
+        assert r.count("configuration_torn") == 1 and r.daemon.configuration.active.number == 1
 
 
 def test_a_follower_that_hears_nobody_serves_with_what_it_has_and_says_how_old(tmp_path: Path) -> None:
@@ -201,7 +201,7 @@
         )
         r.advance_clock(4.1)
         r.run_until(lambda: later.reply is not None)
-        assert later.reply.status == 503 and r.daemon.configuration.force.number == 0
+        assert later.reply.status == 503 and r.daemon.configuration.active.number == 0
 
 
 def test_a_message_never_sees_two_revisions(tmp_path: Path) -> None:
@@ -209,7 +209,7 @@
     told = operator(tmp_path, ledger={"path": f"{tmp_path}/ledger", "period_s": 1.0, "grace_s": 0.0})
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-True-Cost: 3\r\nConnection: close\r\n\r\nbody"
     with rig(operator=told) as r:
-        knows(r)
+        wait_until_settled(r)
         change(r, tmp_path, 0, plans={"big": FIGURES, "small": {"rate": 1.0, "burst": 4.0}}, firms={FIRM: "big"})
         client = r.send_request(1, ident=50)
         _, server = r.accept_relay()
@@ -229,12 +229,12 @@
 def test_addresses_move_and_a_reload_of_the_file_does_not_move_them_back(tmp_path: Path) -> None:
     moved: list[Any] = []
     with rig(counter=True, operator=operator(tmp_path)) as r:
-        knows(r)
+        wait_until_settled(r)
         assert r.daemon.counter is not None
         file = r.daemon.counter.address
         r.daemon.configuration.daemon.counter.move = moved.append
         change(r, tmp_path, 0, addresses={"counter": "127.0.0.1:7777"})
         assert moved == [("127.0.0.1", 7777)]
-        assert r.daemon.configuration.addresses(None, ("127.0.0.1", 9)) == (None, ("127.0.0.1", 7777))
+        assert r.daemon.configuration.resolve_addresses(None, ("127.0.0.1", 9)) == (None, ("127.0.0.1", 7777))
         assert call(r, tmp_path, "POST", "/v1/configuration/revert", {"to": 0, "by": "bob"})[0] == 200
         assert moved[1:] == [("127.0.0.1", 9)] and file != ("127.0.0.1", 9)
