--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""One revision for all: the rules of a change, the agreed part, what is in force where, and a fleet in virtual time."""
+"""Agreed configuration: rules of a change, revisions in the log, active revision, adoption, a fleet in virtual time."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 
 
 def content() -> Content:
-    found = Content()
-    found.apply(
+    built = Content()
+    built.apply(
         Change(
             0,
             "ann",
@@ -52,7 +52,7 @@
             {"discovery": "10.0.0.1:80"},
         )
     )
-    return found
+    return built
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
         (Change(0, "a", {}, {firm: "county" for firm in range(20_000)}), "firms", "make several of it"),
     ],
 )
-def test_a_change_that_makes_no_sense_is_one_line_that_names_the_field(change: Change, field: str, text: str) -> None:
+def test_an_invalid_change_gives_a_one_line_error_that_names_the_field(change: Change, field: str, text: str) -> None:
     held = content()
     before = pack(held)
     with pytest.raises(ChangeError) as error:
@@ -88,21 +88,20 @@
     assert pack(held) == before
 
 
-def test_limits_hold_for_what_grows_and_never_for_what_shrinks() -> None:
+def test_limits_apply_to_growth_and_never_to_shrinking() -> None:
     held = content()
     with pytest.raises(ChangeError, match="firms: 6 entries in that revision, 5 at most"):
         check(Change(0, "a", {}, {8: "county"}), held, Limits(max_entries=5))
     with pytest.raises(ChangeError, match=f"plans: .* bytes in that revision, {held.size_bytes} at most"):
         check(Change(0, "a", {"new": FIGURES}), held, Limits(max_snapshot_bytes=held.size_bytes))
     check(Change(0, "a", {}, {7: None}), held, Limits(max_entries=1, max_snapshot_bytes=1))
-    check(
-        Change(0, "a", {}, {7: "school"}), held, Limits(max_entries=5, max_snapshot_bytes=held.size_bytes)
-    )  # as many as before
+    # As many entries and bytes as before.
+    check(Change(0, "a", {}, {7: "school"}), held, Limits(max_entries=5, max_snapshot_bytes=held.size_bytes))
     check(Change(0, "a", {"county": None}, {7: "school", 9: None}), held)
 
 
-def test_what_takes_a_change_back_must_fit_as_well() -> None:
-    """Or there would be a revision without a way back."""
+def test_the_undo_change_must_fit_the_size_limit_too() -> None:
+    """Otherwise a revision could not be reverted."""
     held = Content()
     held.apply(Change(0, "a", {"p" * 64: FIGURES}, {firm: "p" * 64 for firm in range(2000)}))
     change = Change(0, "a", {}, {firm: None for firm in range(2000)})
@@ -111,7 +110,7 @@
         check(change, held)
 
 
-def test_size_is_no_less_than_what_a_snapshot_takes() -> None:
+def test_size_bytes_is_an_upper_bound_of_the_snapshot() -> None:
     rng = random.Random(1)
     for many, plans in ((0, 1), (1, 1), (10, 1), (5000, 1), (1000, 40), (40, 40)):
         held = content()
@@ -123,26 +122,28 @@
         assert again == held
 
 
-def proposed(log: Revisions, change: Change, at: float = 5.0) -> Any:
+def propose(log: Revisions, change: Change, at: float = 5.0) -> Any:
     return log.apply(at, pack_change(change, log.fleet))
 
 
-def test_revisions_stand_on_each_other_and_who_was_first_has_won() -> None:
+def test_each_revision_is_based_on_the_previous_one_and_the_first_proposal_wins() -> None:
     log = Revisions("f")
     one, two = Change(0, "ann", {"a": FIGURES}), Change(0, "bob", {"b": FIGURES})
-    assert proposed(log, one) == {"revision": 1, "taken": "now"}
-    assert proposed(log, two) == {"error": "0 is not the revision in force, 1", "field": "base"}
-    assert proposed(log, one) == {"revision": 1, "taken": "before"}
+    assert propose(log, one) == {"revision": 1, "taken": "now"}
+    assert propose(log, two) == {"error": "0 is not the revision in force, 1", "field": "base"}
+    assert propose(log, one) == {"revision": 1, "taken": "before"}
     assert log.number == 1 and set(log.content.plans) == {"a"}
-    assert proposed(log, Change(1, "bob", {"b": FIGURES}), 7.0) == {"revision": 2, "taken": "now"}
-    assert proposed(log, Change(5, "bob", {"c": FIGURES}))["field"] == "base"  # no gap either
+    assert propose(log, Change(1, "bob", {"b": FIGURES}), 7.0) == {"revision": 2, "taken": "now"}
+    assert (
+        propose(log, Change(5, "bob", {"c": FIGURES}))["field"] == "base"
+    )  # a base after the latest revision is a conflict too
     assert (log.number, log.agreed_at) == (2, 7.0)
     assert log.counts == {"conflict": 2, "repeated": 1}
 
 
-def test_what_is_torn_too_large_or_not_ours_is_counted_and_the_last_good_one_stands() -> None:
+def test_torn_oversized_and_foreign_changes_are_counted_and_the_last_good_revision_stays() -> None:
     log = Revisions("f")
-    proposed(log, Change(0, "ann", {"a": FIGURES}))
+    propose(log, Change(0, "ann", {"a": FIGURES}))
     before = log.dump()
     change = Change(1, "ann", {"a": Figures(1.0, 1.0)})
     good = pack_change(change, "f")
@@ -160,24 +161,24 @@
         counted = log.counts.get(cause, 0)
         assert "error" in log.apply(9.0, data)
         assert log.counts[cause] == counted + 1 and log.dump() == before
-    assert proposed(log, change)["revision"] == 2
+    assert propose(log, change)["revision"] == 2
 
 
-def test_a_way_back_is_a_new_revision_with_the_old_content() -> None:
+def test_a_revert_is_a_new_revision_with_the_old_content() -> None:
     rng = random.Random(4)
     for _ in range(30):
         log = Revisions("f")
         contents = [pack(log.content)]
         while log.number < 12:
             change = drawn_change(rng, log.number, log.content, "ann")
-            if "revision" in proposed(log, change):
+            if "revision" in propose(log, change):
                 contents.append(pack(log.content))
         to = rng.randrange(12)
         change = log.revert_change(to, "bob")
         if not change.entry_count:
             assert contents[to] == contents[12]
             continue
-        assert proposed(log, change)["revision"] == 13
+        assert propose(log, change)["revision"] == 13
         assert pack(log.content) == contents[to]
         assert log.history[-1].note == f"back to revision {to}"
     with pytest.raises(ChangeError, match="to: no way back to revision 13; 0 to 12 can be gone back to"):
@@ -186,12 +187,12 @@
         Revisions("f").revert_change(0, "bob")
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_the_undo_history_is_bounded() -> None:
     log = Revisions("f")
-    proposed(log, Change(0, "a", {"p" * 20: FIGURES}))
+    propose(log, Change(0, "a", {"p" * 20: FIGURES}))
     for number in range(1, 40):
         firms = {(1 << 20) + 800 * number + firm: "p" * 20 for firm in range(450)}
-        assert "revision" in proposed(log, Change(number, "a", {}, dict(firms)))
+        assert "revision" in propose(log, Change(number, "a", {}, dict(firms)))
     assert log.number == 40
     assert sum(row.undo_bytes for row in log.history) <= MAX_HISTORY_BYTES
     oldest = log.history[0].number - 1
@@ -200,23 +201,23 @@
         log.revert_change(oldest - 1, "a")
 
 
-def test_a_snapshot_holds_all_and_a_spoilt_one_changes_nothing() -> None:
+def test_a_snapshot_holds_all_state_and_an_unreadable_one_changes_nothing() -> None:
     log, other = Revisions("f"), Revisions("f")
-    proposed(log, Change(0, "ann", {"a": FIGURES}, {1 << 32: "a", 5: "a", (1 << 33) - 1: "a"}))
-    proposed(log, Change(1, "ann", {}, {5: None}))
+    propose(log, Change(0, "ann", {"a": FIGURES}, {1 << 32: "a", 5: "a", (1 << 33) - 1: "a"}))
+    propose(log, Change(1, "ann", {}, {5: None}))
     other.load(log.dump())
     assert other.dump() == log.dump() and other.content == log.content
     torn = log.dump()[:-3]
     other.load(torn)
     assert other.is_unreadable and other.number == 2 and other.dump() == torn and other.counts == {"torn": 1}
-    assert proposed(other, Change(2, "ann", {"b": FIGURES}))["error"].startswith("the snapshot before it")
+    assert propose(other, Change(2, "ann", {"b": FIGURES}))["error"].startswith("the snapshot before it")
     other.load(log.dump())
-    assert not other.is_unreadable and proposed(other, Change(2, "ann", {"b": FIGURES}))["revision"] == 3
+    assert not other.is_unreadable and propose(other, Change(2, "ann", {"b": FIGURES}))["revision"] == 3
     other.load(None)
     assert other.number == 0 and other.content == Content()
 
 
-def test_firms_that_unpack_to_more_than_was_said_are_refused() -> None:
+def test_firms_that_decompress_to_more_than_announced_are_rejected() -> None:
     import zlib
 
     bomb = zlib.compress(b"\0" * 40_000_000)
@@ -229,43 +230,43 @@
     assert unpack_change(pack_change(Change(3, "a"), "f"), "f") == Change(3, "a")
 
 
-def test_what_holds_here_follows_the_log_and_outlives_its_silence() -> None:
+def test_the_active_revision_follows_the_log_and_survives_its_silence() -> None:
     log, active = Revisions("f"), ActiveRevision(100.0)
-    proposed(log, Change(0, "ann", {"a": FIGURES}, {7: "a"}))
+    propose(log, Change(0, "ann", {"a": FIGURES}, {7: "a"}))
     assert active.update(101.0, log, LogState(False)) is None  # not caught up
     assert not active.is_settled(101.0) and active.is_settled(100.0 + STARTUP_WAIT_SECONDS)
     assert (active.number, active.source) == (0, "file")
     changed = active.update(102.0, log, LogState(True, 102.0, True))
     assert changed is not None and (changed.plans, changed.firms) == (["a"], [7])
     assert (active.number, active.source, active.since) == (1, "log", 102.0) and active.is_settled(102.0)
-    proposed(log, Change(1, "ann", {}, {7: None}))
-    assert active.content.firms == {7: "a"}  # nothing shows through before it is looked at
+    propose(log, Change(1, "ann", {}, {7: None}))
+    assert active.content.firms == {7: "a"}  # a later entry of the log does not show through before update()
     assert active.update(103.0, log, LogState(True, 103.0, True)) is not None and active.content.firms == {}
     assert active.update(500.0, log, LogState(False)) is None and active.number == 2 and active.silence(500.0) == 397.0
 
 
-def test_a_process_that_starts_anew_never_goes_the_way_by_and_a_log_that_is_behind_is_waited_for() -> None:
+def test_a_restarted_process_skips_intermediate_revisions_and_waits_for_a_log_that_is_behind() -> None:
     log, active = Revisions("f"), ActiveRevision(100.0)
-    proposed(log, Change(0, "ann", {"a": FIGURES}))
+    propose(log, Change(0, "ann", {"a": FIGURES}))
     behind = log.dump()
-    proposed(log, Change(1, "ann", {"a": Figures(3.0, 3.0)}))
+    propose(log, Change(1, "ann", {"a": Figures(3.0, 3.0)}))
     active.start(log.number, log.agreed_at, log.digest, log.content.copy())
     assert (active.number, active.source) == (2, "copy")
-    log.load(behind)  # a voter's disk, before the others have said what is committed
+    log.load(behind)  # a voter's disk, before it hears the commit index from the others
     assert active.update(101.0, log, LogState(True, 101.0, True)) is None and active.number == 2
-    proposed(log, Change(1, "ann", {"a": Figures(3.0, 3.0)}))
+    propose(log, Change(1, "ann", {"a": Figures(3.0, 3.0)}))
     assert active.update(102.0, log, LogState(True, 102.0, True)) is None and active.source == "log"
-    log.load(behind)  # and where the fleet's log is another one, it says so for as long
+    log.load(behind)  # a log that stays behind is another log
     assert active.update(110.0, log, LogState(True, 110.0, True)) is None
     assert active.update(109.9 + ROLLBACK_DELAY_SECONDS, log, LogState(True, 110.0, True)) is None
     changed = active.update(110.0 + ROLLBACK_DELAY_SECONDS, log, LogState(True, 110.0, True))
     assert changed is not None and active.number == 1 and active.content.plans == {"a": FIGURES}
 
 
-def test_a_side_without_a_leader_takes_what_was_agreed_and_goes_back_to_nothing() -> None:
-    """Who starts anew there asks a voter that is cut off itself: what that calls committed is, and it may be old."""
+def test_a_partition_without_a_leader_adopts_committed_revisions_and_never_rolls_back() -> None:
+    """A process restarted there asks a voter that is cut off too: what it reports is committed, but may be old."""
     log, active = Revisions("f"), ActiveRevision(100.0)
-    proposed(log, Change(0, "ann", {"a": FIGURES}))
+    propose(log, Change(0, "ann", {"a": FIGURES}))
     assert active.update(101.0, log, LogState(True)) is not None and active.number == 1
     assert (
         not active.is_settled(101.0)
@@ -277,13 +278,13 @@
     for now in (101.0, 101.0 + ROLLBACK_DELAY_SECONDS, 101.0 + 50 * ROLLBACK_DELAY_SECONDS):
         assert active.update(now, log, LogState(True)) is None and active.number == 5
     assert active.update(900.0, log, LogState(True, 900.0, True)) is None
-    assert active.update(905.0, log, LogState(True, 900.0)) is None  # its leader is gone: the time begins anew
+    assert active.update(905.0, log, LogState(True, 900.0)) is None  # leader lost: the delay starts over
     assert (
         active.update(900.1 + ROLLBACK_DELAY_SECONDS, log, LogState(True, 910.0, True)) is None and active.number == 5
     )
 
 
-def test_the_own_copy_is_read_back_and_a_spoilt_one_is_told_apart(tmp_path: Path) -> None:
+def test_the_copy_on_disk_is_read_back_and_faults_in_it_are_told_apart(tmp_path: Path) -> None:
     path = str(tmp_path / "copy")
     assert store.load(path, "f") is None
     store.save(path, "f", 3, 5.0, b"12345678", content())
@@ -302,7 +303,7 @@
         store.save(str(tmp_path / "none" / "copy"), "f", 3, 5.0, b"", content())
 
 
-def test_who_has_which_revision_is_counted_and_the_silent_are_named() -> None:
+def test_processes_are_counted_by_revision_and_silent_ones_are_named() -> None:
     adoption = AdoptionTracker()
     for name, number in (("n0", 4), ("n1", 4), ("n2", 3)):
         adoption.update(f"{name}@1", pack_record(name, number, b"abcdefgh", 50.0))
@@ -314,9 +315,9 @@
         "silent": 1,
         "silentNamed": [{"name": "n2", "revision": 3, "silentS": 20.0, "revisionAgeS": 40.0}],
     }
-    adoption.update("n2@2", pack_record("n2", 4, b"abcdefgh", 95.0, 94.0))  # its next life
-    adoption.update("n2@1", pack_record("n2", 3, b"abcdefgh", 50.0, 49.0))  # the old one's word, from who was cut off
-    adoption.remove(96.0, "n2@1", has_left=False)  # the old one is forgotten late: it says nothing of the new one
+    adoption.update("n2@2", pack_record("n2", 4, b"abcdefgh", 95.0, 94.0))  # after a restart
+    adoption.update("n2@1", pack_record("n2", 3, b"abcdefgh", 50.0, 49.0))  # late record from before the restart
+    adoption.remove(96.0, "n2@1", has_left=False)  # a late removal of the old one does not affect the new one
     assert adoption.status(99.0)["byRevision"] == {"4": 2}
     adoption.remove(100.0, "n2@2", has_left=False)
     adoption.update("n3@1", b"\xc1")
@@ -325,36 +326,36 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_fleet_with_faults_keeps_one_order_of_revisions(seed: int) -> None:
-    """The long form: python -m benchmarks.configuration --seeds 200."""
+    """More seeds: python -m benchmarks.configuration --seeds 200."""
     report = run(seed)
     assert report["broken"] == "", report["lines"]
     assert report["revisions"] > 0
 
 
-def test_a_change_is_in_force_in_time_while_some_restart_and_a_region_is_away() -> None:
-    """The short form of --only sizes; at the end those cut off catch up by the difference."""
+def test_a_change_is_active_in_time_during_restarts_and_a_region_outage() -> None:
+    """A short run of --only sizes; processes that were cut off receive only the changes that they missed."""
     report = size_run(60)
     assert report["wrong"] == [] and report["cutOff"] == 21 and report["cutOffHave"] == [3]
     assert report["returnBytesEach"] < 10 * report["changeBytes"] * report["changes"]
 
 
-def test_a_region_that_returns_after_the_log_became_a_snapshot_is_told_all_of_it() -> None:
+def test_a_region_that_returns_after_log_compaction_receives_the_whole_snapshot() -> None:
     report = compaction(18, 1600)
     assert report["wrong"] == [] and report["snapshotsWhileFollowing"] == 0 and report["snapshotsAtReturn"] >= 6
 
 
-PLANTS: dict[str, tuple[Any, str]] = {
-    "a change counts on whatever stands": (Revisions, "apply"),
-    "the way back forgets the oldest step": (Revisions, "revert_change"),
-    "what is in force is the log's own content": (ActiveRevision, "_adopt"),
-    "differences forget firms": (Revisions, "changed_since"),
-    "a snapshot keeps the old content": (Revisions, "load"),
+INJECTED_FAULTS: dict[str, tuple[Any, str]] = {
+    "a change is applied whatever its base": (Revisions, "apply"),
+    "a revert leaves out the oldest change": (Revisions, "revert_change"),
+    "the active content is not a copy": (ActiveRevision, "_adopt"),
+    "changed entries leave out firms": (Revisions, "changed_since"),
+    "a snapshot does not replace the content": (Revisions, "load"),
 }
 
 
-@pytest.mark.parametrize("name", list(PLANTS))
-def test_a_planted_fault_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    owner, member = PLANTS[name]
+@pytest.mark.parametrize("name", list(INJECTED_FAULTS))
+def test_an_injected_fault_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    owner, member = INJECTED_FAULTS[name]
     before = getattr(owner, member)
 
     def apply(self: Revisions, at: float, body: bytes) -> Any:
@@ -381,8 +382,8 @@
         return changed
 
     def changed_since(self: Revisions, digest: bytes) -> Change | None:
-        found = before(self, digest)
-        return None if found is None else Change(found.base, "", found.plans, {}, found.addresses)
+        changes = before(self, digest)
+        return None if changes is None else Change(changes.base, "", changes.plans, {}, changes.addresses)
 
     def load(self: Revisions, dumped: Any) -> None:
         held = self.content
@@ -390,12 +391,12 @@
         if dumped:
             self.content = held
 
-    planted = {
+    faulty = {
         "apply": apply,
         "revert_change": revert_change,
         "_adopt": adopt,
         "changed_since": changed_since,
         "load": load,
     }
-    monkeypatch.setattr(owner, member, planted[member])
+    monkeypatch.setattr(owner, member, faulty[member])
     assert any(run(seed)["broken"] for seed in range(12))
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Real processes with relays between them: one revision after the other, whatever fails between and in them."""
+"""Real processes with faulty links between them: revisions apply in one order, whatever links or processes fail."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from benchmarks.configuration_sizes import LATE
 
 
-def test_one_revision_for_all_while_links_lose_and_processes_die_stand_still_and_are_cut_off() -> None:
+def test_all_processes_agree_on_revisions_despite_loss_crashes_stalls_and_partitions() -> None:
     report = processes()
     assert report["wrong"] == []
     assert max(report["inForceS"].values()) < LATE and report["served"] > 100
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -1,4 +1,4 @@
-"""The configuration in a daemon: the operator's settings, the control API, what a message sees, the own copy."""
+"""The agreed configuration in a daemon: operator settings, control API, effect on messages, copy on disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "said"),
+    ("raw", "message"),
     [
         ({"configuration": {}}, "configuration: needs [consensus]"),
         ({"members": MEMBERS, "configuration": {}}, "configuration: needs [consensus]"),
@@ -37,16 +37,16 @@
         ({**AGREED, "configuration": 5}, "configuration: not a table"),
     ],
 )
-def test_a_wrong_setting_is_one_line_that_names_the_field(raw: dict[str, Any], said: str) -> None:
+def test_a_wrong_setting_gives_a_one_line_error_that_names_the_field(raw: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError) as error:
         decode(raw)
-    assert str(error.value).startswith(said) and "\n" not in str(error.value)
+    assert str(error.value).startswith(message) and "\n" not in str(error.value)
 
 
-def test_it_is_off_unless_told_and_the_file_with_every_setting_can_be_read() -> None:
+def test_it_is_off_by_default_and_the_example_with_every_setting_loads() -> None:
     assert decode(AGREED).configuration is None
-    told = load(str(Path(__file__).parent.parent / "deploy/together.toml")).configuration
-    assert told is not None and (told.max_entries, told.max_snapshot_bytes, told.max_change_bytes) == (
+    options = load(str(Path(__file__).parent.parent / "deploy/together.toml")).configuration
+    assert options is not None and (options.max_entries, options.max_snapshot_bytes, options.max_change_bytes) == (
         50_000,
         184_000,
         12_000,
@@ -54,7 +54,7 @@
 
 
 def operator(tmp_path: Path, voter: bool = True, **more: Any) -> dict[str, Any]:
-    """One voter that agrees with itself, or a follower of one that is not there."""
+    """Settings of a single voter, or of a follower whose voter does not exist."""
     keys = tmp_path / "keys"
     keys.write_text(base64.b64encode(b"w" * 32).decode())
     keys.chmod(0o600)
@@ -73,13 +73,13 @@
 
 
 def change(r: Rig, path: Path, base: int, status: int = 200, **more: Any) -> Any:
-    code, told = call(r, path, "POST", "/v1/configuration", {"base": base, "by": "ann", **more})
-    assert code == status, told
-    return told
+    code, answer = call(r, path, "POST", "/v1/configuration", {"base": base, "by": "ann", **more})
+    assert code == status, answer
+    return answer
 
 
 def wait_until_settled(r: Rig) -> None:
-    """An election takes seconds, which the clock is moved on by."""
+    """Advance the clock past the election, which takes seconds, until the active revision is settled."""
 
     def known() -> bool:
         r.advance_clock(0.05)
@@ -88,7 +88,7 @@
     r.run_until(known)
 
 
-BAD: list[tuple[dict[str, Any], str]] = [
+INVALID_CHANGES: list[tuple[dict[str, Any], str]] = [
     ({}, "by"),
     ({"by": "ann"}, "plans"),
     ({"by": "ann", "who": "x"}, "who"),
@@ -98,34 +98,34 @@
     ({"by": "ann", "plans": {"p": {"rate": 1.0, "burst": 1.0, "colour": 1}}}, "plans.p.colour"),
     ({"by": "ann", "firms": {"zz": "p"}}, "firms.zz"),
     ({"by": "ann", "firms": {"7": "p", "007": "p"}}, "firms"),
-    ({"by": "ann", "firms": {"7": "p"}}, "firms.0000000000000007"),  # of the file, not of the configuration
-    ({"by": "ann", "addresses": {"discovery": "10.0.0.1:80"}}, "addresses.discovery"),  # the rig has none
+    ({"by": "ann", "firms": {"7": "p"}}, "firms.0000000000000007"),  # plan of the file, not of the agreed configuration
+    ({"by": "ann", "addresses": {"discovery": "10.0.0.1:80"}}, "addresses.discovery"),  # the rig has no discovery
     ({"by": "ann", "addresses": {"billing": "10.0.0.1:80"}}, "addresses.billing"),
 ]
 
 
-def test_what_is_wrong_is_told_before_it_is_proposed(tmp_path: Path) -> None:
+def test_an_invalid_change_is_rejected_before_it_is_proposed(tmp_path: Path) -> None:
     with rig(operator=operator(tmp_path)) as r:
         wait_until_settled(r)
-        for told, field in BAD:
-            code, answer = call(r, tmp_path, "POST", "/v1/configuration", {"base": 0, **told})
+        for fields, field in INVALID_CHANGES:
+            code, answer = call(r, tmp_path, "POST", "/v1/configuration", {"base": 0, **fields})
             assert (code, answer["error"]["field"]) == (400, field), answer
         code, answer = call(r, tmp_path, "POST", "/v1/configuration", {"base": 4, "by": "a", "plans": {"p": FIGURES}})
         assert (code, answer["error"]["field"]) == (409, "base")
         assert call(r, tmp_path, "GET", "/v1/configuration")[1]["inLog"] == 0
 
 
-def test_limits_of_the_settings_hold(tmp_path: Path) -> None:
+def test_limits_of_the_settings_are_enforced(tmp_path: Path) -> None:
     with rig(operator=operator(tmp_path, configuration={"most_entries": 1, "most_kb": 1, "change_kb": 1})) as r:
         wait_until_settled(r)
-        told = change(r, tmp_path, 0, 400, plans={"a": FIGURES, "b": FIGURES})
-        assert told["error"] == {"field": "plans", "text": "2 entries in that revision, 1 at most"}
+        answer = change(r, tmp_path, 0, 400, plans={"a": FIGURES, "b": FIGURES})
+        assert answer["error"] == {"field": "plans", "text": "2 entries in that revision, 1 at most"}
         assert change(r, tmp_path, 0, plans={"a": FIGURES})["revision"] == 1
 
 
-def test_a_change_holds_is_gone_back_from_and_survives_a_start(tmp_path: Path) -> None:
-    told = operator(tmp_path)
-    with rig(operator=told) as r:
+def test_a_change_applies_can_be_reverted_and_survives_a_restart(tmp_path: Path) -> None:
+    settings = operator(tmp_path)
+    with rig(operator=settings) as r:
         wait_until_settled(r)
         assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "p"
         first: dict[str, Any] = {"plans": {"big": FIGURES, "p": {"rate": 7.0, "burst": 9.0}}, "firms": {FIRM: "big"}}
@@ -153,15 +153,15 @@
                 200,
                 {"revision": 2, "taken": taken},
             )
-        assert decision_module.plans["p"].rate == 5.0  # the file's again
-        assert r.daemon.configuration.plan_of(1, "big") == ("", 2)  # a plan that went is none
+        assert decision_module.plans["p"].rate == 5.0  # the file's setting applies again
+        assert r.daemon.configuration.plan_of(1, "big") == ("", 2)  # a removed plan is no plan
         rows = call(r, tmp_path, "GET", "/v1/configuration/history")[1]["revisions"]
         assert [(row["revision"], row["by"], row["note"]) for row in rows] == [
             (1, "ann", ""),
             (2, "bob", "back to revision 0"),
         ]
         assert change(r, tmp_path, 2, firms={FIRM: "big"}, plans={"big": FIGURES})["revision"] == 3
-    with rig(operator=told) as r:  # the next life: by its own disk before anything is agreed
+    with rig(operator=settings) as r:  # restarted: the copy on disk applies before the log is heard
         assert r.daemon.configuration.active.number == 3 and r.daemon.configuration.active.source == "copy"
         assert r.daemon.ingress.decision_module.plans["big"].rate == 50.0
         wait_until_settled(r)
@@ -169,10 +169,10 @@
         assert call(r, tmp_path, "GET", "/v1/configuration")[1]["from"] == "log"
 
 
-def test_a_spoilt_copy_and_a_spoilt_revision_are_counted_and_survived(tmp_path: Path) -> None:
-    told = operator(tmp_path)
+def test_a_torn_copy_and_torn_revisions_are_counted_and_survived(tmp_path: Path) -> None:
+    settings = operator(tmp_path)
     (tmp_path / "copy").write_bytes(b"torn")
-    with rig(operator=told) as r:
+    with rig(operator=settings) as r:
         assert r.count("configuration_copy_torn") == 1 and r.daemon.configuration.active.number == 0
         wait_until_settled(r)
         change(r, tmp_path, 0, plans={"big": FIGURES})
@@ -188,9 +188,9 @@
         assert r.count("configuration_torn") == 1 and r.daemon.configuration.active.number == 1
 
 
-def test_a_follower_that_hears_nobody_serves_with_what_it_has_and_says_how_old(tmp_path: Path) -> None:
-    told = operator(tmp_path, voter=False)
-    with rig(operator=told) as r:
+def test_a_follower_without_contact_serves_its_last_revision_and_reports_the_silence(tmp_path: Path) -> None:
+    settings = operator(tmp_path, voter=False)
+    with rig(operator=settings) as r:
         assert not r.daemon.is_ready() and r.daemon.configuration.status()["from"] == "file"
         r.advance_clock(8.5)
         assert r.daemon.is_ready() and serve(r, 1) == 200
@@ -205,10 +205,10 @@
 
 
 def test_a_message_never_sees_two_revisions(tmp_path: Path) -> None:
-    """What it was decided under is what its use is charged to, whatever comes into force while it runs."""
-    told = operator(tmp_path, ledger={"path": f"{tmp_path}/ledger", "period_s": 1.0, "grace_s": 0.0})
+    """Usage is charged to the plan and revision at the decision, even if another revision follows while it runs."""
+    settings = operator(tmp_path, ledger={"path": f"{tmp_path}/ledger", "period_s": 1.0, "grace_s": 0.0})
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-True-Cost: 3\r\nConnection: close\r\n\r\nbody"
-    with rig(operator=told) as r:
+    with rig(operator=settings) as r:
         wait_until_settled(r)
         change(r, tmp_path, 0, plans={"big": FIGURES, "small": {"rate": 1.0, "burst": 4.0}}, firms={FIRM: "big"})
         client = r.send_request(1, ident=50)
@@ -226,7 +226,7 @@
         assert rows == [("big", 1), ("small", 2)]
 
 
-def test_addresses_move_and_a_reload_of_the_file_does_not_move_them_back(tmp_path: Path) -> None:
+def test_changed_addresses_survive_a_reload_of_the_file(tmp_path: Path) -> None:
     moved: list[Any] = []
     with rig(counter=True, operator=operator(tmp_path)) as r:
         wait_until_settled(r)
