--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -280,14 +280,14 @@
         self.daemon.start(signals=False)
         if self.daemon.members is not None:
             service = self.daemon.members.service
-            known = service.changed
+            known = service.on_change
 
             def changed(change: Changed) -> None:
                 known(change)
                 if change.state == DEAD:
                     self.dead(change.id)
 
-            service.changed = changed
+            service.on_change = changed
         if self.daemon.agreement is not None:
             self.daemon.agreement.agreement.applied = lambda entry: self.applied(entry)
 
