--- a/brackenpulley/members/gossip.py
+++ b/brackenpulley/members/gossip.py
@@ -45,8 +45,8 @@
 
     def drop(self, key: KeyT) -> None:
         """Remove the value under `key`, if there is one."""
-        if (found := self._pending.pop(key, None)) is not None:
-            del self._order[bisect_left(self._order, found[:2], key=lambda entry: entry[:2])]
+        if (removed := self._pending.pop(key, None)) is not None:
+            del self._order[bisect_left(self._order, removed[:2], key=lambda entry: entry[:2])]
 
     def take(self, max_bytes: int, members: int) -> tuple[list[ValueT], int]:
         """Return the values that fit into `max_bytes` and their total size, and count each as sent once more."""
--- a/brackenpulley/members/keys.py
+++ b/brackenpulley/members/keys.py
@@ -28,7 +28,7 @@
 
 
 class RingError(ValueError):
-    """A change that the key ring does not allow, or a key that is not valid; the text says why."""
+    """A change that the key ring does not allow, or a key that is not valid; the message gives the reason."""
 
 
 def mark_of(key: bytes) -> bytes:
--- a/brackenpulley/members/records.py
+++ b/brackenpulley/members/records.py
@@ -39,7 +39,7 @@
 
 
 class RecordError(ValueError):
-    """A record that cannot be published; the text says why."""
+    """A record that cannot be published; the message gives the reason."""
 
 
 @dataclass(slots=True)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "said", "incarnation", "then"),
+    ("state", "reported", "incarnation", "expected"),
     [
         (ALIVE, ALIVE, 5, ALIVE),
         (ALIVE, SUSPECT, 4, ALIVE),
@@ -174,10 +174,10 @@
         (LEFT, DEAD, 9, LEFT),
     ],
 )
-def test_an_update_changes_the_state_of_a_member(state: str, said: str, incarnation: int, then: str) -> None:
+def test_an_update_changes_the_state_of_a_member(state: str, reported: str, incarnation: int, expected: str) -> None:
     protocol = protocol_knowing(state)
-    protocol.receive(101.0, "a2", Tell([Update("x", "a1", incarnation, said, "z")]))
-    assert protocol.members["x"].state == then
+    protocol.receive(101.0, "a2", Tell([Update("x", "a1", incarnation, reported, "z")]))
+    assert protocol.members["x"].state == expected
 
 
 def test_a_member_refutes_its_death_and_ignores_a_ping_for_another_id() -> None:
