--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -12,7 +12,7 @@
 from ..address import Address, parse_address
 from ..consensus.service import AgreementService
 from ..core.ingress import Ingress
-from ..members.records import RATE, Table
+from ..members.records import GOSSIP_BYTES_PER_S, RecordTable
 from ..members.service import DaemonMembers
 from ..members.wire import LEFT, Record
 from ..metrics import Metrics
@@ -55,7 +55,7 @@
     def __init__(self, daemon: DaemonParts, options: ConfigurationOptions, agreement: AgreementService) -> None:
         self.daemon, self.options, self.agreement = daemon, options, agreement
         self.loop, self.metrics, self.log = daemon.loop, daemon.metrics, daemon.log
-        self.fleet = daemon.members.part.fleet
+        self.fleet = daemon.members.options.fleet
         self.limits = Limits(options.max_entries, options.max_snapshot_bytes, options.max_change_bytes)
         self.active = ActiveRevision(self.loop.clock())
         self.adoption = AdoptionTracker()
@@ -93,7 +93,7 @@
         self._load_copy()
         agreement.applied = lambda entry: self._update_active()
         agreement.restored = self._update_active
-        station.records.heard.setdefault(KIND, []).append(self._on_record)
+        station.records.subscribers.setdefault(KIND, []).append(self._on_record)
         self._tick()
 
     def _load_copy(self) -> None:
@@ -203,7 +203,7 @@
 
     # Adoption by other processes.
 
-    def _record_table(self) -> Table | None:
+    def _record_table(self) -> RecordTable | None:
         station = self.daemon.members.service.station
         return None if station is None else station.records
 
@@ -215,7 +215,7 @@
         if now < self._reconnected_at + REJOIN_SECONDS and protocol.size > self._member_count:
             self._rejoins += 1  # members that took this process for dead have ignored its last record
         self._member_count = protocol.size
-        if now < self._published_at + RECORD_BYTES * protocol.size / RATE:
+        if now < self._published_at + RECORD_BYTES * protocol.size / GOSSIP_BYTES_PER_S:
             return
         value = pack_record(
             self.daemon.config.name,
@@ -230,7 +230,7 @@
             records.publish(KIND, "", value)
 
     def _on_record(self, record: Record) -> None:
-        if not record.gone:
+        if not record.is_deleted:
             self.adoption.update(record.owner, record.value)
             return
         protocol = self.daemon.members.service.protocol
