--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -45,7 +45,7 @@
 from brackenpulley.simulation.disk import Disk
 from brackenpulley.simulation.links import Link, Links
 from brackenpulley.simulation.script import parse
-from brackenpulley.simulation.voters import Ran, Voters, run
+from brackenpulley.simulation.voters import Cluster, RunResult, run
 
 SECONDS, EVERY = 24.0, 1.0  # of one run; between faults on average
 PLANT_SEEDS, MODEL_STATES = 150, 30_000
@@ -208,43 +208,43 @@
 QUIET = {"one voter does not hear the leader, the other hears both"}  # with much to say, its log is soon too short
 
 
-def scripted(name: str, seed: int) -> Ran:
+def scripted(name: str, seed: int) -> RunResult:
     rate = 0.2 if name in QUIET else 20.0
     return run(
         seed,
         16.0,
-        lines=parse(SCRIPTS[name]),
+        faults=parse(SCRIPTS[name]),
         rate=rate,
-        spoil=True,
+        allow_any_disk_damage=True,
         skew=0.04,
-        links=Links(Link(delay=0.02, spread=0.01)),
+        links=Links(Link(delay=0.02, jitter=0.01)),
     )
 
 
-def one(seed: int) -> Ran:
+def one(seed: int) -> RunResult:
     """Three voters, or five; faults come thick, in the phases of elections too. Some have slow ways and much to say."""
     if seed % 10 == 7:
         return run(
             seed,
             SECONDS,
             voters=5,
-            every=0.4,
+            mean_fault_interval=0.4,
             rate=12.0,
             skew=0.04,
-            links=Links(Link(delay=0.03, spread=0.02, loss=0.02, double=0.02)),
+            links=Links(Link(delay=0.03, jitter=0.02, loss=0.02, duplication=0.02)),
         )
     return run(
         seed,
         SECONDS,
         voters=3 if seed % 2 else 5,
-        every=EVERY * (0.3 + seed % 3 * 0.6),
+        mean_fault_interval=EVERY * (0.3 + seed % 3 * 0.6),
         rate=3.0,
         skew=0.04,
         prepare=small_log if seed % 4 == 0 else None,
     )
 
 
-def small_log(cluster: Voters) -> None:
+def small_log(cluster: Cluster) -> None:
     """Snapshots every few entries."""
     import brackenpulley.consensus.agreement as agreement
 
@@ -260,11 +260,11 @@
         agreement.COMPACT = COMPACT
     return {
         "seed": seed,
-        "events": ran.events,
-        "told": ran.told,
-        "lost": ran.lost,
+        "events": ran.event_count,
+        "told": ran.acknowledged,
+        "lost": ran.abandoned,
         "elections": ran.elections,
-        "broken": ran.broken,
+        "broken": ran.violation,
     }
 
 
@@ -291,7 +291,7 @@
             return {"plant": name, "seed": "figure 8", "broken": wrong[:120]}
         for script in SCRIPTS:
             for seed in range(6):
-                if wrong := scripted(script, seed).broken:
+                if wrong := scripted(script, seed).violation:
                     return {"plant": name, "seed": f"{script}, {seed}", "broken": wrong[:120]}
         if wrong := model_check(most=MODEL_STATES)["broken"]:
             return {"plant": name, "seed": "model", "broken": wrong[:120]}
@@ -348,7 +348,7 @@
         node.entries, node.votes, node._configs = list(old.entries), set(old.votes), list(old._configs)
         node.peers = {peer: raft.Progress(p.next, p.match, 0.0) for peer, p in old.peers.items()}
         node.counts, node._out = {}, []
-        disk = self.disks[name].kept
+        disk = self.disks[name].stored
         made.nodes[name] = node
         made.disks[name] = Disk(Kept(disk.term, disk.vote, False, (0, 0), disk.snapshot, list(disk.entries)), 1, 1)
         made.sent, made.committed, made.crashes, made.asked = self.sent, self.committed, self.crashes, self.asked
@@ -381,7 +381,7 @@
     def key(self) -> Any:
         rows = []
         for name in NAMES:
-            n, d = self.nodes[name], self.disks[name].kept
+            n, d = self.nodes[name], self.disks[name].stored
             rows.append(
                 (
                     n.role,
@@ -597,37 +597,37 @@
 
 def costs(followers: int, seconds: float = 20.0, rate: float = 10.0) -> dict[str, Any]:
     """Five voters and so many followers, no faults: bytes a second, and how long a command takes."""
-    cluster = Voters(1, 5, followers, 0.0001, links=Links(Link(spread=0.002)))
+    cluster = Cluster(1, 5, followers, 0.0001, links=Links(Link(jitter=0.002)))
     sent: dict[str, int] = {}
 
     def count(host: Any, send: Any) -> None:
         sent[host.name] = sent.get(host.name, 0) + len(send.body.data) + 60  # the envelope and its seal
 
-    cluster.proposing = False
+    cluster.is_proposing = False
     world = cluster.world
-    world.until(lambda: bool(cluster.leader()) and cluster.agreed(), 20.0)
-    world.sent = count
+    world.run_until(lambda: bool(cluster.find_leader()) and cluster.has_converged(), 20.0)
+    world.on_send = count
     took: list[float] = []
     begin = world.now
-    asker = world.host("f0")
+    asker = world.find_host("f0")
 
     def ask(number: int) -> None:
-        part, when = cluster.part(asker), world.now
+        part, when = cluster.find_agreement(asker), world.now
         assert part is not None
         part.propose(
-            asker.clock(when),
+            asker.to_local_time(when),
             "register",
             b"x" * 80 + str(number).encode(),
             10.0,
             lambda outcome: took.append(world.now - when),
         )
-        world.do(asker, asker.driven.said())  # type: ignore[union-attr]
+        world.apply_effects(asker, asker.process.said())  # type: ignore[union-attr]
 
     for number in range(int(seconds * rate)):
-        world.at(begin + number / rate, lambda number=number: ask(number))  # type: ignore[misc]
+        world.schedule(begin + number / rate, lambda number=number: ask(number))  # type: ignore[misc]
     world.run(begin + seconds + 2.0)
     took.sort()
-    voters = [sent.get(name, 0) / seconds for name in cluster.names]
+    voters = [sent.get(name, 0) / seconds for name in cluster.voter_names]
     told = [sent.get(f"f{n}", 0) / seconds for n in range(followers)]
     return {
         "followers": followers,
@@ -652,9 +652,9 @@
     told = words.parse_args()
     if told.seed >= 0:
         ran = one(told.seed)
-        print("\n".join(map(str, ran.lines)))
+        print("\n".join(map(str, ran.faults)))
         print(json.dumps(_seed(told.seed)))
-        return int(bool(ran.broken))
+        return int(bool(ran.violation))
     if told.plant:
         found = _find(told.plant)
         print(json.dumps(found))
@@ -662,7 +662,7 @@
     report: dict[str, Any] = {
         "seeds": seeds(0, told.seeds, told.jobs),
         "stories": [
-            (name, seed, wrong) for name in SCRIPTS for seed in range(20) if (wrong := scripted(name, seed).broken)
+            (name, seed, wrong) for name in SCRIPTS for seed in range(20) if (wrong := scripted(name, seed).violation)
         ],
         "figure8": figure_8(),
         "model": model_check(most=told.states),
--- a/benchmarks/capacity/kinds/agreed.py
+++ b/benchmarks/capacity/kinds/agreed.py
@@ -11,7 +11,7 @@
 from brackenpulley.maintenance.permits import encode as pack
 from brackenpulley.members.keys import OVERHEAD
 from brackenpulley.members.wire import Envelope, _encode
-from brackenpulley.simulation.voters import Register, Voters, part_effects
+from brackenpulley.simulation.voters import Cluster, Register, take_effects
 from brackenpulley.simulation.world import Host
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
@@ -24,11 +24,11 @@
 
 def followed(followers: int, seed: int) -> dict[str, float]:
     """Three voters and so many followers, at rest and at `RATE` commands of `BODY` bytes a second."""
-    made = Voters(seed, 3, followers, 1.0, skew=0.0)
+    made = Cluster(seed, 3, followers, 1.0, skew=0.0)
     made.world.checks.clear()
-    made.proposing = False
+    made.is_proposing = False
     world = made.world
-    assert world.until(lambda: bool(made.leader()) and made.agreed(), 60.0)
+    assert world.run_until(lambda: bool(made.find_leader()) and made.has_converged(), 60.0)
     world.run(world.now + 5.0)
     sent: Counter[str] = Counter()
     words: Counter[str] = Counter()
@@ -37,18 +37,18 @@
         sent[host.name] += len(_encode(Envelope(host.name, 1, 1, send.body))) + OVERHEAD
         words[host.name] += 1
 
-    world.sent = count
+    world.on_send = count
     world.run(world.now + REST)
     rest, rest_words = Counter(sent), Counter(words)
     sent.clear()
-    leader = world.host(made.leader())
-    part = made.part(leader)
+    leader = world.find_host(made.find_leader())
+    part = made.find_agreement(leader)
     assert part is not None
 
     def say(body: bytes) -> None:
-        made.asked[body] = world.now
-        part.propose(leader.clock(world.now), "register", body, 20.0, lambda outcome: None)
-        world.do(leader, part_effects(leader))
+        made.proposed[body] = world.now
+        part.propose(leader.to_local_time(world.now), "register", body, 20.0, lambda outcome: None)
+        world.apply_effects(leader, take_effects(leader))
 
     began = world.now
     for n in range(int(BUSY * RATE)):
@@ -59,12 +59,12 @@
     span, busy = world.now - began, Counter(sent)
     late: list[float] = []
     for n in range(TOLD):
-        assert world.until(made.agreed, 20.0)
+        assert world.run_until(made.has_converged, 20.0)
         when, before = world.now, max(one.count for one in made.registers.values())
         say(b"told %d" % n)
-        assert world.until(lambda: min(one.count for one in made.registers.values()) > before, 20.0)  # noqa: B023
+        assert world.run_until(lambda: min(one.count for one in made.registers.values()) > before, 20.0)  # noqa: B023
         late.append(world.now - when)
-    voters, others = made.names, [f"f{n}" for n in range(followers)]
+    voters, others = made.voter_names, [f"f{n}" for n in range(followers)]
     heard = sum(busy[v] for v in voters) / followers / span
     return {
         "rest": max(rest[v] for v in voters) / REST,
--- a/benchmarks/capacity/kinds/configuration.py
+++ b/benchmarks/capacity/kinds/configuration.py
@@ -38,7 +38,7 @@
     """Bytes that an ingress hears at rest, a second, and what a change adds; nobody restarts, no link is cut."""
     fleet = Regions(followers, seed)
     world = fleet.world
-    assert world.until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
+    assert world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
     world.run(world.now + 2.0)
 
     def told(seconds: float) -> float:
--- a/benchmarks/capacity/kinds/news.py
+++ b/benchmarks/capacity/kinds/news.py
@@ -22,26 +22,26 @@
     rng = random.Random(seed)
 
     def make(host: Host) -> Station:
-        return Station(f"{host.name}@{host.life}", host.address, random.Random(rng.random()), world.now)
+        return Station(f"{host.name}@{host.incarnation}", host.address, random.Random(rng.random()), world.now)
 
-    hosts = [world.add(f"i{n}", f"a{n}", make) for n in range(size)]
+    hosts = [world.add_host(f"i{n}", f"a{n}", make) for n in range(size)]
     first = hosts[0].address
 
     def publish(host: Host) -> None:
-        station = host.driven
+        station = host.process
         assert isinstance(station, Station)
         station.records.publish("ingress", "", f"{world.now:.6f}".encode().ljust(BYTES))
-        world.do(host, station.said())
-        world.at(world.now + TOLD, lambda: publish(host))
+        world.apply_effects(host, station.said())
+        world.schedule(world.now + TOLD, lambda: publish(host))
 
     for host in hosts:
-        station = host.driven
+        station = host.process
         assert isinstance(station, Station)
-        world.do(host, station.join([first]))
+        world.apply_effects(host, station.join([first]))
         world.run(world.now + 0.02)
     world.run(world.now + 5.0)
     for host in hosts:
-        world.at(world.now + TOLD * rng.random(), lambda host=host: publish(host))  # type: ignore[misc]
+        world.schedule(world.now + TOLD * rng.random(), lambda host=host: publish(host))  # type: ignore[misc]
     world.run(world.now + SETTLE)
     found = []
     for _ in range(REPEATS):
@@ -49,7 +49,7 @@
         for _ in range(LOOKS):
             world.run(world.now + 1.0)
             for host in rng.sample(hosts, min(10, size)):
-                station = host.driven
+                station = host.process
                 assert isinstance(station, Station)
                 ages += [world.now - float(row.value) for row in station.records.of("ingress")]
         found.append({"median": statistics.median(ages), "late": sorted(ages)[int(0.99 * len(ages))]})
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -34,10 +34,10 @@
 from brackenpulley.consensus.machine import Machine, Outcome
 from brackenpulley.consensus.wire import Entry
 from brackenpulley.plans.book import Figures
-from brackenpulley.simulation.faults import Faults
-from brackenpulley.simulation.script import Line, drawn
-from brackenpulley.simulation.voters import Broken, Register, Voters
-from brackenpulley.simulation.world import Bare, Host
+from brackenpulley.simulation.faults import FaultInjector
+from brackenpulley.simulation.script import Fault, draw_faults
+from brackenpulley.simulation.voters import Cluster, InvariantError, Register
+from brackenpulley.simulation.world import Host, StandaloneParts
 
 SECONDS, EVERY = 24.0, 1.2
 BAD = ("torn", "oversized", "other_fleet", "other_format", "conflict", "unfit", "again")
@@ -62,7 +62,7 @@
     return Change(base, by, plans, firms, addresses)
 
 
-class Fleet(Voters):
+class Fleet(Cluster):
     """The log's cluster with the configuration as one more part, operators that change it, and its own invariants."""
 
     def __init__(self, seed: int, voters: int = 3, followers: int = 3, every: float = 0.6, **more: Any) -> None:
@@ -77,41 +77,41 @@
         self.counts: dict[str, int] = {}
         self.every, self.changing, self.reverts = every, True, 0
         super().__init__(seed, voters, followers, 0.5, **more)
-        self.world.at(self.world.now + 1.0, self._operate)
+        self.world.schedule(self.world.now + 1.0, self._operate)
 
     # Processes.
 
-    def _make(self, host: Host) -> Bare:
+    def _make_process(self, host: Host) -> StandaloneParts:
         register, log = Register(), Revisions(FLEET)
 
         def machine() -> Machine:
             self.registers[host.name], self.logs[host.name] = register, log
-            return self._machine({"register": register, PART: log})
+            return self._machine_class({"register": register, PART: log})
 
-        part = self._agreement(
-            f"{host.name}@{host.life}",
+        part = self._agreement_class(
+            f"{host.name}@{host.incarnation}",
             host.name,
-            self.seats,
+            self.voter_addresses,
             machine,
             random.Random(self.rng.random()),
-            host.clock(self.world.now),
+            host.to_local_time(self.world.now),
             host.disk if host.name.startswith("v") else None,
             self.timing,
         )
         part.applied = lambda entry: self._entry(host, part, entry, register)
         part.restored = lambda: self._snapshot(host, part, register)
-        self.force[host.name] = InForce(host.clock(self.world.now))
+        self.force[host.name] = InForce(host.to_local_time(self.world.now))
         self._own_copy(host)
-        life = host.life
+        life = host.incarnation
 
         def look() -> None:
-            if host.life == life and host.driven is not None:
-                self.world.at(self.world.now + LOOK, look)
-                if not host.stopped:
+            if host.incarnation == life and host.process is not None:
+                self.world.schedule(self.world.now + LOOK, look)
+                if not host.is_suspended:
                     self._look(host, part)
 
-        self.world.at(self.world.now + 0.01, look)
-        return Bare(host.address, {KIND: part})
+        self.world.schedule(self.world.now + 0.01, look)
+        return StandaloneParts(host.address, {KIND: part})
 
     def _own_copy(self, host: Host) -> None:
         """The file may be the last one, one of those before it, or spoilt."""
@@ -129,15 +129,15 @@
         self.force[host.name].start(number, at, mark, unpack(content))
 
     def _entry(self, host: Host, part: Agreement, entry: Entry, register: Register) -> None:
-        self._applied(host, part, entry, register)
+        self._check_applied(host, part, entry, register)
         if entry.index == self.reference.index + 1:
             self._agreed(entry)
         log = self.logs[host.name]
         if self.marks.get(log.number) != log.mark:
-            raise Broken(f"{host.name} holds another revision {log.number} after entry {entry.index}")
+            raise InvariantError(f"{host.name} holds another revision {log.number} after entry {entry.index}")
         force = self.force[host.name]
         if pack(force.content) != self.contents[force.mark]:
-            raise Broken(f"{host.name} has in force what the log is only about to hold")
+            raise InvariantError(f"{host.name} has in force what the log is only about to hold")
         self._look(host, part)
 
     def _agreed(self, entry: Entry) -> None:
@@ -148,33 +148,33 @@
         self.reference.apply(entry)
         if log.number == before:
             if log.content.plans != old:
-                raise Broken(f"entry {entry.index} changed revision {before}")
+                raise InvariantError(f"entry {entry.index} changed revision {before}")
             return
         if log.number != before + 1:
-            raise Broken(f"revision {log.number} after {before}")
+            raise InvariantError(f"revision {log.number} after {before}")
         for firm, plan in log.content.firms.items():
             if plan not in log.content.plans:
-                raise Broken(f"revision {log.number}: firm {firm} is on {plan}, which is not there")
+                raise InvariantError(f"revision {log.number}: firm {firm} is on {plan}, which is not there")
         self.marks[log.number] = log.mark
         self.contents[log.mark] = pack(log.content)
 
     def _snapshot(self, host: Host, part: Agreement, register: Register) -> None:
-        self._restored(part, register)
+        self._check_restored(part, register)
         log = self.logs[host.name]
         if part.machine.index > self.reference.index and not log.number and max(self.marks) == 0:
             self.reference.index = part.machine.index  # the log's founding, which is no entry
         if self.marks.get(log.number) != log.mark or pack(log.content) != self.contents[log.mark]:
-            raise Broken(f"{host.name} has another revision {log.number} by a snapshot")
+            raise InvariantError(f"{host.name} has another revision {log.number} by a snapshot")
 
     def _look(self, host: Host, part: Agreement) -> None:
-        now, force = host.clock(self.world.now), self.force[host.name]
+        now, force = host.to_local_time(self.world.now), self.force[host.name]
         before = force.number
         if force.look(now, self.logs[host.name], log_here(part, now)) is None:
             return
         if force.number < before:
             self._count("went_back")
         if pack(force.content) != self.contents.get(force.mark) or self.marks.get(force.number) != force.mark:
-            raise Broken(f"{host.name} has what was not agreed in force as {force.number}, after {before}")
+            raise InvariantError(f"{host.name} has what was not agreed in force as {force.number}, after {before}")
         data = seal(_copy.encode((force.number, force.at, force.mark, pack(force.content))), FLEET)
         self.copies.setdefault(host.name, []).append(data)
 
@@ -186,8 +186,8 @@
     def _operate(self) -> None:
         if not self.changing:
             return
-        self.world.at(self.world.now + self.rng.expovariate(1 / self.every), self._operate)
-        there = [host for host in self.world.hosts.values() if host.driven is not None and not host.stopped]
+        self.world.schedule(self.world.now + self.rng.expovariate(1 / self.every), self._operate)
+        there = [host for host in self.world.hosts.values() if host.process is not None and not host.is_suspended]
         for host in self.rng.sample(there, min(len(there), self.rng.choice((1, 1, 2)))):  # two at once, often
             self._change(host)
 
@@ -225,13 +225,13 @@
             else:
                 number = answer["revision"]
                 if self.answers.setdefault(number, data) != data:
-                    raise Broken(f"two changes were told that they are revision {number}")
+                    raise InvariantError(f"two changes were told that they are revision {number}")
                 if number != change.base + 1:
-                    raise Broken(f"a change on {change.base} became {number}")
+                    raise InvariantError(f"a change on {change.base} became {number}")
                 if back_to >= 0:
                     self.reverts += 1
                     if self.contents[self.marks[number]] != self.contents[self.marks[back_to]]:
-                        raise Broken(f"revision {number} is not {back_to} again")
+                        raise InvariantError(f"revision {number} is not {back_to} again")
                 self._count("taken")
 
         self._say(host, data, done)
@@ -257,14 +257,14 @@
 
         def done(outcome: Outcome | None) -> None:
             if outcome is not None and wrong and "error" not in outcome.answer:
-                raise Broken(f"{kind} was taken as {outcome.answer}")
+                raise InvariantError(f"{kind} was taken as {outcome.answer}")
 
         self._say(host, data, done)
 
     def _say(self, host: Host, data: bytes, done: Any) -> None:
-        part = self.part(host)
-        if part is not None and part.propose(host.clock(self.world.now), PART, data, 8.0, done):
-            self.world.do(host, host.driven.said())  # type: ignore[union-attr]
+        part = self.find_agreement(host)
+        if part is not None and part.propose(host.to_local_time(self.world.now), PART, data, 8.0, done):
+            self.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
     def in_force(self) -> bool:
         """All have the last one that was agreed, and of its content."""
@@ -272,7 +272,7 @@
         return all(
             force.mark == mark and pack(force.content) == self.contents[mark]
             for name, force in self.force.items()
-            if self.world.host(name).driven is not None
+            if self.world.find_host(name).process is not None
         )
 
 
@@ -293,7 +293,7 @@
 _copy = _Copy()
 
 
-def run(seed: int, lines: list[Line] | None = None, seconds: float = SECONDS) -> dict[str, Any]:
+def run(seed: int, lines: list[Fault] | None = None, seconds: float = SECONDS) -> dict[str, Any]:
     """One run with faults drawn from the seed; at the end all is well, and then all must have the last revision."""
     import brackenpulley.consensus.agreement as agreement
 
@@ -302,26 +302,28 @@
     world = fleet.world
     try:
         told = (
-            drawn(fleet.rng, [host.name for host in world.hosts.values()], seconds, EVERY * (0.4 + seed % 3 * 0.5), 2)
+            draw_faults(
+                fleet.rng, [host.name for host in world.hosts.values()], seconds, EVERY * (0.4 + seed % 3 * 0.5), 2
+            )
             if lines is None
             else lines
         )
-        faults = Faults(world, told, fleet.leader, fleet.may_spoil)
+        faults = FaultInjector(world, told, fleet.find_leader, fleet.may_damage_disk)
         world.run(world.now + seconds)
         for host in world.hosts.values():
-            if host.driven is None:
+            if host.process is None:
                 world.start(host)
-            elif host.stopped:
-                world.go_on(host)
-        fleet.proposing = fleet.changing = False
-        if not world.until(lambda: bool(fleet.leader()) and fleet.agreed() and fleet.in_force(), 40.0):
-            raise Broken(
+            elif host.is_suspended:
+                world.resume(host)
+        fleet.is_proposing = fleet.changing = False
+        if not world.run_until(lambda: bool(fleet.find_leader()) and fleet.has_converged() and fleet.in_force(), 40.0):
+            raise InvariantError(
                 f"not the same 40 s after the last fault: "
                 f"{[(name, force.number, force.source) for name, force in fleet.force.items()]}, "
                 f"agreed {max(fleet.marks)}"
             )
-        fleet.once()
-    except Broken as error:
+        fleet.check_applied_once()
+    except InvariantError as error:
         broken = str(error)
     except AssertionError as error:
         broken = f"assertion: {error}"
@@ -334,13 +336,13 @@
         refused[cause] = count
     return {
         "seed": seed,
-        "events": world.events,
+        "events": world.event_count,
         "revisions": max(fleet.marks),
         "reverts": fleet.reverts,
         "counts": fleet.counts,
         "refused": refused,
         "faults": len(told),
-        "lines": faults.done if broken else [],
+        "lines": faults.applied if broken else [],
         "broken": broken,
     }
 
--- a/benchmarks/configuration_processes.py
+++ b/benchmarks/configuration_processes.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from benchmarks.work_order import Fleet as WorkFleet
-from brackenpulley.simulation.script import Line
+from brackenpulley.simulation.script import Fault
 
 KNOWN = 60.0  # s: two exchanges of records, which alone tell one that was cut off what the others said meanwhile
 
@@ -118,11 +118,11 @@
             return {"seed": seed, "processes": size, "s": trial.told, "inForceS": {}, "served": 0, "wrong": trial.wrong}
         fleet.front()
         fleet.load.start()
-        fleet.do(Line(0.0, "loss", ("*", "0.2")))
+        fleet.do(Fault(0.0, "loss", ("*", "0.2")))
         trial.change(3, 0, plans=figures(1.0))
         trial.until("1 everywhere, a fifth of the words lost", lambda: trial.has(1, everyone))
-        fleet.do(Line(0.0, "heal"))
-        fleet.do(Line(0.0, "part", (f"n{cut}", ",".join(f"n{n}" for n in others))))
+        fleet.do(Fault(0.0, "heal"))
+        fleet.do(Fault(0.0, "part", (f"n{cut}", ",".join(f"n{n}" for n in others))))
         before = trial.served(cut)
         trial.change(0, 1, plans=figures(2.0), firms={f"{7:016x}": "new"})
         trial.until("2 where it can be reached", lambda: trial.has(2, others))
@@ -134,24 +134,24 @@
                 and trial.served(cut) > before
             ),
         )
-        fleet.do(Line(0.0, "stop", ("n3",)))
+        fleet.do(Fault(0.0, "stop", ("n3",)))
         running = [which for which in others if which != 3]
         trial.change(0, 2, plans=figures(3.0))
         trial.until("3 where nobody stands still", lambda: trial.has(3, running))
         if not trial.has(2, [3]):
             trial.wrong.append("n3 stood still and has 3")
-        fleet.do(Line(0.0, "go", ("n3",)))
+        fleet.do(Fault(0.0, "go", ("n3",)))
         trial.until("3 where one stood still", lambda: trial.has(3, others))
         leader = fleet.named("leader").number if fleet.leader else 0
-        fleet.do(Line(0.0, "kill", (f"n{leader}",)))
-        fleet.do(Line(0.0, "kill", ("n3",)))
+        fleet.do(Fault(0.0, "kill", (f"n{leader}",)))
+        fleet.do(Fault(0.0, "kill", ("n3",)))
         running = [which for which in others if which not in (3, leader)]
         trial.change(running[0], 3, plans=figures(4.0), firms={f"{9:016x}": "new"})
         trial.until("4 after the leader's death", lambda: trial.has(4, running))
-        fleet.do(Line(0.0, "start", (f"n{leader}", "kept")))
-        fleet.do(Line(0.0, "start", ("n3", "kept")))
+        fleet.do(Fault(0.0, "start", (f"n{leader}", "kept")))
+        fleet.do(Fault(0.0, "start", ("n3", "kept")))
         trial.until("4 at those that start anew", lambda: trial.has(4, others), 30.0)
-        fleet.do(Line(0.0, "heal"))
+        fleet.do(Fault(0.0, "heal"))
         trial.until("4 at the one that was cut off", lambda: trial.has(4, everyone))
         out = [
             trial.post(which, "/v1/configuration", {"base": 4, "by": f"n{which}", "plans": figures(5.0 + which)})
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -22,7 +22,7 @@
 from brackenpulley.members.wire import Carry
 from brackenpulley.plans.book import Figures
 from brackenpulley.simulation.links import Link, Links
-from brackenpulley.simulation.world import Bare, Host, World
+from brackenpulley.simulation.world import Host, StandaloneParts, World
 
 FLEET, LOOK = "trial", 0.2
 SOON, LATE = 5.0, 14.0  # s: 99 in 100, and all that can be reached
@@ -45,7 +45,7 @@
             if len(ends) >= STREAMS:
                 self.full += 1
                 return
-            ends.append(self.now + 3 * self.links.of(host.address, send.to).delay + 0.005)
+            ends.append(self.now + 3 * self.links.find(host.address, send.to).delay + 0.005)
         super()._send(host, send)
 
 
@@ -53,7 +53,7 @@
     """`size` ingresses that follow and three voters, spread over three regions; no membership, which tells nobody."""
 
     def __init__(self, size: int, seed: int) -> None:
-        links = Links(Link(delay=0.0005, spread=0.001, loss=0.005, double=0.002))
+        links = Links(Link(delay=0.0005, jitter=0.001, loss=0.005, duplication=0.002))
         self.world, self.rng = Streams(seed, links), random.Random(seed)
         self.logs: dict[str, Revisions] = {}
         self.force: dict[str, InForce] = {}
@@ -67,11 +67,13 @@
         for one in range(3):
             for other in range(3):
                 if one != other:
-                    links.ways[f"r{one}", f"r{other}"] = Link(delay=0.04, spread=0.005, loss=0.01, double=0.002)
+                    links.site_links[f"r{one}", f"r{other}"] = Link(
+                        delay=0.04, jitter=0.005, loss=0.01, duplication=0.002
+                    )
         self.links = links
         for name in self.names:
-            self.world.add(name, f"a-{name}", self._make)
-        self.world.sent = self._count
+            self.world.add_host(name, f"a-{name}", self._make)
+        self.world.on_send = self._count
 
     def _count(self, host: Host, send: Send) -> None:
         if isinstance(send.body, Carry):
@@ -82,10 +84,10 @@
     def region(self, name: str) -> int:
         return self.names.index(name) % 3
 
-    def _make(self, host: Host) -> Bare:
+    def _make(self, host: Host) -> StandaloneParts:
         log = Revisions(FLEET)
         part = Agreement(
-            f"{host.name}@{host.life}",
+            f"{host.name}@{host.incarnation}",
             host.name,
             self.seats,
             lambda: Machine({PART: log}),
@@ -106,22 +108,22 @@
             look()
 
         part.applied, part.restored = lambda entry: look(), told
-        life = host.life
+        life = host.incarnation
 
         def tick() -> None:
-            if host.life == life and host.driven is not None:
-                self.world.at(self.world.now + LOOK * 2, tick)
+            if host.incarnation == life and host.process is not None:
+                self.world.schedule(self.world.now + LOOK * 2, tick)
                 look()
 
-        self.world.at(self.world.now + 0.01 + LOOK * self.rng.random(), tick)
-        return Bare(host.address, {KIND: part})
+        self.world.schedule(self.world.now + 0.01 + LOOK * self.rng.random(), tick)
+        return StandaloneParts(host.address, {KIND: part})
 
     def agreement(self, name: str) -> Agreement:
-        return self.world.host(name).driven.parts[KIND]  # type: ignore
+        return self.world.find_host(name).process.parts[KIND]  # type: ignore
 
     def change(self, name: str, change: Change) -> None:
         """Of whoever proposes: again until it is taken."""
-        host = self.world.host(name)
+        host = self.world.find_host(name)
         data = pack_change(change, FLEET)
 
         def done(outcome: Outcome | None) -> None:
@@ -129,18 +131,18 @@
                 self.change(name, change)
 
         self.agreement(name).propose(self.world.now, PART, data, 5.0, done)
-        self.world.do(host, host.driven.said())  # type: ignore[union-attr]
+        self.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
     def cut(self, region: int) -> None:
         for one in range(3):
             for a, b in ((one, region), (region, one)):
                 if a != b:
-                    way = self.links.ways[f"r{a}", f"r{b}"]
-                    self.links.ways[f"r{a}", f"r{b}"] = replace(way, cut=True)
+                    way = self.links.site_links[f"r{a}", f"r{b}"]
+                    self.links.site_links[f"r{a}", f"r{b}"] = replace(way, is_cut=True)
 
     def heal(self) -> None:
-        for pair, way in list(self.links.ways.items()):
-            self.links.ways[pair] = replace(way, cut=False)
+        for pair, way in list(self.links.site_links.items()):
+            self.links.site_links[pair] = replace(way, is_cut=False)
 
 
 def size_run(size: int, seed: int = 1, changes: int = 12, firms: int = 5) -> dict[str, Any]:
@@ -149,7 +151,7 @@
     fleet = Regions(size, seed)
     world, rng = fleet.world, fleet.rng
     everyone = set(fleet.names)
-    if not world.until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0):
+    if not world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0):
         return {"size": size, "wrong": ["not all heard of the log in 30 s"]}
     fleet.sent.clear()
     world.run(world.now + 10.0)
@@ -171,13 +173,13 @@
             [name for name in fleet.names if name[0] == "f" and name != proposer], max(1, size // 100)
         )
         for name in restarts:
-            host = world.host(name)
+            host = world.find_host(name)
             world.kill(host)
-            world.at(world.now + 0.5 + 2.0 * rng.random(), lambda host=host: world.start(host))  # type: ignore[misc]
+            world.schedule(world.now + 0.5 + 2.0 * rng.random(), lambda host=host: world.start(host))  # type: ignore[misc]
         asked[number], apart[number] = world.now, set(cut_off)
         plans: dict[str, Figures | None] = {"p": Figures(float(number), 9.0)}
         fleet.change(proposer, Change(number - 1, "trial", plans, {number << 20 | firm: "p" for firm in range(firms)}))
-        if not world.until(
+        if not world.run_until(
             lambda number=number, apart=apart[number]: (
                 len(  # type: ignore[misc]
                     fleet.reached.get(number, {}).keys() - apart
@@ -198,7 +200,7 @@
     fleet.sent.clear()
     heal = world.now
     fleet.heal()
-    if not world.until(lambda: all(force.number == last for force in fleet.force.values()), LATE + 10.0):
+    if not world.run_until(lambda: all(force.number == last for force in fleet.force.values()), LATE + 10.0):
         wrong.append("not all caught up after the return")
     caught = world.now - heal
     back = sum(count for name, count in fleet.sent.items() if name[:3] == "to " and name[3:] in cut_off)
@@ -235,7 +237,7 @@
         "voterBytesASecondOut": mean(told, list(fleet.seats), ""),
         "snapshots": fleet.snapshots - snapshots,
         "streamsFull": world.full,
-        "events": world.events,
+        "events": world.event_count,
         "wallS": round(time.monotonic() - began, 1),
         "wrong": wrong,
     }
@@ -325,7 +327,7 @@
     try:
         fleet = Regions(size, 1)
         world, rng = fleet.world, random.Random(1)
-        world.until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
+        world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
         numbers, number = rng.sample(range(1 << 33), firms), 0
         apart = {name for name in fleet.names if fleet.region(name) == 2}
         loads = max(1, -(-firms // 600))
@@ -339,7 +341,7 @@
             fleet.change("f0", Change(number, "t", plans, rows))
             number += 1
             there = [force for name, force in fleet.force.items() if number <= loads or name not in apart]
-            world.until(
+            world.run_until(
                 lambda number=number, there=there: all(  # type: ignore[misc]
                     force.number == number for force in there
                 ),
@@ -350,7 +352,7 @@
         fleet.sent.clear()
         begin = world.now
         fleet.heal()
-        done = world.until(lambda: all(force.number == number for force in fleet.force.values()), 30.0)
+        done = world.run_until(lambda: all(force.number == number for force in fleet.force.values()), 30.0)
         far = [fleet.sent.get(f"to {name}", 0) for name in apart if name[0] == "f"]
         return {
             "followers": size,
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -99,9 +99,9 @@
         what = rng.choice(("part", "cut", "stop", "kill"))
         away = rng.sample(names, max(1, len(names) // 4))
         if what == "part":
-            fleet.relays.links.part(set(away), set(names) - set(away))
+            fleet.relays.links.partition(set(away), set(names) - set(away))
         elif what == "cut":
-            fleet.relays.links.change(*rng.sample(names, 2), cut=True)
+            fleet.relays.links.override(*rng.sample(names, 2), is_cut=True)
         else:
             one = fleet.named(away[0])
             rolled = one.number in fleet.wave  # type: ignore[attr-defined]
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -221,13 +221,13 @@
         for row in told["relays"]:
             self.relays.take(row["name"], tuple(row["listens"]), row["datagrams"], row["listener"])
         self.relays.links.sites = told["sites"]
-        self.usual = {(a, b): Way(delay=delay, spread=spread, loss=loss) for a, b, delay, spread, loss in told["ways"]}
-        self.relays.links.ways = dict(self.usual)
+        self.usual = {(a, b): Way(delay=delay, jitter=spread, loss=loss) for a, b, delay, spread, loss in told["ways"]}
+        self.relays.links.site_links = dict(self.usual)
 
     def ask_cut(self, region: str, on: bool) -> bool:
         """Nothing goes between that region and the others."""
-        self.relays.links.ways = {
-            (a, b): Way(cut=True) if on and (a.startswith(region) != b.startswith(region)) else way
+        self.relays.links.site_links = {
+            (a, b): Way(is_cut=True) if on and (a.startswith(region) != b.startswith(region)) else way
             for (a, b), way in self.usual.items()
         }
         return on
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -43,7 +43,7 @@
 from brackenpulley.fleet.caller import Call
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
-from brackenpulley.simulation.script import Line, drawn, parse
+from brackenpulley.simulation.script import Fault, draw_faults, parse
 from brackenpulley.standins.clients import Firm, Load
 from brackenpulley.standins.links import Relays
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
@@ -381,38 +381,38 @@
 
     # Faults.
 
-    def do(self, line: Line) -> None:
-        words, links = line.words, self.relays.links
-        if line.what == "heal":
+    def do(self, line: Fault) -> None:
+        words, links = line.arguments, self.relays.links
+        if line.action == "heal":
             links.heal()
-            links.usual = type(links.usual)(delay=0.0, spread=0.0)
-        elif line.what in ("loss", "double"):
+            links.default = type(links.default)(delay=0.0, jitter=0.0)
+        elif line.action in ("loss", "double"):
             part = float(words[1])
-            links.usual = type(links.usual)(
-                0.0, 0.0, part if line.what == "loss" else 0.0, part if line.what == "double" else 0.0
+            links.default = type(links.default)(
+                0.0, 0.0, part if line.action == "loss" else 0.0, part if line.action == "double" else 0.0
             )
-        elif line.what == "part":
+        elif line.action == "part":
             sides = [{self.named(name).name for name in side.split(",")} for side in words]
-            links.part(sides[0], sides[1])
-        elif line.what in ("cut", "stall", "slow"):
+            links.partition(sides[0], sides[1])
+        elif line.action in ("cut", "stall", "slow"):
             a, b = self.named(words[0]).name, self.named(words[1]).name
-            if line.what == "cut":
-                links.change(a, b, cut=True)
-            elif line.what == "stall":
-                links.change(a, b, held=time.monotonic() + float(words[2]))
+            if line.action == "cut":
+                links.override(a, b, is_cut=True)
+            elif line.action == "stall":
+                links.override(a, b, stalled_until=time.monotonic() + float(words[2]))
             else:
-                links.change(a, b, delay=float(words[2]))
+                links.override(a, b, delay=float(words[2]))
         else:
             one = self.named(words[0])
-            if line.what == "kill":
+            if line.action == "kill":
                 if one.name == self.leader:
                     self._leader_died = time.monotonic()
                 one.kill()
                 self.load.down.add(one.number)
-            elif line.what == "start":
+            elif line.action == "start":
                 one.start(words[1])
-            elif line.what in ("stop", "go"):
-                one.signal(signal.SIGSTOP if line.what == "stop" else signal.SIGCONT)
+            elif line.action in ("stop", "go"):
+                one.signal(signal.SIGSTOP if line.action == "stop" else signal.SIGCONT)
 
     def _turn(self) -> None:
         begin = time.monotonic()
@@ -520,13 +520,13 @@
             if script
             else [
                 line
-                for line in drawn(fleet.rng, names, seconds, 3.0, size - 1)
-                if line.what in ("kill", "start", "stop", "go", "cut", "part", "stall", "loss", "heal")
+                for line in draw_faults(fleet.rng, names, seconds, 3.0, size - 1)
+                if line.action in ("kill", "start", "stop", "go", "cut", "part", "stall", "loss", "heal")
             ]
         )
         begin = time.monotonic()
         for line in lines:
-            fleet.loop.call_in(line.at, lambda line=line: fleet.do(line))  # type: ignore[misc]
+            fleet.loop.call_in(line.at_seconds, lambda line=line: fleet.do(line))  # type: ignore[misc]
         for number in range(machines):
             fleet.loop.call_in(0.2 + 0.4 * number, lambda number=number: fleet.order(number))  # type: ignore[misc]
         fleet.work()
--- a/brackenpulley/simulation/__init__.py
+++ b/brackenpulley/simulation/__init__.py
@@ -1,3 +1,4 @@
-"""Processes of a fleet in virtual time: the code that serves, over a net, disks and clocks that fail by schedule.
+"""Simulation of a fleet in virtual time: the production protocol code runs over simulated links, disks and clocks.
 
-Same seed, same run, event for event. Nothing that serves imports it; tests, benchmarks and the lab do."""
+Runs are deterministic: the same seed gives the same sequence of events. No production module but `standins`, which
+shares the link model, imports this package; tests and benchmarks do."""
--- a/brackenpulley/simulation/disk.py
+++ b/brackenpulley/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A voter's disk in memory, and what may befall it: full, lost, an older copy, a host that loses power."""
+"""Simulated disk of a voter, held in memory, with the faults it can suffer: full, wiped, rolled back, power loss."""
 
 from __future__ import annotations
 
@@ -11,40 +11,47 @@
 
 @dataclass(slots=True)
 class Disk:
-    """`seal` stands apart from it, as in consensus/store.py: it outlives the process, and not the host's power."""
+    """Implements the disk interface of consensus/agreement.py in memory.
 
-    kept: Kept = field(default_factory=Kept)
-    steps: int = 0
+    `seal` is the number of the last write, kept apart from the disk as in consensus/store.py: it survives the process,
+    but not a power loss of the host. None means that the number is unknown."""
+
+    stored: Kept = field(default_factory=Kept)
+    write_count: int = 0
     seal: int | None = None
-    full: bool = False
-    copies: list[tuple[Kept, int]] = field(default_factory=list)
+    is_full: bool = False
+    backups: list[tuple[Kept, int]] = field(default_factory=list)
 
     def load(self) -> tuple[Kept, bool]:
-        return deepcopy(self.kept), self.seal is not None and self.steps >= self.seal
+        """Returns a copy of the stored state, and whether no later write is known to be missing from it."""
+        return deepcopy(self.stored), self.seal is not None and self.write_count >= self.seal
 
     def store(self, step: Store) -> bool:
-        if self.full:
+        """Writes one step. Returns False and changes nothing if the disk is full."""
+        if self.is_full:
             return False
-        kept = self.kept
-        kept.term, kept.vote, kept.unsure, kept.floor = step.term, step.vote, step.unsure, step.floor
+        stored = self.stored
+        stored.term, stored.vote, stored.unsure, stored.floor = step.term, step.vote, step.unsure, step.floor
         if step.snapshot is not None:
-            kept.snapshot = step.snapshot
-        kept.entries = [e for e in kept.entries if kept.snapshot.index < e.index < step.first]
-        kept.entries += step.entries
-        self.steps += 1
-        self.seal = self.steps
+            stored.snapshot = step.snapshot
+        stored.entries = [e for e in stored.entries if stored.snapshot.index < e.index < step.first]
+        stored.entries += step.entries
+        self.write_count += 1
+        self.seal = self.write_count
         return True
 
-    def copy(self) -> None:
-        self.copies.append((deepcopy(self.kept), self.steps))
+    def back_up(self) -> None:
+        """Takes a backup for a later `restore_backup`."""
+        self.backups.append((deepcopy(self.stored), self.write_count))
 
-    def older(self) -> None:
-        """A copy is put back; without one, nothing is on it."""
-        self.kept, self.steps = deepcopy(self.copies[-1]) if self.copies else (Kept(snapshot=Snapshot()), 0)
+    def restore_backup(self) -> None:
+        """Replaces the state with the latest backup, or with an empty disk if there is none."""
+        self.stored, self.write_count = deepcopy(self.backups[-1]) if self.backups else (Kept(snapshot=Snapshot()), 0)
 
-    def lose(self) -> None:
-        self.kept, self.steps = Kept(snapshot=Snapshot()), 0
+    def wipe(self) -> None:
+        """Replaces the state with an empty disk. The seal remains."""
+        self.stored, self.write_count = Kept(snapshot=Snapshot()), 0
 
-    def power(self) -> None:
-        """The host went down: what was synced stands, the seal says nothing any more."""
+    def lose_power(self) -> None:
+        """Simulates a power loss of the host: synced writes remain, the seal is lost."""
         self.seal = None
--- a/brackenpulley/simulation/faults.py
+++ b/brackenpulley/simulation/faults.py
@@ -1,81 +1,89 @@
-"""A script's lines done to a world."""
+"""Applies a fault schedule to a simulated world."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
 
-from .script import Line
+from .script import Fault
 from .world import Host, World
 
 
-class Faults:
-    """`leader` tells the name of who leads now, or ""; `spoil` whether a disk may be lost or older now, without more of
-    them being so at once than the voters can bear. Else it is kept."""
+class FaultInjector:
+    """Schedules faults from the current time on, and records those applied.
+
+    `find_leader` returns the name of the current leader, or "". `may_damage_disk` returns whether the disk of a host
+    may be wiped or rolled back now without exceeding the number of damaged disks that the voters tolerate; if not,
+    the disk is kept."""
 
     def __init__(
         self,
         world: World,
-        lines: list[Line],
-        leader: Callable[[], str] = lambda: "",
-        spoil: Callable[[Host], bool] = lambda host: True,
+        faults: list[Fault],
+        find_leader: Callable[[], str] = lambda: "",
+        may_damage_disk: Callable[[Host], bool] = lambda host: True,
     ) -> None:
-        self.world, self.leader, self.spoil = world, leader, spoil
-        self.done: list[Line] = []
-        self._usual = world.links.usual
+        self.world, self.find_leader, self.may_damage_disk = world, find_leader, may_damage_disk
+        self.applied: list[Fault] = []
+        self._default_link = world.links.default
         begin = world.now
-        for line in lines:
-            world.at(begin + line.at, lambda line=line: self.do(line))  # type: ignore[misc]
+        for fault in faults:
+            world.schedule(begin + fault.at_seconds, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
-    def do(self, line: Line) -> None:
-        world, words = self.world, line.words
-        self.done.append(line)
+    def apply(self, fault: Fault) -> None:
+        """Applies one fault now."""
+        world, arguments = self.world, fault.arguments
+        self.applied.append(fault)
         links = world.links
-        if line.what == "heal":
+        if fault.action == "heal":
             links.heal()
-            links.usual = self._usual
-        elif line.what in ("loss", "double"):
-            part = float(words[1])
-            links.usual = replace(links.usual, loss=part) if line.what == "loss" else replace(links.usual, double=part)
-        elif line.what == "part":
-            one, rest = ({self._host(name).address for name in side.split(",")} for side in words)
-            links.part(one, rest)
-        elif line.what in ("cut", "stall", "slow"):
-            a, b = (self._host(name).address for name in words[:2])
-            if line.what == "cut":
-                links.change(a, b, cut=True)
-            elif line.what == "stall":
-                links.change(a, b, held=world.now + float(words[2]))
+            links.default = self._default_link
+        elif fault.action in ("loss", "double"):
+            probability = float(arguments[1])
+            links.default = (
+                replace(links.default, loss=probability)
+                if fault.action == "loss"
+                else replace(links.default, duplication=probability)
+            )
+        elif fault.action == "part":
+            side, rest = ({self._find_host(name).address for name in names.split(",")} for names in arguments)
+            links.partition(side, rest)
+        elif fault.action in ("cut", "stall", "slow"):
+            source, destination = (self._find_host(name).address for name in arguments[:2])
+            if fault.action == "cut":
+                links.override(source, destination, is_cut=True)
+            elif fault.action == "stall":
+                links.override(source, destination, stalled_until=world.now + float(arguments[2]))
             else:
-                links.change(a, b, delay=links.of(a, b).delay + float(words[2]))
+                links.override(source, destination, delay=links.find(source, destination).delay + float(arguments[2]))
         else:
-            self._process(self._host(words[0]), line)
+            self._apply_to_host(self._find_host(arguments[0]), fault)
 
-    def _process(self, host: Host, line: Line) -> None:
+    def _apply_to_host(self, host: Host, fault: Fault) -> None:
         world = self.world
-        if line.what == "kill" and host.driven is not None:
+        if fault.action == "kill" and host.process is not None:
             world.kill(host)
-        elif line.what == "start" and host.driven is None:
-            how = line.words[1]
-            if how in ("lost", "old") and not self.spoil(host):
-                how = "kept"
-            if how == "lost":
-                host.disk.lose()
-            elif how == "old":
-                host.disk.older()
-            elif how == "power":
-                host.disk.power()
+        elif fault.action == "start" and host.process is None:
+            disk_state = fault.arguments[1]
+            if disk_state in ("lost", "old") and not self.may_damage_disk(host):
+                disk_state = "kept"
+            if disk_state == "lost":
+                host.disk.wipe()
+            elif disk_state == "old":
+                host.disk.restore_backup()
+            elif disk_state == "power":
+                host.disk.lose_power()
             world.start(host)
-        elif line.what == "stop":
-            world.stop(host)
-        elif line.what == "go" and host.stopped:
-            world.go_on(host)
-        elif line.what in ("full", "room"):
-            host.disk.full = line.what == "full"
-        elif line.what == "copy":
-            host.disk.copy()
+        elif fault.action == "stop":
+            world.suspend(host)
+        elif fault.action == "go" and host.is_suspended:
+            world.resume(host)
+        elif fault.action in ("full", "room"):
+            host.disk.is_full = fault.action == "full"
+        elif fault.action == "copy":
+            host.disk.back_up()
 
-    def _host(self, name: str) -> Host:
+    def _find_host(self, name: str) -> Host:
         if name == "leader":
-            name = self.leader() or next(iter(self.world.hosts.values())).name
-        return self.world.host(name)
+            name = self.find_leader() or next(iter(self.world.hosts.values())).name
+        return self.world.find_host(name)
--- a/brackenpulley/simulation/script.py
+++ b/brackenpulley/simulation/script.py
@@ -1,23 +1,23 @@
-"""Faults by schedule, in one format for processes in virtual time and real ones. No I/O.
+"""Fault schedules, in one text format for simulated and real processes. No I/O.
 
-    # seconds, what, whom
-    0.5   cut     a b            # nothing from a to b; `part a,b c,d` cuts both ways between two sides
-    1     stall   a b 2.0        # what a sends to b waits so many s
-    1     loss    * 0.1          # on all ways; also `slow a b 0.08` (s more), `double * 0.2`
-    2     kill    n3             # SIGKILL; `start n3 kept|lost|old|power` afterwards
-    2     stop    n2             # SIGSTOP; `go n2`
-    4     full    n1             # its disk takes nothing; `room n1`
-    4     copy    n1             # of its disk, for a later `start n1 old`
-    5     heal                   # all ways are good again
+    # seconds, action, arguments
+    0.5   cut     a b            # drops what a sends to b; `part a,b c,d` cuts both directions between two sides
+    1     stall   a b 2.0        # holds what a sends to b for 2 s
+    1     loss    * 0.1          # on all links; also `slow a b 0.08` (adds s of delay), `double * 0.2` (duplication)
+    2     kill    n3             # SIGKILL; later `start n3 kept|lost|old|power`, which names the state of its disk
+    2     stop    n2             # SIGSTOP; later `go n2`
+    4     full    n1             # its disk rejects writes; later `room n1`
+    4     copy    n1             # backs its disk up for a later `start n1 old`
+    5     heal                   # repairs all links
 
-A name is a process's; `leader` is whoever leads when the line is due."""
+Names are those of processes; `leader` is the process that leads when the fault is due."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-WORDS = {
+ARGUMENT_COUNTS = {
     "cut": 2,
     "part": 2,
     "stall": 3,
@@ -33,89 +33,97 @@
     "copy": 1,
     "heal": 0,
 }
-STARTS = ("kept", "lost", "old", "power")
+DISK_STATES = ("kept", "lost", "old", "power")  # second argument of `start`
 
 
 class ScriptError(ValueError):
-    """A line that can't be read; the text names it."""
+    """A line of a schedule that cannot be parsed; the text gives its number."""
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
-    at: float  # s from the start
-    what: str
-    words: tuple[str, ...] = ()
+class Fault:
+    """One line of a schedule."""
+
+    at_seconds: float  # since the start
+    action: str
+    arguments: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        return f"{self.at:g} {self.what} {' '.join(self.words)}".rstrip()
+        return f"{self.at_seconds:g} {self.action} {' '.join(self.arguments)}".rstrip()
 
 
-def parse(text: str) -> list[Line]:
-    """In the order of their times. Raises ScriptError."""
+def parse(text: str) -> list[Fault]:
+    """Parses a schedule and returns its faults in order of time. Raises ScriptError."""
     found = []
     for number, row in enumerate(text.splitlines(), 1):
         words = row.partition("#")[0].split()
         if not words:
             continue
         try:
-            at = float(words[0])
+            at_seconds = float(words[0])
         except ValueError:
             raise ScriptError(f"line {number}: {words[0]!r} is no time in s") from None
-        if len(words) < 2 or words[1] not in WORDS:
-            raise ScriptError(f"line {number}: no {' '.join(words[1:2]) or 'word'}; there are {', '.join(WORDS)}")
-        line = Line(at, words[1], tuple(words[2:]))
-        if len(line.words) != WORDS[line.what]:
-            raise ScriptError(f"line {number}: {line.what} takes {WORDS[line.what]} words")
-        if line.what == "start" and line.words[1] not in STARTS:
-            raise ScriptError(f"line {number}: {line.words[1]!r} is none of {', '.join(STARTS)}")
-        if line.what in ("stall", "loss", "double", "slow"):
+        if len(words) < 2 or words[1] not in ARGUMENT_COUNTS:
+            raise ScriptError(
+                f"line {number}: no {' '.join(words[1:2]) or 'action'}; expected one of {', '.join(ARGUMENT_COUNTS)}"
+            )
+        fault = Fault(at_seconds, words[1], tuple(words[2:]))
+        if len(fault.arguments) != ARGUMENT_COUNTS[fault.action]:
+            raise ScriptError(f"line {number}: {fault.action} takes {ARGUMENT_COUNTS[fault.action]} arguments")
+        if fault.action == "start" and fault.arguments[1] not in DISK_STATES:
+            raise ScriptError(f"line {number}: {fault.arguments[1]!r} is none of {', '.join(DISK_STATES)}")
+        if fault.action in ("stall", "loss", "double", "slow"):
             try:
-                float(line.words[-1])
+                float(fault.arguments[-1])
             except ValueError:
-                raise ScriptError(f"line {number}: {line.words[-1]!r} is no number") from None
-        found.append(line)
-    return sorted(found, key=lambda line: line.at)
-
-
-def drawn(rng: random.Random, names: list[str], seconds: float, every: float, least: int) -> list[Line]:
-    """Faults at random; `least` processes are there at any time. The last third of the time is calm, so that what was
-    asked for can be done."""
-    lines: list[Line] = []
-    away: dict[str, float] = {}  # until when
-    at = 0.0
-    while (at := at + rng.expovariate(1 / every)) < seconds * 2 / 3:
-        there = [name for name in names if away.get(name, 0.0) <= at]
+                raise ScriptError(f"line {number}: {fault.arguments[-1]!r} is no number") from None
+        found.append(fault)
+    return sorted(found, key=lambda fault: fault.at_seconds)
+
+
+def draw_faults(
+    rng: random.Random, names: list[str], seconds: float, mean_interval: float, min_running: int
+) -> list[Fault]:
+    """Draws a random schedule for the processes `names`, with one fault every `mean_interval` seconds on average.
+
+    At least `min_running` processes run at any time. The last third of the time has no faults, so that proposals can
+    complete."""
+    faults: list[Fault] = []
+    down_until: dict[str, float] = {}
+    at_seconds = 0.0
+    while (at_seconds := at_seconds + rng.expovariate(1 / mean_interval)) < seconds * 2 / 3:
+        running = [name for name in names if down_until.get(name, 0.0) <= at_seconds]
         name, other = rng.sample(names, 2)
-        length = min(seconds * 2 / 3 - at, rng.choice((0.3, 1.0, 3.0, 6.0)) * (0.5 + rng.random()))
-        what = rng.choice(("kill", "kill", "stop", "cut", "sever", "part", "stall", "loss", "full", "copy"))
-        if what in ("kill", "stop") and (name not in there or len(there) <= least):
+        length = min(seconds * 2 / 3 - at_seconds, rng.choice((0.3, 1.0, 3.0, 6.0)) * (0.5 + rng.random()))
+        action = rng.choice(("kill", "kill", "stop", "cut", "sever", "part", "stall", "loss", "full", "copy"))
+        if action in ("kill", "stop") and (name not in running or len(running) <= min_running):
             continue
-        end = at + length
-        if what == "kill":
-            how = rng.choice(("kept", "kept", "lost", "old", "power"))
-            away[name] = end
-            lines += [Line(at, "kill", (name,)), Line(end, "start", (name, how))]
-        elif what == "stop":
-            away[name] = end
-            lines += [Line(at, "stop", (name,)), Line(end, "go", (name,))]
-        elif what == "part":
+        end = at_seconds + length
+        if action == "kill":
+            disk_state = rng.choice(("kept", "kept", "lost", "old", "power"))
+            down_until[name] = end
+            faults += [Fault(at_seconds, "kill", (name,)), Fault(end, "start", (name, disk_state))]
+        elif action == "stop":
+            down_until[name] = end
+            faults += [Fault(at_seconds, "stop", (name,)), Fault(end, "go", (name,))]
+        elif action == "part":
             side = rng.sample(names, rng.randrange(1, len(names)))
-            lines += [
-                Line(at, "part", (",".join(side), ",".join(n for n in names if n not in side))),
-                Line(end, "heal"),
+            faults += [
+                Fault(at_seconds, "part", (",".join(side), ",".join(n for n in names if n not in side))),
+                Fault(end, "heal"),
             ]
-        elif what == "sever":
-            lines += [Line(at, "part", (name, other)), Line(end, "heal")]
-        elif what == "cut":
-            lines += [Line(at, "cut", (name, other)), Line(end, "heal")]
-        elif what == "stall":
-            lines.append(Line(at, "stall", (name, other, f"{length:.2f}")))
-        elif what == "loss":
-            lines += [Line(at, "loss", ("*", f"{rng.choice((0.05, 0.2, 0.5))}")), Line(end, "heal")]
-        elif what == "full":
-            lines += [Line(at, "full", (name,)), Line(end, "room", (name,))]
+        elif action == "sever":
+            faults += [Fault(at_seconds, "part", (name, other)), Fault(end, "heal")]
+        elif action == "cut":
+            faults += [Fault(at_seconds, "cut", (name, other)), Fault(end, "heal")]
+        elif action == "stall":
+            faults.append(Fault(at_seconds, "stall", (name, other, f"{length:.2f}")))
+        elif action == "loss":
+            faults += [Fault(at_seconds, "loss", ("*", f"{rng.choice((0.05, 0.2, 0.5))}")), Fault(end, "heal")]
+        elif action == "full":
+            faults += [Fault(at_seconds, "full", (name,)), Fault(end, "room", (name,))]
         else:
-            lines.append(Line(at, "copy", (name,)))
-    calm = seconds * 2 / 3
-    lines += [Line(calm, "heal"), *(Line(calm, "room", (name,)) for name in names)]
-    return sorted(lines, key=lambda line: line.at)
+            faults.append(Fault(at_seconds, "copy", (name,)))
+    calm_from = seconds * 2 / 3
+    faults += [Fault(calm_from, "heal"), *(Fault(calm_from, "room", (name,)) for name in names)]
+    return sorted(faults, key=lambda fault: fault.at_seconds)
--- a/brackenpulley/simulation/voters.py
+++ b/brackenpulley/simulation/voters.py
@@ -1,8 +1,8 @@
-"""Voters and followers of one log in virtual time, those that propose to it, and what must always hold.
+"""Simulated cluster of voters and followers of one log, with processes that propose to it, and its invariants.
 
-Checked after each event: one leader a term; whoever leads holds all that was committed; what is applied at an index is
-the same everywhere and stays so; a command is applied once; who says that its reading is current has read all that was
-committed before; what a proposer was told came of its command is what came of it."""
+Checked after each event: a term has one leader; a leader holds every committed entry; the state after an index is the
+same everywhere and never changes; a command is applied once; a leader that declares its reads current has every entry
+committed before; and the outcome that a proposer was told is that of its command."""
 
 from __future__ import annotations
 
@@ -16,47 +16,52 @@
 from ..consensus.machine import Machine, Outcome
 from ..consensus.raft import LEADER, Node, Timing
 from ..consensus.wire import Entry
-from .faults import Faults
+from .faults import FaultInjector
 from .links import Link, Links
-from .script import Line, drawn
-from .world import Bare, Host, World
+from .script import Fault, draw_faults
+from .world import Host, StandaloneParts, World
 
 
-class Broken(AssertionError):
-    """Something that must always hold does not; the text says what."""
+class InvariantError(AssertionError):
+    """An invariant is violated; the text says which."""
 
 
 class Register:
-    """The plainest state: a list of what came, told by its length and a mark of all of it."""
+    """Minimal replicated state: the number of commands applied, and a running digest of them."""
 
     def __init__(self) -> None:
-        self.mark, self.count = b"", 0
+        self.digest, self.count = b"", 0
 
     def apply(self, at: float, body: bytes) -> Any:
-        self.mark = hashlib.blake2b(self.mark + body, digest_size=8).digest()
+        """Applies a command and returns its number."""
+        self.digest = hashlib.blake2b(self.digest + body, digest_size=8).digest()
         self.count += 1
         return self.count
 
     def dump(self) -> Any:
-        return [self.mark, self.count]
+        """Returns the state for a snapshot."""
+        return [self.digest, self.count]
 
     def load(self, dumped: Any) -> None:
-        self.mark, self.count = dumped if dumped else (b"", 0)
+        """Replaces the state with that of a snapshot."""
+        self.digest, self.count = dumped if dumped else (b"", 0)
 
 
 @dataclass(slots=True)
-class Truth:
-    """What was seen to be so anywhere."""
+class Observations:
+    """What any process was seen to hold, against which all others are checked."""
 
     leaders: dict[int, str] = field(default_factory=dict)  # by term
-    terms: dict[int, int] = field(default_factory=dict)  # of what is committed, by index
-    applied: dict[int, tuple[bytes, int]] = field(default_factory=dict)  # the register's state after an index
-    bodies: dict[bytes, int] = field(default_factory=dict)  # index at which a command counted
-    commit: int = 0
+    terms: dict[int, int] = field(default_factory=dict)  # of committed entries, by index
+    states: dict[int, tuple[bytes, int]] = field(default_factory=dict)  # digest and count of the register, by index
+    command_indexes: dict[bytes, int] = field(default_factory=dict)  # index at which a command was applied
+    commit_index: int = 0
 
 
-class Voters:
-    """`voters` with disks and `followers` without; each proposes `rate` commands a second to its own process."""
+class Cluster:
+    """Simulates `voters` with disks and `followers` without; each proposes `rate` commands a second to its process.
+
+    The clock of each host is off by a random factor of up to `skew`."""
 
     def __init__(
         self,
@@ -71,169 +76,190 @@
         agreement: type[Agreement] = Agreement,
         machine: type[Machine] = Machine,
     ) -> None:
-        self.world = World(seed, links or Links(Link(spread=0.004, loss=0.01, double=0.01)), traced)
-        self.rng, self.truth, self.timing = random.Random(seed + 1), Truth(), timing or Timing()
-        self.rate, self._agreement, self._machine = rate, agreement, machine
-        self.names = [f"v{n}" for n in range(voters)]
-        self.seats = {name: f"a-{name}" for name in self.names}
-        self.asked: dict[bytes, float] = {}  # what was proposed, and when
-        self.told: dict[bytes, int] = {}  # of that: the index that its proposer was told
-        self.lost = 0  # proposals that their proposer gave up
-        self.proposing = True
-        self.registers: dict[str, Register] = {}
-        for name in [*self.names, *(f"f{n}" for n in range(followers))]:
-            host = self.world.add(name, f"a-{name}", self._make, start=False)
-            host.rate = 1.0 + self.rng.uniform(-skew, skew)
+        self.world = World(seed, links or Links(Link(jitter=0.004, loss=0.01, duplication=0.01)), traced)
+        self.rng, self.observations, self.timing = random.Random(seed + 1), Observations(), timing or Timing()
+        self.rate, self._agreement_class, self._machine_class = rate, agreement, machine
+        self.voter_names = [f"v{n}" for n in range(voters)]
+        self.voter_addresses = {name: f"a-{name}" for name in self.voter_names}
+        self.proposed: dict[bytes, float] = {}  # time of each proposal, by command
+        self.acknowledged: dict[bytes, int] = {}  # log index that the proposer was told, by command
+        self.abandoned = 0  # proposals without an outcome
+        self.is_proposing = True
+        self.registers: dict[str, Register] = {}  # by host
+        for name in [*self.voter_names, *(f"f{n}" for n in range(followers))]:
+            host = self.world.add_host(name, f"a-{name}", self._make_process, start=False)
+            host.clock_rate = 1.0 + self.rng.uniform(-skew, skew)
             self.world.start(host)
-            self._propose_later(host)
+            self._schedule_proposal(host)
         self.world.checks.append(self.check)
 
-    def _make(self, host: Host) -> Bare:
+    def _make_process(self, host: Host) -> StandaloneParts:
         register = Register()
 
         def machine() -> Machine:
             self.registers[host.name] = register
-            return self._machine({"register": register})
+            return self._machine_class({"register": register})
 
-        part = self._agreement(
-            f"{host.name}@{host.life}",
+        part = self._agreement_class(
+            f"{host.name}@{host.incarnation}",
             host.name,
-            self.seats,
+            self.voter_addresses,
             machine,
             random.Random(self.rng.random()),
-            host.clock(self.world.now),
+            host.to_local_time(self.world.now),
             host.disk if host.name.startswith("v") else None,
             self.timing,
         )
-        part.applied = lambda entry: self._applied(host, part, entry, register)
-        part.restored = lambda: self._restored(part, register)
-        return Bare(host.address, {KIND: part})
+        part.applied = lambda entry: self._check_applied(host, part, entry, register)
+        part.restored = lambda: self._check_restored(part, register)
+        return StandaloneParts(host.address, {KIND: part})
 
-    def part(self, host: Host) -> Agreement | None:
-        return None if host.driven is None else host.driven.parts[KIND]  # type: ignore[attr-defined]
+    def find_agreement(self, host: Host) -> Agreement | None:
+        """Returns the agreement part of a host's process, or None if no process runs."""
+        return None if host.process is None else host.process.parts[KIND]  # type: ignore[attr-defined]
 
-    def nodes(self) -> list[tuple[Host, Node]]:
+    def list_running_nodes(self) -> list[tuple[Host, Node]]:
+        """Returns the voters that run and have not halted."""
         found = []
         for host in self.world.hosts.values():
-            part = self.part(host)
+            part = self.find_agreement(host)
             if part is not None and part.node is not None and not part.node.halted:
                 found.append((host, part.node))
         return found
 
-    def leader(self) -> str:
-        led = [(node.term, host.name) for host, node in self.nodes() if node.role == LEADER and not host.stopped]
-        return max(led)[1] if led else ""
-
-    def may_spoil(self, host: Host) -> bool:
-        """All the others are sure of their disks and hold what is committed."""
-        others = {h.name: node for h, node in self.nodes() if h is not host and h.name in self.names}
-        return len(others) == len(self.names) - 1 and all(
-            node.proved and node.last >= self.truth.commit for node in others.values()
+    def find_leader(self) -> str:
+        """Returns the name of the leader with the highest term, or "" if there is none; suspended ones don't count."""
+        leaders = [
+            (node.term, host.name)
+            for host, node in self.list_running_nodes()
+            if node.role == LEADER and not host.is_suspended
+        ]
+        return max(leaders)[1] if leaders else ""
+
+    def may_damage_disk(self, host: Host) -> bool:
+        """Returns whether all other voters run, trust their disks and hold every committed entry."""
+        others = {h.name: node for h, node in self.list_running_nodes() if h is not host and h.name in self.voter_names}
+        return len(others) == len(self.voter_names) - 1 and all(
+            node.proved and node.last >= self.observations.commit_index for node in others.values()
         )
 
-    # Those that propose.
+    # Proposals.
 
-    def _propose_later(self, host: Host) -> None:
-        self.world.at(self.world.now + self.rng.expovariate(self.rate), lambda: self._propose(host))
+    def _schedule_proposal(self, host: Host) -> None:
+        self.world.schedule(self.world.now + self.rng.expovariate(self.rate), lambda: self._propose(host))
 
     def _propose(self, host: Host) -> None:
-        if not self.proposing:
+        if not self.is_proposing:
             return
-        self._propose_later(host)
-        part = self.part(host)
-        if part is None or host.stopped:
+        self._schedule_proposal(host)
+        part = self.find_agreement(host)
+        if part is None or host.is_suspended:
             return
-        body = f"{part.id} {len(self.asked)}".encode()
+        body = f"{part.id} {len(self.proposed)}".encode()
         now = self.world.now
 
         def done(outcome: Outcome | None) -> None:
             if outcome is None:
-                self.lost += 1
+                self.abandoned += 1
             else:
-                self.told[body] = outcome.index
+                self.acknowledged[body] = outcome.index
 
-        if part.propose(host.clock(now), "register", body, 20.0, done):
-            self.asked[body] = now
-            self.world.do(host, part_effects(host))
+        if part.propose(host.to_local_time(now), "register", body, 20.0, done):
+            self.proposed[body] = now
+            self.world.apply_effects(host, take_effects(host))
 
-    # What must hold.
+    # Invariants.
 
-    def _applied(self, host: Host, part: Agreement, entry: Entry, register: Register) -> None:
-        truth = self.truth
-        if truth.terms.setdefault(entry.index, entry.term) != entry.term:
-            raise Broken(
-                f"{host.name} applies an entry of term {entry.term} at {entry.index}, where one of term "
-                f"{truth.terms[entry.index]} was"
+    def _check_applied(self, host: Host, part: Agreement, entry: Entry, register: Register) -> None:
+        observations = self.observations
+        if observations.terms.setdefault(entry.index, entry.term) != entry.term:
+            raise InvariantError(
+                f"{host.name} applied an entry of term {entry.term} at index {entry.index}, where another process "
+                f"applied one of term {observations.terms[entry.index]}"
             )
-        state = register.mark, register.count
-        if truth.applied.setdefault(entry.index, state) != state:
-            raise Broken(f"{host.name} is another one after {entry.index}")
-        truth.commit = max(truth.commit, entry.index)
+        state = register.digest, register.count
+        if observations.states.setdefault(entry.index, state) != state:
+            raise InvariantError(f"{host.name} has a different state after index {entry.index}")
+        observations.commit_index = max(observations.commit_index, entry.index)
 
-    def _restored(self, part: Agreement, register: Register) -> None:
-        index, state = part.machine.index, (register.mark, register.count)
-        if self.truth.applied.setdefault(index, state) != state:
-            raise Broken(f"{part.name} is another one after a snapshot of {index}")
+    def _check_restored(self, part: Agreement, register: Register) -> None:
+        index, state = part.machine.index, (register.digest, register.count)
+        if self.observations.states.setdefault(index, state) != state:
+            raise InvariantError(f"{part.name} has a different state after restoring the snapshot of index {index}")
 
     def check(self) -> None:
+        """Checks leaders, current reads and acknowledged proposals. Raises InvariantError."""
         now = self.world.now
-        for host, node in self.nodes():
+        for host, node in self.list_running_nodes():
             if node.role != LEADER:
                 continue
-            known = self.truth.leaders.get(node.term)
+            known = self.observations.leaders.get(node.term)
             if known is None:
-                self.truth.leaders[node.term] = host.name
-                self._complete(host, node)
+                self.observations.leaders[node.term] = host.name
+                self._check_leader_completeness(host, node)
             elif known != host.name:
-                raise Broken(f"{known} and {host.name} lead in term {node.term}")
-            if not host.stopped and node.commit < self.truth.commit and node.current(host.clock(now)):
-                raise Broken(f"{host.name} calls {node.commit} current, {self.truth.commit} is committed")
-        for body, index in list(self.told.items()):
-            count = self.truth.applied.get(index)
+                raise InvariantError(f"term {node.term} has two leaders: {known} and {host.name}")
+            if (
+                not host.is_suspended
+                and node.commit < self.observations.commit_index
+                and node.current(host.to_local_time(now))
+            ):
+                raise InvariantError(
+                    f"{host.name} declares reads at index {node.commit} current, but index "
+                    f"{self.observations.commit_index} is committed"
+                )
+        for body, index in list(self.acknowledged.items()):
+            count = self.observations.states.get(index)
             if count is None:
-                raise Broken(f"{body!r} was told to be at {index}, where nothing is")
+                raise InvariantError(f"{body!r} was acknowledged at index {index}, where no entry was applied")
 
-    def _complete(self, host: Host, node: Node) -> None:
-        for index in range(node.base.index + 1, self.truth.commit + 1):
-            if node.term_at(index) != self.truth.terms.get(index, node.term_at(index)):
-                raise Broken(f"{host.name} leads in term {node.term} without entry {index}")
+    def _check_leader_completeness(self, host: Host, node: Node) -> None:
+        for index in range(node.base.index + 1, self.observations.commit_index + 1):
+            if node.term_at(index) != self.observations.terms.get(index, node.term_at(index)):
+                raise InvariantError(f"{host.name} leads in term {node.term} without the committed entry {index}")
 
-    def once(self) -> None:
-        """Each command that was told as done counted once, and nothing counted that nobody proposed."""
+    def check_applied_once(self) -> None:
+        """Checks that acknowledged commands were applied once, and none that was not proposed.
+
+        Raises InvariantError."""
         counts = {
-            register.count for name, register in self.registers.items() if self.world.host(name).driven is not None
+            register.count
+            for name, register in self.registers.items()
+            if self.world.find_host(name).process is not None
         }
         most = max(counts, default=0)
-        if most > len(self.asked):
-            raise Broken(f"{most} commands counted, {len(self.asked)} were proposed")
-        if len(set(self.told.values())) != len(self.told):
-            raise Broken("two commands were told to be at the same index")
+        if most > len(self.proposed):
+            raise InvariantError(f"{most} commands were applied, but only {len(self.proposed)} were proposed")
+        if len(set(self.acknowledged.values())) != len(self.acknowledged):
+            raise InvariantError("two commands were acknowledged at the same index")
 
-    def agreed(self) -> bool:
-        """All that run have applied the same, and it is all that was committed."""
+    def has_converged(self) -> bool:
+        """Returns whether all running processes have applied the same entries, up to the last committed one."""
         states = {
-            (part.machine.index, self.registers[host.name].mark)
+            (part.machine.index, self.registers[host.name].digest)
             for host in self.world.hosts.values()
-            if (part := self.part(host)) is not None
+            if (part := self.find_agreement(host)) is not None
         }
-        return len(states) == 1 and next(iter(states))[0] >= self.truth.commit
+        return len(states) == 1 and next(iter(states))[0] >= self.observations.commit_index
 
 
-def part_effects(host: Host) -> list[Any]:
-    """What the parts of a host want said now."""
-    return host.driven.said() if host.driven is not None else []  # type: ignore[attr-defined]
+def take_effects(host: Host) -> list[Any]:
+    """Takes the messages that the parts of a host's process have queued."""
+    return host.process.said() if host.process is not None else []  # type: ignore[attr-defined]
 
 
 @dataclass(slots=True)
-class Ran:
+class RunResult:
+    """Counts of one run, the faults applied, and the invariant that was violated, if any."""
+
     seed: int
-    events: int
-    told: int
-    lost: int
+    event_count: int
+    acknowledged: int
+    abandoned: int
     elections: int
-    lines: list[Line]
-    trace: str
-    broken: str = ""
+    faults: list[Fault]
+    trace: str  # digest of all events; empty if not traced
+    violation: str = ""
 
 
 def run(
@@ -241,45 +267,57 @@
     seconds: float = 24.0,
     voters: int = 3,
     followers: int = 2,
-    every: float = 1.5,
+    mean_fault_interval: float = 1.5,
     rate: float = 2.0,
     traced: bool = False,
-    lines: list[Line] | None = None,
-    prepare: Callable[[Voters], None] | None = None,
-    spoil: bool = False,
+    faults: list[Fault] | None = None,
+    prepare: Callable[[Cluster], None] | None = None,
+    allow_any_disk_damage: bool = False,
     **more: Any,
-) -> Ran:
-    """One run with faults drawn from the seed, or those of `lines`, where a disk is lost whoever else lacks something
-    if `spoil`; at the end all is well, and then all must agree."""
-    cluster = Voters(seed, voters, followers, rate, traced=traced, **more)
+) -> RunResult:
+    """Runs a cluster with faults drawn from the seed, or with `faults`, and then checks that all processes converge.
+
+    Every process is started or resumed at the end of `seconds`. Disks are damaged only where the other voters can
+    tolerate it, unless `allow_any_disk_damage`. `prepare` is called with the cluster before the run; `more` goes to
+    Cluster."""
+    cluster = Cluster(seed, voters, followers, rate, traced=traced, **more)
     if prepare is not None:
         prepare(cluster)
-    drawn_lines = drawn(cluster.rng, cluster.names, seconds, every, (voters + 1) // 2) if lines is None else lines
-    faults = Faults(cluster.world, drawn_lines, cluster.leader, (lambda host: True) if spoil else cluster.may_spoil)
-    world, broken = cluster.world, ""
+    schedule = (
+        draw_faults(cluster.rng, cluster.voter_names, seconds, mean_fault_interval, (voters + 1) // 2)
+        if faults is None
+        else faults
+    )
+    injector = FaultInjector(
+        cluster.world,
+        schedule,
+        cluster.find_leader,
+        (lambda host: True) if allow_any_disk_damage else cluster.may_damage_disk,
+    )
+    world, violation = cluster.world, ""
     try:
         world.run(world.now + seconds)
         for host in world.hosts.values():
-            if host.driven is None:
+            if host.process is None:
                 world.start(host)
-            elif host.stopped:
-                world.go_on(host)
-        cluster.proposing = False
-        if not world.until(lambda: bool(cluster.leader()) and cluster.agreed(), 30.0):
-            found = [(h.name, n.role, n.term, n.commit, n.proved) for h, n in cluster.nodes()]
-            raise Broken(f"no agreement 30 s after the last fault: {found}")
-        cluster.once()
-    except Broken as error:
-        broken = str(error)
+            elif host.is_suspended:
+                world.resume(host)
+        cluster.is_proposing = False
+        if not world.run_until(lambda: bool(cluster.find_leader()) and cluster.has_converged(), 30.0):
+            found = [(h.name, n.role, n.term, n.commit, n.proved) for h, n in cluster.list_running_nodes()]
+            raise InvariantError(f"no agreement 30 s after the last fault: {found}")
+        cluster.check_applied_once()
+    except InvariantError as error:
+        violation = str(error)
     except AssertionError as error:
-        broken = f"assertion: {error}"
-    return Ran(
+        violation = f"assertion: {error}"
+    return RunResult(
         seed,
-        world.events,
-        len(cluster.told),
-        cluster.lost,
-        len(cluster.truth.leaders),
-        faults.done,
+        world.event_count,
+        len(cluster.acknowledged),
+        cluster.abandoned,
+        len(cluster.observations.leaders),
+        injector.applied,
         world.trace.hexdigest() if world.trace is not None else "",
-        broken,
+        violation,
     )
--- a/brackenpulley/simulation/world.py
+++ b/brackenpulley/simulation/world.py
@@ -1,4 +1,6 @@
-"""Time, and the processes in it. One event after another; after each, whatever was asked to be checked."""
+"""Discrete-event simulation: virtual time, the hosts and their processes, and delivery of messages between them.
+
+Events run one after another, and every registered check runs after each of them."""
 
 from __future__ import annotations
 
@@ -16,42 +18,52 @@
 from .disk import Disk
 from .links import Links
 
-START = 1000.0
-STILL = 20_000  # events at one time
-BUFFER = 200  # words that a process which stands still finds when it goes on
+START_SECONDS = 1000.0  # virtual time at which every simulation begins
+MAX_EVENTS_AT_ONE_TIME = 20_000  # more than this without time passing is taken for a process that wakes forever
+MAX_BUFFERED_MESSAGES = 200  # messages that a suspended process receives when it resumes
 
 
-class Driven(Protocol):
-    """A station, or a lone protocol: what `members/transport` drives on sockets."""
+class Process(Protocol):
+    """A station or a single protocol: what `members/transport` runs on sockets."""
 
-    def receive(self, now: float, source: str, body: Message) -> list[Effect]: ...
+    def receive(self, now: float, source: str, body: Message) -> list[Effect]:
+        """Handles a message from the address `source` and returns the effects."""
+        ...
 
-    def tick(self, now: float) -> list[Effect]: ...
+    def tick(self, now: float) -> list[Effect]:
+        """Runs what is due and returns the effects."""
+        ...
 
-    def next_tick(self) -> float: ...
+    def next_tick(self) -> float:
+        """Returns the time at which `tick` is due; infinity for never."""
+        ...
 
 
-class Bare:
-    """Parts without membership: whole runs of one part at a fraction of the cost."""
+class StandaloneParts:
+    """Runs parts without membership, which makes simulations of a single part much cheaper."""
 
     def __init__(self, address: str, parts: dict[str, Part]) -> None:
         self.address, self.parts = address, parts
 
     def receive(self, now: float, source: str, body: Message) -> list[Effect]:
+        """Hands a carried message to its part and returns what the parts send."""
         if isinstance(body, Carry) and (part := self.parts.get(body.kind)) is not None:
             part.receive(now, body.address, body.data)
         return self.said()
 
     def tick(self, now: float) -> list[Effect]:
+        """Ticks the parts that are due and returns what the parts send."""
         for part in self.parts.values():
             if part.next_tick() <= now:
                 part.tick(now)
         return self.said()
 
     def next_tick(self) -> float:
+        """Returns the earliest time at which a part is due."""
         return min(part.next_tick() for part in self.parts.values())
 
     def said(self) -> list[Effect]:
+        """Takes the messages that the parts have queued."""
         return [
             Send(address, Carry(kind, self.address, data), stream=len(data) > DATAGRAM)
             for kind, part in self.parts.items()
@@ -61,155 +73,177 @@
 
 @dataclass(slots=True)
 class Host:
-    """A place where a process runs, and what outlives it. Its clock goes `rate` times as fast as the world's."""
+    """A host, with what outlives its process. Its clock runs `clock_rate` times as fast as virtual time."""
 
     name: str
     address: str
-    make: Callable[[Host], Driven]
+    make_process: Callable[[Host], Process]
     disk: Disk = field(default_factory=Disk)
-    rate: float = 1.0
-    life: int = 0
-    driven: Driven | None = None
-    stopped: bool = False
-    waiting: list[tuple[str, Message]] = field(default_factory=list)
-    due: float = inf
+    clock_rate: float = 1.0
+    incarnation: int = 0  # number of starts
+    process: Process | None = None  # None while it does not run
+    is_suspended: bool = False
+    buffered: list[tuple[str, Message]] = field(default_factory=list)  # (source, message) received while suspended
+    wake_at: float = inf  # virtual time of the scheduled tick
 
-    def clock(self, now: float) -> float:
-        return START + (now - START) * self.rate
+    def to_local_time(self, now: float) -> float:
+        """Converts virtual time to the time of the host's clock."""
+        return START_SECONDS + (now - START_SECONDS) * self.clock_rate
 
-    def when(self, clock: float) -> float:
-        """The world's time of a time of its clock, and a little after it: rounding must not make it wake too soon."""
-        return START + (clock - START) / self.rate + 1e-6 if clock < inf else inf
+    def to_world_time(self, local_time: float) -> float:
+        """Converts a time of the host's clock to virtual time, plus 1 us: rounding must not wake it too early."""
+        return START_SECONDS + (local_time - START_SECONDS) / self.clock_rate + 1e-6 if local_time < inf else inf
 
 
 class World:
+    """Event queue, hosts and links of one simulation.
+
+    `on_member_change` and `on_send` are called for each membership change and each message sent."""
+
     def __init__(self, seed: int, links: Links | None = None, traced: bool = False) -> None:
-        self.rng, self.links, self.now = random.Random(seed), links or Links(), START
+        self.rng, self.links, self.now = random.Random(seed), links or Links(), START_SECONDS
         self.hosts: dict[str, Host] = {}  # by address
-        self.checks: list[Callable[[], None]] = []  # after each event; raise where something does not hold
-        self.changed: Callable[[Host, Changed], None] = lambda host, change: None
-        self.sent: Callable[[Host, Send], None] = lambda host, send: None
-        self.events = self._still = 0
+        self.checks: list[Callable[[], None]] = []  # run after each event; raise on a violation
+        self.on_member_change: Callable[[Host, Changed], None] = lambda host, change: None
+        self.on_send: Callable[[Host, Send], None] = lambda host, send: None
+        self.event_count = self._events_at_now = 0
         self.trace = hashlib.blake2b(digest_size=16) if traced else None
-        self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = 0
+        self._queue: list[tuple[float, int, Callable[[], None]]] = []  # heap of (time, sequence number, callback)
+        self._last_sequence = 0
 
     # Processes.
 
-    def add(self, name: str, address: str, make: Callable[[Host], Driven], start: bool = True) -> Host:
-        host = self.hosts[address] = Host(name, address, make)
+    def add_host(self, name: str, address: str, make_process: Callable[[Host], Process], start: bool = True) -> Host:
+        """Adds a host, and starts its process if `start`."""
+        host = self.hosts[address] = Host(name, address, make_process)
         if start:
             self.start(host)
         return host
 
-    def host(self, name: str) -> Host:
+    def find_host(self, name: str) -> Host:
+        """Returns the host of that name. Raises StopIteration if there is none."""
         return next(host for host in self.hosts.values() if host.name == name)
 
     def start(self, host: Host) -> None:
-        assert host.driven is None, f"{host.name} runs"
-        host.life += 1
-        host.stopped = False
-        host.driven = host.make(host)
-        self._wake(host)
+        """Starts a new process on a host where none runs."""
+        assert host.process is None, f"a process already runs on host {host.name}"
+        host.incarnation += 1
+        host.is_suspended = False
+        host.process = host.make_process(host)
+        self._schedule_tick(host)
 
     def kill(self, host: Host) -> None:
-        host.driven, host.due, host.stopped = None, inf, False
-        host.waiting.clear()
-
-    def stop(self, host: Host) -> None:
-        """SIGSTOP: it stands still, and what comes waits as far as a buffer goes."""
-        host.stopped = True
-
-    def go_on(self, host: Host) -> None:
-        host.stopped = False
-        waiting, host.waiting = host.waiting[-BUFFER:], []
+        """Ends the process at once, as SIGKILL does, and drops its buffered messages."""
+        host.process, host.wake_at, host.is_suspended = None, inf, False
+        host.buffered.clear()
+
+    def suspend(self, host: Host) -> None:
+        """Suspends the process, as SIGSTOP does. Messages to it are buffered."""
+        host.is_suspended = True
+
+    def resume(self, host: Host) -> None:
+        """Resumes a suspended process: it ticks, then receives the latest buffered messages."""
+        host.is_suspended = False
+        buffered, host.buffered = host.buffered[-MAX_BUFFERED_MESSAGES:], []
         self._tick(host)
-        for source, body in waiting:
+        for source, body in buffered:
             self._receive(host, source, body)
 
-    def do(self, host: Host, effects: list[Effect]) -> None:
-        """What a call of a host's own brought about, outside of its messages and ticks."""
+    def apply_effects(self, host: Host, effects: list[Effect]) -> None:
+        """Applies the effects that a call of the host's process returned."""
         for effect in effects:
             if isinstance(effect, Changed):
-                self.changed(host, effect)
+                self.on_member_change(host, effect)
             else:
                 self._send(host, effect)
-        self._wake(host)
+        self._schedule_tick(host)
 
     # Time.
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        self._serial += 1
-        heapq.heappush(self._queue, (when, self._serial, call))
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` at the virtual time `when`; events of the same time run in the order of scheduling."""
+        self._last_sequence += 1
+        heapq.heappush(self._queue, (when, self._last_sequence, callback))
 
     def step(self) -> None:
-        when, _, call = heapq.heappop(self._queue)
-        self._still = 0 if when > self.now else self._still + 1
-        assert self._still < STILL, f"no time passes at {when}: somebody asks to be woken in its own past"
+        """Runs the next event and all checks."""
+        when, _, callback = heapq.heappop(self._queue)
+        self._events_at_now = 0 if when > self.now else self._events_at_now + 1
+        assert self._events_at_now < MAX_EVENTS_AT_ONE_TIME, (
+            f"{MAX_EVENTS_AT_ONE_TIME} events at time {when}: a process keeps asking for a tick in its past"
+        )
         self.now = when
-        self.events += 1
-        call()
+        self.event_count += 1
+        callback()
         for check in self.checks:
             check()
 
     def run(self, until: float) -> None:
+        """Runs all events up to and including the virtual time `until`."""
         while self._queue and self._queue[0][0] <= until:
             self.step()
         self.now = until
 
-    def until(self, done: Callable[[], bool], patience: float) -> bool:
-        """Run until that holds; False where it does not within so many s."""
-        end = self.now + patience
-        while not done():
+    def run_until(self, condition: Callable[[], bool], timeout: float) -> bool:
+        """Runs until `condition` holds. Returns False if it does not within `timeout` seconds."""
+        end = self.now + timeout
+        while not condition():
             if not self._queue or self._queue[0][0] > end:
                 self.now = max(self.now, end)
-                return done()
+                return condition()
             self.step()
         return True
 
-    def _wake(self, host: Host) -> None:
-        if host.driven is None:
+    def _schedule_tick(self, host: Host) -> None:
+        if host.process is None:
             return
-        due = max(self.now, host.when(host.driven.next_tick()))  # one that stood still still lives in its own past
-        if due >= host.due or due == inf:
+        # A process that was suspended may ask for a tick in the past.
+        wake_at = max(self.now, host.to_world_time(host.process.next_tick()))
+        if wake_at >= host.wake_at or wake_at == inf:
             return
-        host.due = due
+        host.wake_at = wake_at
 
         def tick() -> None:
-            if host.due == due and host.driven is not None:
-                host.due = inf
-                if not host.stopped:
+            if host.wake_at == wake_at and host.process is not None:
+                host.wake_at = inf
+                if not host.is_suspended:
                     self._tick(host)
 
-        self.at(due, tick)
+        self.schedule(wake_at, tick)
 
     def _tick(self, host: Host) -> None:
-        if host.driven is not None:
-            self._traced("tick", host.name, "")
-            self.do(host, host.driven.tick(host.clock(self.now)))
+        if host.process is not None:
+            self._record_trace("tick", host.name, "")
+            self.apply_effects(host, host.process.tick(host.to_local_time(self.now)))
 
     def _send(self, host: Host, send: Send) -> None:
-        self.sent(host, send)
-        for when in self.links.times(self.rng, self.now, host.address, send.to, send.stream):
-            self.at(when, lambda: self._arrive(host.address, send))
+        self.on_send(host, send)
+        for when in self.links.draw_arrival_times(self.rng, self.now, host.address, send.to, send.stream):
+            self.schedule(when, lambda: self._deliver(host.address, send))
 
-    def _arrive(self, source: str, send: Send) -> None:
+    def _deliver(self, source: str, send: Send) -> None:
         host = self.hosts.get(send.to)
-        link = self.links.of(source, send.to)
-        if host is None or host.driven is None or link.cut or send.stream and self.links.of(send.to, source).cut:
+        link = self.links.find(source, send.to)
+        if (
+            host is None
+            or host.process is None
+            or link.is_cut
+            or send.stream
+            and self.links.find(send.to, source).is_cut
+        ):
             return
-        if link.held > self.now:  # it began to stall while this was under way
-            self.at(link.held, lambda: self._arrive(source, send))
-        elif host.stopped:
-            host.waiting.append((source, send.body))
+        if link.stalled_until > self.now:  # the stall began while the message was in flight
+            self.schedule(link.stalled_until, lambda: self._deliver(source, send))
+        elif host.is_suspended:
+            host.buffered.append((source, send.body))
         else:
             self._receive(host, source, send.body)
 
     def _receive(self, host: Host, source: str, body: Message) -> None:
-        if host.driven is not None:
-            self._traced(type(body).__name__, source, host.name)
-            self.do(host, host.driven.receive(host.clock(self.now), source, body))
+        if host.process is not None:
+            self._record_trace(type(body).__name__, source, host.name)
+            self.apply_effects(host, host.process.receive(host.to_local_time(self.now), source, body))
 
-    def _traced(self, what: str, a: str, b: str) -> None:
+    def _record_trace(self, event: str, source: str, destination: str) -> None:
         if self.trace is not None:
-            self.trace.update(f"{self.now!r} {what} {a} {b}\n".encode())
+            self.trace.update(f"{self.now!r} {event} {source} {destination}\n".encode())
--- a/brackenpulley/standins/links.py
+++ b/brackenpulley/standins/links.py
@@ -37,7 +37,7 @@
         relays = self.stream.relays
         if not data:
             relays.later(*self.names, self.finish)
-        elif relays.links.of(*self.names).cut:
+        elif relays.links.find(*self.names).is_cut:
             return  # swallowed: the other side waits in vain
         else:
             relays.later(*self.names, lambda: self.write(data))
@@ -105,7 +105,7 @@
     """`add` a process: its name, where it listens; gives the address to advertise."""
 
     def __init__(self, loop: Loop, seed: int) -> None:
-        self.loop, self.rng, self.links = loop, random.Random(seed), Links(Link(delay=0.0, spread=0.0))
+        self.loop, self.rng, self.links = loop, random.Random(seed), Links(Link(delay=0.0, jitter=0.0))
         self.streams: set[Stream] = set()
         self.real: dict[str, Address] = {}
         self.lost = self.passed = 0
@@ -134,13 +134,13 @@
             if a is None:
                 continue
             now = time.monotonic()
-            times = self.links.times(self.rng, now, a, to, stream=False)
+            times = self.links.draw_arrival_times(self.rng, now, a, to, stream=False)
             self.lost += not times
             for when in times:
                 self.loop.call_in(max(0.0, when - now), lambda a=a, data=data: self._pass(a, to, data))  # type: ignore
 
     def _pass(self, a: str, to: str, data: bytes) -> None:
-        if a in self._sockets and to in self._sockets and not self.links.of(a, to).cut:
+        if a in self._sockets and to in self._sockets and not self.links.find(a, to).is_cut:
             self.passed += 1
             try:
                 self._sockets[a].sendto(data, self.real[to])
@@ -154,8 +154,8 @@
             return
         sock.setblocking(False)
         a = self._names.get(source[0])
-        link = self.links.of(a or "", to)
-        if a is None or link.cut or self.links.of(to, a).cut:
+        link = self.links.find(a or "", to)
+        if a is None or link.is_cut or self.links.find(to, a).is_cut:
             sockets.reset_on_close(sock)
             sock.close()
             return
@@ -168,8 +168,8 @@
 
     def later(self, a: str, b: str, call: object) -> None:
         """After the way's delay and its stall; in order."""
-        link = self.links.of(a, b)
-        self.loop.call_in(max(link.delay, link.held - time.monotonic()), call)  # type: ignore[arg-type]
+        link = self.links.find(a, b)
+        self.loop.call_in(max(link.delay, link.stalled_until - time.monotonic()), call)  # type: ignore[arg-type]
 
     def reset(self, a: str, b: str) -> None:
         for stream in [one for one in self.streams if set(one.pair) == {a, b}]:
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -18,15 +18,15 @@
 from brackenpulley.members.station import Station
 from brackenpulley.net.counter import encode_add as counter_call
 from brackenpulley.simulation.links import Link, Links
-from brackenpulley.simulation.voters import Voters
-from brackenpulley.simulation.world import START, Host, World
+from brackenpulley.simulation.voters import Cluster
+from brackenpulley.simulation.world import START_SECONDS, Host, World
 
 from .rig import Peer, Rig, rig
 from .test_maintenance import BOUNDS, FACTS
 from .test_platform import chunk
 from .transcripts import Transcript
 
-STILL = Links(Link(delay=0.01, spread=0.0))
+STILL = Links(Link(delay=0.01, jitter=0.0))
 
 
 class Story(SingleFileSnapshotExtension):
@@ -49,27 +49,27 @@
     return snapshot.use_extension(Story)
 
 
-def cluster(seed: int, followers: int = 0) -> Voters:
-    made = Voters(seed, 3, followers, links=Links(Link(delay=0.01, spread=0.0)), skew=0.0)
-    made.proposing = False
+def cluster(seed: int, followers: int = 0) -> Cluster:
+    made = Cluster(seed, 3, followers, links=Links(Link(delay=0.01, jitter=0.0)), skew=0.0)
+    made.is_proposing = False
     return made
 
 
-def ask(made: Voters, name: str, body: bytes, told: Transcript) -> None:
-    host = made.world.host(name)
-    part = made.part(host)
+def ask(made: Cluster, name: str, body: bytes, told: Transcript) -> None:
+    host = made.world.find_host(name)
+    part = made.find_agreement(host)
     assert part is not None
-    told.say(f"{made.world.now - START:7.3f} {name} proposes {body.decode()}")
+    told.say(f"{made.world.now - START_SECONDS:7.3f} {name} proposes {body.decode()}")
     part.propose(
         made.world.now,
         "register",
         body,
         9.0,
         lambda outcome: told.say(
-            f"{made.world.now - START:7.3f} {name} is told {outcome.answer if outcome else 'nothing'}"
+            f"{made.world.now - START_SECONDS:7.3f} {name} is told {outcome.answer if outcome else 'nothing'}"
         ),
     )
-    made.world.do(host, host.driven.said())  # type: ignore[union-attr]
+    made.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
 
 def test_three_founders_begin_a_log_and_a_follower_proposes(approved: SnapshotAssertion) -> None:
@@ -78,51 +78,57 @@
     told.watch(made.world)
     made.world.run(made.world.now + 0.1)
     told.title("nobody has heard a leader for long enough: one asks beforehand, stands and leads")
-    assert made.world.until(lambda: bool(made.leader()) and made.truth.commit >= 2, 5.0)
+    assert made.world.run_until(lambda: bool(made.find_leader()) and made.observations.commit_index >= 2, 5.0)
     told.title("the process without a vote proposes: its voter passes it on to the leader, and it sees it done")
     ask(made, "f0", b"first", told)
-    assert made.world.until(lambda: "is told" in told.lines[-1], 3.0)
+    assert made.world.run_until(lambda: "is told" in told.lines[-1], 3.0)
     assert told.text() == approved
 
 
 def test_a_leader_dies_and_its_unfinished_entry_is_replaced(approved: SnapshotAssertion) -> None:
     told, made = Transcript(), cluster(4)
     world = made.world
-    assert world.until(lambda: bool(made.leader()) and made.truth.commit >= 2, 5.0)
+    assert world.run_until(lambda: bool(made.find_leader()) and made.observations.commit_index >= 2, 5.0)
     world.run(world.now + 0.3)
-    first = made.leader()
+    first = made.find_leader()
     told.title(f"{first} leads; it is cut off from both others with an entry that reaches nobody")
     told.watch(world)
-    world.links.part({world.host(first).address}, {a for a in made.seats.values() if a != world.host(first).address})
+    world.links.partition(
+        {world.find_host(first).address},
+        {a for a in made.voter_addresses.values() if a != world.find_host(first).address},
+    )
     ask(made, first, b"unheard", told)
     world.run(world.now + 0.15)
     told.title(f"{first} is killed; the others agree on the next one")
-    world.kill(world.host(first))
+    world.kill(world.find_host(first))
     world.links.heal()
-    assert world.until(lambda: made.leader() not in ("", first) and made.truth.commit >= 3, 6.0)
+    assert world.run_until(lambda: made.find_leader() not in ("", first) and made.observations.commit_index >= 3, 6.0)
     told.title(f"{first} comes back with its disk: what it alone held gives way")
-    world.start(world.host(first))
-    assert world.until(lambda: made.agreed() and made.part(world.host(first)).machine.index >= 3, 4.0)  # type: ignore
+    world.start(world.find_host(first))
+    assert world.run_until(
+        lambda: made.has_converged() and made.find_agreement(world.find_host(first)).machine.index >= 3,  # type: ignore
+        4.0,
+    )
     assert told.text() == approved
 
 
 def test_a_voter_whose_disk_is_lost_votes_again_once_a_leader_shows_it_all(approved: SnapshotAssertion) -> None:
     told, made = Transcript(), cluster(5)
     world = made.world
-    assert world.until(lambda: bool(made.leader()) and made.truth.commit >= 2, 5.0)
-    ask(made, made.leader(), b"kept", told)
+    assert world.run_until(lambda: bool(made.find_leader()) and made.observations.commit_index >= 2, 5.0)
+    ask(made, made.find_leader(), b"kept", told)
     world.run(world.now + 0.5)
-    lost = next(name for name in made.names if name != made.leader())
-    told.title(f"{made.leader()} leads; {lost} is killed and its disk is empty when it comes back")
-    world.kill(world.host(lost))
-    world.host(lost).disk.lose()
+    lost = next(name for name in made.voter_names if name != made.find_leader())
+    told.title(f"{made.find_leader()} leads; {lost} is killed and its disk is empty when it comes back")
+    world.kill(world.find_host(lost))
+    world.find_host(lost).disk.wipe()
     told.watch(world)
-    world.start(world.host(lost))
+    world.start(world.find_host(lost))
 
     def sure() -> bool:
-        return any(host.name == lost and node.proved for host, node in made.nodes())
+        return any(host.name == lost and node.proved for host, node in made.list_running_nodes())
 
-    assert world.until(sure, 4.0)
+    assert world.run_until(sure, 4.0)
     told.title(f"{lost} may vote again")
     assert told.text() == approved
 
@@ -132,27 +138,27 @@
     quick = Timing(probe=0.5, answer=0.2, sync=99.0, rejoin=99.0)
 
     def make(host: Host) -> Station:
-        return Station(f"{host.name}@{host.life}", host.address, random.Random(host.name), world.now, quick)
+        return Station(f"{host.name}@{host.incarnation}", host.address, random.Random(host.name), world.now, quick)
 
     told.title("three join through the first")
     for name in ("m0", "m1", "m2"):
-        world.add(name, f"a-{name}", make)
+        world.add_host(name, f"a-{name}", make)
     told.watch(world)
-    world.changed = lambda host, change: told.say(
-        f"{world.now - START:7.3f} {host.name}: {change.id} is {change.state}"
+    world.on_member_change = lambda host, change: told.say(
+        f"{world.now - START_SECONDS:7.3f} {host.name}: {change.id} is {change.state}"
     )
     for name in ("m1", "m2"):
-        host = world.host(name)
-        world.do(host, host.driven.join(["a-m0"]))  # type: ignore[union-attr]
+        host = world.find_host(name)
+        world.apply_effects(host, host.process.join(["a-m0"]))  # type: ignore[union-attr]
     world.run(world.now + 0.3)
     told.title("m1 tells something of itself")
-    station = world.host("m1").driven
+    station = world.find_host("m1").process
     assert isinstance(station, Station)
     station.records.publish("load", "", b"7")
-    world.do(world.host("m1"), station.said())
+    world.apply_effects(world.find_host("m1"), station.said())
     world.run(world.now + 0.25)
     told.title("m2 dies")
-    world.kill(world.host("m2"))
+    world.kill(world.find_host("m2"))
     world.run(world.now + 3.2)
     assert told.text() == approved
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -32,7 +32,7 @@
     Where,
 )
 from brackenpulley.simulation.script import ScriptError, parse
-from brackenpulley.simulation.voters import Register, Voters, run
+from brackenpulley.simulation.voters import Cluster, Register, run
 
 SEATS = {"a": "1", "b": "2", "c": "3"}
 BASE = Snapshot(1, 1, Config(SEATS))
@@ -419,12 +419,12 @@
 def test_a_leader_killed_is_followed_by_another_one_within_3_s() -> None:
     took = []
     for seed in range(15):
-        cluster = Voters(seed, 3, 1)
+        cluster = Cluster(seed, 3, 1)
         world = cluster.world
-        assert world.until(lambda c=cluster: bool(c.leader()) and c.truth.commit > 5, 10.0)  # type: ignore[misc]
-        world.kill(world.host(cluster.leader()))
-        since, commit = world.now, cluster.truth.commit
-        assert world.until(lambda c=cluster, at=commit: c.truth.commit > at + 2, 10.0)  # type: ignore[misc]
+        assert world.run_until(lambda c=cluster: bool(c.find_leader()) and c.observations.commit_index > 5, 10.0)  # type: ignore[misc]
+        world.kill(world.find_host(cluster.find_leader()))
+        since, commit = world.now, cluster.observations.commit_index
+        assert world.run_until(lambda c=cluster, at=commit: c.observations.commit_index > at + 2, 10.0)  # type: ignore[misc]
         took.append(world.now - since)
     assert sorted(took)[7] < 3.0
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -16,10 +16,10 @@
 from brackenpulley.drains.limits import Command, Enter, Leave, Limit, Limits, Want, encode
 from brackenpulley.drains.schedule import Ingress, Rules, fits, lasts, left_out, waves
 from brackenpulley.policy.interface import Refuse, RelayLimitsChanged, Send
-from brackenpulley.simulation.faults import Faults
+from brackenpulley.simulation.faults import FaultInjector
 from brackenpulley.simulation.links import Link, Links
-from brackenpulley.simulation.script import drawn
-from brackenpulley.simulation.world import Bare, Host, World
+from brackenpulley.simulation.script import draw_faults
+from brackenpulley.simulation.world import Host, StandaloneParts, World
 
 from .rig import rig
 from .util import Driver, select
@@ -151,10 +151,10 @@
 
     def attempt(self) -> None:
         world, rng = self.fleet.world, self.fleet.rng
-        if self.fleet.ports.get(self.host.name) is not self or self.host.driven is None:
+        if self.fleet.ports.get(self.host.name) is not self or self.host.process is None:
             return
-        world.at(world.now + rng.expovariate(self.fleet.rate), self.attempt)
-        if self.host.stopped:
+        world.schedule(world.now + rng.expovariate(self.fleet.rate), self.attempt)
+        if self.host.is_suspended:
             return
         server = rng.choice(SERVERS)
         if self.now_busy[server] == self.now_open[server]:
@@ -164,18 +164,18 @@
             self.now_open[server] += 1
         self.now_busy[server] += 1
         self.fleet.served += 1
-        life = self.host.life
+        life = self.host.incarnation
 
         def over() -> None:
-            if self.host.life == life and self.fleet.ports.get(self.host.name) is self:
+            if self.host.incarnation == life and self.fleet.ports.get(self.host.name) is self:
                 self.now_busy[server] -= 1
 
-        world.at(world.now + rng.expovariate(2.0), over)
+        world.schedule(world.now + rng.expovariate(2.0), over)
 
 
 class Fleet:
     def __init__(self, seed: int, size: int = 6, rate: float = 10.0) -> None:
-        self.world, self.rng = World(seed, Links(Link(spread=0.003, loss=0.02, double=0.02))), random.Random(seed)
+        self.world, self.rng = World(seed, Links(Link(jitter=0.003, loss=0.02, duplication=0.02))), random.Random(seed)
         self.names, self.rate, self.served = [f"v{n}" for n in range(size)], rate, 0
         self.seats = {name: f"a-{name}" for name in self.names[:3]}
         self.ports: dict[str, South] = {}
@@ -183,12 +183,12 @@
         self.wrong: list[str] = []
         self.most = 0
         for name in self.names:
-            self.world.add(name, f"a-{name}", self.make)
+            self.world.add_host(name, f"a-{name}", self.make)
         self.world.checks.append(self.check)
 
-    def make(self, host: Host) -> Bare:
+    def make(self, host: Host) -> StandaloneParts:
         part = Agreement(
-            f"{host.name}@{host.life}",
+            f"{host.name}@{host.incarnation}",
             host.name,
             self.seats,
             lambda: Machine({PART: Limits()}),
@@ -200,23 +200,23 @@
         holder = self.holders[host.name] = Holder(
             host.address, part, lambda: part.machine.parts[PART], port, self.world.now
         )  # type: ignore
-        life = host.life
+        life = host.incarnation
 
         def look() -> None:
-            if host.life == life and host.driven is not None:
-                self.world.at(self.world.now + 0.1, look)
-                if not host.stopped:
+            if host.incarnation == life and host.process is not None:
+                self.world.schedule(self.world.now + 0.1, look)
+                if not host.is_suspended:
                     holder.tick(self.world.now)
-                    self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
+                    self.world.apply_effects(host, host.process.said())  # type: ignore[attr-defined]
 
-        self.world.at(self.world.now + 0.01, look)
-        self.world.at(self.world.now + 0.5, port.attempt)
-        return Bare(host.address, {KIND: part})
+        self.world.schedule(self.world.now + 0.01, look)
+        self.world.schedule(self.world.now + 0.5, port.attempt)
+        return StandaloneParts(host.address, {KIND: part})
 
     def check(self) -> None:
         for server in SERVERS:
             total = sum(
-                self.ports[host.name].now_open[server] for host in self.world.hosts.values() if host.driven is not None
+                self.ports[host.name].now_open[server] for host in self.world.hosts.values() if host.process is not None
             )  # a stopped one's stand; a killed one's are gone with it
             self.most = max(self.most, total)
             if total > LIMIT:
@@ -227,24 +227,24 @@
 def test_the_sum_of_all_connections_never_passes_a_limit_whatever_fails(seed: int) -> None:
     fleet = Fleet(seed)
     world = fleet.world
-    Faults(
+    FaultInjector(
         world,
         [
             line
-            for line in drawn(fleet.rng, fleet.names, 30.0, 2.0, 3)
-            if line.what != "start" or line.words[1] in ("kept", "power")
+            for line in draw_faults(fleet.rng, fleet.names, 30.0, 2.0, 3)
+            if line.action != "start" or line.arguments[1] in ("kept", "power")
         ],
     )
     world.run(world.now + 30.0)
     assert not fleet.wrong, fleet.wrong[:3]
     assert fleet.most >= LIMIT - 3 and fleet.served > 200  # the limit was wanted, and used
     for host in world.hosts.values():
-        if host.driven is None:
+        if host.process is None:
             world.start(host)
-        elif host.stopped:
-            world.go_on(host)
+        elif host.is_suspended:
+            world.resume(host)
     served = fleet.served
-    assert world.until(lambda: all(h.entered and h.cap("s0") > 0 for h in fleet.holders.values()), 25.0)
+    assert world.run_until(lambda: all(h.entered and h.cap("s0") > 0 for h in fleet.holders.values()), 25.0)
     world.run(world.now + 5.0)
     assert fleet.served > served and not fleet.wrong
 
@@ -254,14 +254,14 @@
     world = fleet.world
     world.run(world.now + 8.0)
     for name in fleet.names[::-1]:
-        host = world.host(name)
+        host = world.find_host(name)
         fleet.holders[name].leave(world.now)
-        world.do(host, host.driven.said())  # type: ignore[union-attr]
+        world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
         world.run(world.now + 0.3)
         world.kill(host)
         world.run(world.now + 0.2)
         world.start(host)
-        assert world.until(lambda name=name: fleet.holders[name].cap("s0") > 0, 8.0), name  # type: ignore[misc]
+        assert world.run_until(lambda name=name: fleet.holders[name].cap("s0") > 0, 8.0), name  # type: ignore[misc]
         world.run(world.now + 1.0)
     assert not fleet.wrong and fleet.most >= LIMIT - 1
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -29,10 +29,10 @@
     Withdraw,
     encode,
 )
-from brackenpulley.simulation.faults import Faults
+from brackenpulley.simulation.faults import FaultInjector
 from brackenpulley.simulation.links import Link, Links
-from brackenpulley.simulation.script import drawn, parse
-from brackenpulley.simulation.world import Bare, Host, World
+from brackenpulley.simulation.script import draw_faults, parse
+from brackenpulley.simulation.world import Host, StandaloneParts, World
 
 from .rig import rig
 
@@ -346,26 +346,26 @@
         """One attempt to a server that is not away, which ends after a time."""
         world, rng = self.fleet.world, self.fleet.rng
         names = [name for name in SERVERS if name not in self.out]
-        if self.host.stopped or self.host.driven is None or self.fleet.ports.get(self.host.name) is not self:
+        if self.host.is_suspended or self.host.process is None or self.fleet.ports.get(self.host.name) is not self:
             return
-        world.at(world.now + rng.expovariate(5.0), self.send)
+        world.schedule(world.now + rng.expovariate(5.0), self.send)
         if not self.fleet.clerks[self.host.name].entered:
             return
         name = rng.choice(names)
         self.fleet.sent(self.host, name)
         self.attempts_at[name] = self.attempts_at.get(name, 0) + 1
-        life = self.host.life
+        life = self.host.incarnation
 
         def ended() -> None:
-            if self.host.life == life:
+            if self.host.incarnation == life:
                 self.attempts_at[name] -= 1
 
-        world.at(world.now + rng.expovariate(4.0), ended)
+        world.schedule(world.now + rng.expovariate(4.0), ended)
 
 
 class Fleet:
     def __init__(self, seed: int, size: int = 5) -> None:
-        self.world, self.rng = World(seed, Links(Link(spread=0.003, loss=0.02, double=0.02))), random.Random(seed)
+        self.world, self.rng = World(seed, Links(Link(jitter=0.003, loss=0.02, duplication=0.02))), random.Random(seed)
         self.names = [f"v{n}" for n in range(size)]
         self.seats = {name: f"a-{name}" for name in self.names[:3]}
         self.ports: dict[str, Ingress] = {}
@@ -376,12 +376,12 @@
         self.seen = 0
         self.reached: dict[tuple[str, int], int] = {}  # by name and life: the newest state that it had
         for name in self.names:
-            self.world.add(name, f"a-{name}", self.make)
+            self.world.add_host(name, f"a-{name}", self.make)
         self.world.checks.append(self.check)
 
-    def make(self, host: Host) -> Bare:
+    def make(self, host: Host) -> StandaloneParts:
         part = Agreement(
-            f"{host.name}@{host.life}",
+            f"{host.name}@{host.incarnation}",
             host.name,
             self.seats,
             lambda: Machine({PART: Permits()}),
@@ -401,18 +401,18 @@
             self.world.now,
         )
         part.advanced = clerk.heard
-        life = host.life
+        life = host.incarnation
 
         def look() -> None:
-            if host.life == life and host.driven is not None:
-                self.world.at(self.world.now + 0.2, look)
-                if not host.stopped:
+            if host.incarnation == life and host.process is not None:
+                self.world.schedule(self.world.now + 0.2, look)
+                if not host.is_suspended:
                     clerk.tick(self.world.now)
-                    self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
+                    self.world.apply_effects(host, host.process.said())  # type: ignore[attr-defined]
 
-        self.world.at(self.world.now + 0.01, look)
-        self.world.at(self.world.now + 0.5, port.send)
-        return Bare(host.address, {KIND: part})
+        self.world.schedule(self.world.now + 0.01, look)
+        self.world.schedule(self.world.now + 0.5, port.send)
+        return StandaloneParts(host.address, {KIND: part})
 
     def sent(self, host: Host, server: str) -> None:
         if server in self.worked:
@@ -425,10 +425,13 @@
 
     def check(self) -> None:
         for name, clerk in self.clerks.items():
-            host, reached = self.world.host(name), self.reached.get((name, self.world.host(name).life), 0)
-            if host.driven is None or not clerk.entered or clerk.agreement.machine.index < reached:
+            host, reached = (
+                self.world.find_host(name),
+                self.reached.get((name, self.world.find_host(name).incarnation), 0),
+            )
+            if host.process is None or not clerk.entered or clerk.agreement.machine.index < reached:
                 continue  # not there, or made anew from a disk that holds less
-            self.reached[name, host.life] = clerk.agreement.machine.index
+            self.reached[name, host.incarnation] = clerk.agreement.machine.index
             if left := set(clerk.permits.away()) - self.ports[name].out:
                 self.wrong.append(f"{self.world.now:.3f}: {name} has the word and may send to {sorted(left)}")
         index = max(clerk.agreement.machine.index for clerk in self.clerks.values())
@@ -450,19 +453,23 @@
 
     def ask(self, command: Command) -> None:
         """An operator asks any process that is there, again and again until something is agreed."""
-        there = [n for n in self.names if self.world.host(n).driven is not None and not self.world.host(n).stopped]
+        there = [
+            n
+            for n in self.names
+            if self.world.find_host(n).process is not None and not self.world.find_host(n).is_suspended
+        ]
         if not there:
-            self.world.at(self.world.now + 1.0, lambda: self.ask(command))
+            self.world.schedule(self.world.now + 1.0, lambda: self.ask(command))
             return
-        host = self.world.host(self.rng.choice(there))
+        host = self.world.find_host(self.rng.choice(there))
 
         def done(answer: Any) -> None:
             if answer is None:
-                self.world.at(self.world.now + 0.1, lambda: self.ask(command))
+                self.world.schedule(self.world.now + 0.1, lambda: self.ask(command))
 
         self.clerks[host.name].propose(self.world.now, command, done, 3.0)
-        self.world.at(self.world.now + 4.0, lambda: self.again(command))
-        self.world.do(host, host.driven.said())  # type: ignore[union-attr]
+        self.world.schedule(self.world.now + 4.0, lambda: self.again(command))
+        self.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
     def again(self, command: Command) -> None:
         if isinstance(command, Ask) and command.id not in self.permits().jobs:
@@ -475,7 +482,7 @@
                 self.ask(Begin(job.id, job.token))
             elif job.state == "at work" and self.world.now - job.since > 1.0:
                 self.ask(Finish(job.id, job.token))
-        self.world.at(self.world.now + 0.7, self.work)
+        self.world.schedule(self.world.now + 0.7, self.work)
 
 
 JOBS = [Ask(f"h{n}", "ann", [f"s{n}"], zone="ab"[n % 2], urgency=n % 3) for n in range(5)]
@@ -487,20 +494,20 @@
     world = fleet.world
     lines = [
         line
-        for line in drawn(fleet.rng, fleet.names, 36.0, 3.0, 3)
-        if line.what != "start" or line.words[1] in ("kept", "power")
+        for line in draw_faults(fleet.rng, fleet.names, 36.0, 3.0, 3)
+        if line.action != "start" or line.arguments[1] in ("kept", "power")
     ]
-    Faults(world, lines)
+    FaultInjector(world, lines)
     for at, job in enumerate(JOBS):
-        world.at(world.now + 3.0 + at, lambda job=job: fleet.ask(job))  # type: ignore[misc]
-    world.at(world.now + 4.0, fleet.work)
+        world.schedule(world.now + 3.0 + at, lambda job=job: fleet.ask(job))  # type: ignore[misc]
+    world.schedule(world.now + 4.0, fleet.work)
     world.run(world.now + 36.0)
     for host in world.hosts.values():
-        if host.driven is None:
+        if host.process is None:
             world.start(host)
-        elif host.stopped:
-            world.go_on(host)
-    done = world.until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["done"] * len(JOBS), 90.0)
+        elif host.is_suspended:
+            world.resume(host)
+    done = world.run_until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["done"] * len(JOBS), 90.0)
     assert not fleet.wrong, fleet.wrong[:3]
     assert done, [fleet.permits().row(job) for job in fleet.permits().jobs.values()]
 
@@ -514,8 +521,8 @@
     fleet.ask(JOBS[0])
 
     def go_on(name: str) -> None:
-        host = world.host(name)
-        world.go_on(host)
+        host = world.find_host(name)
+        world.resume(host)
         backlog = [name for name in SERVERS if name not in fleet.ports[host.name].out]
         for name in backlog:
             fleet.sent(host, name)
@@ -526,11 +533,11 @@
         for name, clerk in fleet.clerks.items():
             if name not in stopped and clerk.permits.away():
                 stopped.add(name)
-                world.stop(world.host(name))
-                world.at(world.now + 4.0, lambda name=name: go_on(name))  # type: ignore[misc]
+                world.suspend(world.find_host(name))
+                world.schedule(world.now + 4.0, lambda name=name: go_on(name))  # type: ignore[misc]
 
     world.checks.append(stop)
-    assert world.until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["clear"], 60.0)
+    assert world.run_until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["clear"], 60.0)
     assert stopped == set(fleet.names) and not fleet.wrong, fleet.wrong[:3]
 
 
@@ -588,14 +595,14 @@
     fleet = Fleet(1)
     world = fleet.world
     world.run(world.now + 4.0)
-    Faults(world, parse("0 part v4 v0,v1,v2,v3"))
+    FaultInjector(world, parse("0 part v4 v0,v1,v2,v3"))
     world.run(world.now + 0.1)
     fleet.ask(JOBS[0])
     world.run(world.now + 20.0)
     job = fleet.permits().jobs["h0"]
     assert job.state == "clearing" and fleet.permits().missing(job) == ["v4"]
     fleet.ask(Override("h0", "bob"))
-    assert world.until(lambda: fleet.permits().jobs["h0"].state == "clear", 10.0)
+    assert world.run_until(lambda: fleet.permits().jobs["h0"].state == "clear", 10.0)
     assert "bob" in fleet.permits().jobs["h0"].overrides[0] and "v4" in fleet.permits().jobs["h0"].overrides[0]
 
 
@@ -603,18 +610,18 @@
     fleet = Fleet(2)
     world = fleet.world
     world.run(world.now + 4.0)
-    Faults(world, parse("0 part v0,v3 v1,v2,v4"))
+    FaultInjector(world, parse("0 part v0,v3 v1,v2,v4"))
     world.run(world.now + 0.1)
     fleet.clerks["v3"].propose(world.now, JOBS[0], lambda answer: None, 60.0)
-    world.do(world.host("v3"), world.host("v3").driven.said())  # type: ignore[union-attr]
+    world.apply_effects(world.find_host("v3"), world.find_host("v3").process.said())  # type: ignore[union-attr]
     fleet.clerks["v4"].propose(world.now, JOBS[1], lambda answer: None, 60.0)
-    world.do(world.host("v4"), world.host("v4").driven.said())  # type: ignore[union-attr]
+    world.apply_effects(world.find_host("v4"), world.find_host("v4").process.said())  # type: ignore[union-attr]
     world.run(world.now + 15.0)
     sides = {name: set(fleet.clerks[name].permits.jobs) for name in fleet.names}
     assert sides["v0"] == sides["v3"] == set() and sides["v1"] == sides["v4"] == {"h1"}
     assert fleet.permits().jobs["h1"].state == "clearing"  # the other side was not heard
     world.links.heal()
-    assert world.until(
+    assert world.run_until(
         lambda: all(
             set(c.permits.jobs) == {"h0", "h1"} and not c.permits.missing(c.permits.jobs["h1"])
             for c in fleet.clerks.values()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -101,28 +101,28 @@
 
 
 def station(host: Host, seeds: list[str], world: World) -> Station:
-    return Station(f"{host.name}@{host.life}", host.address, random.Random(world.rng.random()), world.now, QUICK)
+    return Station(f"{host.name}@{host.incarnation}", host.address, random.Random(world.rng.random()), world.now, QUICK)
 
 
 def fleet(size: int, seed: int, link: Link) -> World:
     world = World(seed, Links(link))
     for n in range(size):
-        host = world.add(f"m{n}", f"a{n}", lambda host: station(host, [], world))
-        world.do(host, host.driven.join(["a0"]))  # type: ignore[union-attr]
+        host = world.add_host(f"m{n}", f"a{n}", lambda host: station(host, [], world))
+        world.apply_effects(host, host.process.join(["a0"]))  # type: ignore[union-attr]
     return world
 
 
 def stations(world: World) -> list[Station]:
-    return [host.driven for host in world.hosts.values() if isinstance(host.driven, Station)]
+    return [host.process for host in world.hosts.values() if isinstance(host.process, Station)]
 
 
 def test_all_hear_of_a_change_over_a_net_that_loses_a_fifth() -> None:
-    world = fleet(30, 2, Link(loss=0.2, double=0.1))
-    assert world.until(lambda: all(s.protocol.size == 30 for s in stations(world)), 30.0)
+    world = fleet(30, 2, Link(loss=0.2, duplication=0.1))
+    assert world.run_until(lambda: all(s.protocol.size == 30 for s in stations(world)), 30.0)
     for n, s in enumerate(stations(world)):
         s.records.publish("load", "x", str(n).encode())
     for host in world.hosts.values():
-        world.do(host, host.driven.said())  # type: ignore[union-attr]
+        world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
     def told(value: bytes) -> bool:
         return all(
@@ -130,23 +130,23 @@
             for s in stations(world)
         )
 
-    assert world.until(lambda: told(b"3"), 30.0)
+    assert world.run_until(lambda: told(b"3"), 30.0)
     stations(world)[3].records.publish("load", "x", b"news")
-    assert world.until(lambda: told(b"news"), 10.0)
+    assert world.run_until(lambda: told(b"news"), 10.0)
 
 
 def test_two_sides_of_a_partition_have_the_same_records_after_it_by_full_exchange() -> None:
     world = fleet(8, 3, Link())
-    assert world.until(lambda: all(s.protocol.size == 8 for s in stations(world)), 20.0)
+    assert world.run_until(lambda: all(s.protocol.size == 8 for s in stations(world)), 20.0)
     sides = {f"a{n}" for n in range(4)}, {f"a{n}" for n in range(4, 8)}
-    world.links.part(*sides)
+    world.links.partition(*sides)
     world.run(world.now + 25.0)
     for s in stations(world):
         s.records.publish("k", "x", s.id.encode())
     world.run(world.now + 20.0)  # gossip has told it as often as it does, on each side alone
     assert all(len(list(s.records.of("k"))) == 4 for s in stations(world))
     world.links.heal()
-    assert world.until(lambda: all(len(list(s.records.of("k"))) == 8 for s in stations(world)), 90.0)
+    assert world.run_until(lambda: all(len(list(s.records.of("k"))) == 8 for s in stations(world)), 90.0)
 
 
 def test_a_word_for_a_part_arrives_over_either_way_and_one_for_nobody_is_counted() -> None:
@@ -176,8 +176,8 @@
     a.out = [("a1", b"short"), ("a1", b"l" * 5000)]
     effects = one.said()
     assert [e.stream for e in effects if isinstance(e, Send)] == [False, True]
-    world.do(world.hosts["a0"], effects)
-    assert world.until(lambda: sorted(b.got) == [("a0", b"l" * 5000), ("a0", b"short")], 5.0)
+    world.apply_effects(world.hosts["a0"], effects)
+    assert world.run_until(lambda: sorted(b.got) == [("a0", b"l" * 5000), ("a0", b"short")], 5.0)
     two.receive(world.now, "a0", Carry("of another version", "a0", b""))
     assert two.counts["unknown_kind"] == 1
 
--- a/tests/transcripts.py
+++ b/tests/transcripts.py
@@ -13,7 +13,7 @@
 from brackenpulley.consensus.wire import Entry, decode
 from brackenpulley.members.protocol import Send
 from brackenpulley.members.wire import Carry
-from brackenpulley.simulation.world import START, Host, World
+from brackenpulley.simulation.world import START_SECONDS, Host, World
 
 LARGE = 1 << 40  # numbers beyond are drawn at random
 
@@ -65,6 +65,8 @@
             if isinstance(body, Carry):
                 body = decode(body.data).word
             way = "=>" if send.stream else "->"
-            self.say(f"{world.now - START:7.3f} {host.name} {way} {names.get(send.to, send.to)}  {self.word(body)}")
+            self.say(
+                f"{world.now - START_SECONDS:7.3f} {host.name} {way} {names.get(send.to, send.to)}  {self.word(body)}"
+            )
 
-        world.sent = sent
+        world.on_send = sent
