--- a/brackenpulley/simulation/voters.py
+++ b/brackenpulley/simulation/voters.py
@@ -119,7 +119,7 @@
         return None if host.process is None else host.process.parts[KIND]  # type: ignore[attr-defined]
 
     def list_running_nodes(self) -> list[tuple[Host, Node]]:
-        """Returns the voters that run and have not halted."""
+        """Returns the voters that run, suspended ones included, and have not halted."""
         found = []
         for host in self.world.hosts.values():
             part = self.find_agreement(host)
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -1,4 +1,4 @@
-"""Approved transcripts: one story each, compared with what was read line by line and approved (tests/approved/)."""
+"""Approval tests: each scenario renders a transcript and compares it with the reviewed one in tests/approved/."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from .test_platform import chunk
 from .transcripts import Transcript
 
-STILL = Links(Link(delay=0.01, jitter=0.0))
+STEADY_LINKS = Links(Link(delay=0.01, jitter=0.0))
 
 
-class Story(SingleFileSnapshotExtension):
-    """tests/approved/STORY.txt"""
+class ApprovedTranscript(SingleFileSnapshotExtension):
+    """Stores the transcript of a test as tests/approved/TEST_FUNCTION.txt."""
 
     _write_mode = WriteMode.TEXT
     file_extension = "txt"
@@ -46,125 +46,131 @@
 
 @pytest.fixture
 def approved(snapshot: SnapshotAssertion) -> SnapshotAssertion:
-    return snapshot.use_extension(Story)
+    return snapshot.use_extension(ApprovedTranscript)
 
 
-def cluster(seed: int, followers: int = 0) -> Cluster:
-    made = Cluster(seed, 3, followers, links=Links(Link(delay=0.01, jitter=0.0)), skew=0.0)
-    made.is_proposing = False
-    return made
+def make_cluster(seed: int, followers: int = 0) -> Cluster:
+    cluster = Cluster(seed, 3, followers, links=Links(Link(delay=0.01, jitter=0.0)), skew=0.0)
+    cluster.is_proposing = False
+    return cluster
 
 
-def ask(made: Cluster, name: str, body: bytes, told: Transcript) -> None:
-    host = made.world.find_host(name)
-    part = made.find_agreement(host)
-    assert part is not None
-    told.say(f"{made.world.now - START_SECONDS:7.3f} {name} proposes {body.decode()}")
-    part.propose(
-        made.world.now,
+def propose(cluster: Cluster, name: str, body: bytes, transcript: Transcript) -> None:
+    host = cluster.world.find_host(name)
+    agreement = cluster.find_agreement(host)
+    assert agreement is not None
+    transcript.add_line(f"{cluster.world.now - START_SECONDS:7.3f} {name} proposes {body.decode()}")
+    agreement.propose(
+        cluster.world.now,
         "register",
         body,
         9.0,
-        lambda outcome: told.say(
-            f"{made.world.now - START_SECONDS:7.3f} {name} is told {outcome.answer if outcome else 'nothing'}"
+        lambda outcome: transcript.add_line(
+            f"{cluster.world.now - START_SECONDS:7.3f} {name} is told {outcome.answer if outcome else 'nothing'}"
         ),
     )
-    made.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
+    cluster.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
 
 def test_three_founders_begin_a_log_and_a_follower_proposes(approved: SnapshotAssertion) -> None:
-    told, made = Transcript(), cluster(3, followers=1)
-    told.title("nobody has a disk with anything on it: each asks where the others are, the first one founds")
-    told.watch(made.world)
-    made.world.run(made.world.now + 0.1)
-    told.title("nobody has heard a leader for long enough: one asks beforehand, stands and leads")
-    assert made.world.run_until(lambda: bool(made.find_leader()) and made.observations.commit_index >= 2, 5.0)
-    told.title("the process without a vote proposes: its voter passes it on to the leader, and it sees it done")
-    ask(made, "f0", b"first", told)
-    assert made.world.run_until(lambda: "is told" in told.lines[-1], 3.0)
-    assert told.text() == approved
+    transcript, cluster = Transcript(), make_cluster(3, followers=1)
+    transcript.add_title("nobody has a disk with anything on it: each asks where the others are, the first one founds")
+    transcript.record_sends(cluster.world)
+    cluster.world.run(cluster.world.now + 0.1)
+    transcript.add_title("nobody has heard a leader for long enough: one asks beforehand, stands and leads")
+    assert cluster.world.run_until(lambda: bool(cluster.find_leader()) and cluster.observations.commit_index >= 2, 5.0)
+    transcript.add_title(
+        "the process without a vote proposes: its voter passes it on to the leader, and it sees it done"
+    )
+    propose(cluster, "f0", b"first", transcript)
+    assert cluster.world.run_until(lambda: "is told" in transcript.lines[-1], 3.0)
+    assert transcript.render() == approved
 
 
 def test_a_leader_dies_and_its_unfinished_entry_is_replaced(approved: SnapshotAssertion) -> None:
-    told, made = Transcript(), cluster(4)
-    world = made.world
-    assert world.run_until(lambda: bool(made.find_leader()) and made.observations.commit_index >= 2, 5.0)
+    transcript, cluster = Transcript(), make_cluster(4)
+    world = cluster.world
+    assert world.run_until(lambda: bool(cluster.find_leader()) and cluster.observations.commit_index >= 2, 5.0)
     world.run(world.now + 0.3)
-    first = made.find_leader()
-    told.title(f"{first} leads; it is cut off from both others with an entry that reaches nobody")
-    told.watch(world)
+    first = cluster.find_leader()
+    transcript.add_title(f"{first} leads; it is cut off from both others with an entry that reaches nobody")
+    transcript.record_sends(world)
     world.links.partition(
         {world.find_host(first).address},
-        {a for a in made.voter_addresses.values() if a != world.find_host(first).address},
+        {a for a in cluster.voter_addresses.values() if a != world.find_host(first).address},
     )
-    ask(made, first, b"unheard", told)
+    propose(cluster, first, b"unheard", transcript)
     world.run(world.now + 0.15)
-    told.title(f"{first} is killed; the others agree on the next one")
+    transcript.add_title(f"{first} is killed; the others agree on the next one")
     world.kill(world.find_host(first))
     world.links.heal()
-    assert world.run_until(lambda: made.find_leader() not in ("", first) and made.observations.commit_index >= 3, 6.0)
-    told.title(f"{first} comes back with its disk: what it alone held gives way")
+    assert world.run_until(
+        lambda: cluster.find_leader() not in ("", first) and cluster.observations.commit_index >= 3, 6.0
+    )
+    transcript.add_title(f"{first} comes back with its disk: what it alone held gives way")
     world.start(world.find_host(first))
     assert world.run_until(
-        lambda: made.has_converged() and made.find_agreement(world.find_host(first)).machine.index >= 3,  # type: ignore
+        lambda: cluster.has_converged() and cluster.find_agreement(world.find_host(first)).machine.index >= 3,  # type: ignore
         4.0,
     )
-    assert told.text() == approved
+    assert transcript.render() == approved
 
 
 def test_a_voter_whose_disk_is_lost_votes_again_once_a_leader_shows_it_all(approved: SnapshotAssertion) -> None:
-    told, made = Transcript(), cluster(5)
-    world = made.world
-    assert world.run_until(lambda: bool(made.find_leader()) and made.observations.commit_index >= 2, 5.0)
-    ask(made, made.find_leader(), b"kept", told)
+    transcript, cluster = Transcript(), make_cluster(5)
+    world = cluster.world
+    assert world.run_until(lambda: bool(cluster.find_leader()) and cluster.observations.commit_index >= 2, 5.0)
+    propose(cluster, cluster.find_leader(), b"kept", transcript)
     world.run(world.now + 0.5)
-    lost = next(name for name in made.voter_names if name != made.find_leader())
-    told.title(f"{made.find_leader()} leads; {lost} is killed and its disk is empty when it comes back")
+    lost = next(name for name in cluster.voter_names if name != cluster.find_leader())
+    transcript.add_title(f"{cluster.find_leader()} leads; {lost} is killed and its disk is empty when it comes back")
     world.kill(world.find_host(lost))
     world.find_host(lost).disk.wipe()
-    told.watch(world)
+    transcript.record_sends(world)
     world.start(world.find_host(lost))
 
-    def sure() -> bool:
-        return any(host.name == lost and node.proved for host, node in made.list_running_nodes())
+    def may_vote() -> bool:
+        return any(host.name == lost and node.proved for host, node in cluster.list_running_nodes())
 
-    assert world.run_until(sure, 4.0)
-    told.title(f"{lost} may vote again")
-    assert told.text() == approved
+    assert world.run_until(may_vote, 4.0)
+    transcript.add_title(f"{lost} may vote again")
+    assert transcript.render() == approved
 
 
 def test_members_find_each_other_and_one_dies(approved: SnapshotAssertion) -> None:
-    told, world = Transcript(), World(6, STILL)
-    quick = Timing(probe=0.5, answer=0.2, sync=99.0, rejoin=99.0)
+    transcript, world = Transcript(), World(6, STEADY_LINKS)
+    short_timing = Timing(probe=0.5, answer=0.2, sync=99.0, rejoin=99.0)
 
-    def make(host: Host) -> Station:
-        return Station(f"{host.name}@{host.incarnation}", host.address, random.Random(host.name), world.now, quick)
+    def make_station(host: Host) -> Station:
+        return Station(
+            f"{host.name}@{host.incarnation}", host.address, random.Random(host.name), world.now, short_timing
+        )
 
-    told.title("three join through the first")
+    transcript.add_title("three join through the first")
     for name in ("m0", "m1", "m2"):
-        world.add_host(name, f"a-{name}", make)
-    told.watch(world)
-    world.on_member_change = lambda host, change: told.say(
+        world.add_host(name, f"a-{name}", make_station)
+    transcript.record_sends(world)
+    world.on_member_change = lambda host, change: transcript.add_line(
         f"{world.now - START_SECONDS:7.3f} {host.name}: {change.id} is {change.state}"
     )
     for name in ("m1", "m2"):
         host = world.find_host(name)
         world.apply_effects(host, host.process.join(["a-m0"]))  # type: ignore[union-attr]
     world.run(world.now + 0.3)
-    told.title("m1 tells something of itself")
+    transcript.add_title("m1 tells something of itself")
     station = world.find_host("m1").process
     assert isinstance(station, Station)
     station.records.publish("load", "", b"7")
     world.apply_effects(world.find_host("m1"), station.said())
     world.run(world.now + 0.25)
-    told.title("m2 dies")
+    transcript.add_title("m2 dies")
     world.kill(world.find_host("m2"))
     world.run(world.now + 3.2)
-    assert told.text() == approved
+    assert transcript.render() == approved
 
 
-class Desk:
-    """The agreed state without agreement: each command is applied at once."""
+class UnreplicatedPermits:
+    """Stands in for the replicated permits: applies each command at once, without agreement."""
 
     def __init__(self) -> None:
         self.permits, self.now = Permits(), 1000.0
@@ -179,21 +185,23 @@
 
 
 def test_a_machine_goes_out_for_work_over_the_control_api(approved: SnapshotAssertion) -> None:
-    told, desk, routes = Transcript(), Desk(), Routes()
-    work_routes(routes, desk)
+    transcript, permits_service, routes = Transcript(), UnreplicatedPermits(), Routes()
+    work_routes(routes, permits_service)
 
     def call(method: str, path: str, body: Any = None) -> None:
         reply = routes.answer(method, path, json.dumps(body).encode() if body is not None else b"")
         assert not isinstance(reply, Later)
-        told.say(f"{method} {path} {json.dumps(body) if body is not None else ''}".rstrip())
-        told.say(f"  {reply.status} {reply.body.decode().rstrip()}")
+        transcript.add_line(f"{method} {path} {json.dumps(body) if body is not None else ''}".rstrip())
+        transcript.add_line(f"  {reply.status} {reply.body.decode().rstrip()}")
 
-    def step(after: float, carried: list[str]) -> None:
-        desk.now += after
-        answer = desk.permits.apply(desk.now, encode(Step(FACTS, BOUNDS, 5.0, 30.0, carried)))
-        told.say(f"-- {after:g} s later whoever leads steps: {json.dumps(answer)}")
+    def step(seconds: float, carrying_load: list[str]) -> None:
+        permits_service.now += seconds
+        answer = permits_service.permits.apply(
+            permits_service.now, encode(Step(FACTS, BOUNDS, 5.0, 30.0, carrying_load))
+        )
+        transcript.add_line(f"-- {seconds:g} s later whoever leads steps: {json.dumps(answer)}")
 
-    told.title("asked for, and what makes no sense")
+    transcript.add_title("asked for, and what makes no sense")
     call("POST", "/v1/work", {"id": "host-7", "by": "ann", "servers": ["s0"], "zone": "a"})
     call("POST", "/v1/work", {"id": "host-7", "by": "ann", "servers": ["s0"], "zone": "a"})
     call("POST", "/v1/work", {"id": "host-8", "by": "ann", "servers": ["s0"], "zone": "a"})
@@ -201,109 +209,109 @@
     call("POST", "/v1/work", {"id": "host-9", "by": "", "servers": ["s1"]})
     call("POST", "/v1/work", {"id": "host-9", "by": "ann", "servers": ["s1"], "hurry": True})
     call("GET", "/v1/work/host-9")
-    told.title("granted; one ingress has cleared it, the other has not")
+    transcript.add_title("granted; one ingress has cleared it, the other has not")
     step(1.0, [])
-    desk.permits.apply(desk.now, encode(Said("host-7", 1, "x", "x@1")))
+    permits_service.permits.apply(permits_service.now, encode(Said("host-7", 1, "x", "x@1")))
     call("GET", "/v1/work/host-7")
     call("POST", "/v1/work/host-7/begin", {"token": 1})
-    told.title("cleared by all: work begins, with its token alone")
-    desk.permits.apply(desk.now, encode(Said("host-7", 1, "y", "y@1")))
+    transcript.add_title("cleared by all: work begins, with its token alone")
+    permits_service.permits.apply(permits_service.now, encode(Said("host-7", 1, "y", "y@1")))
     call("POST", "/v1/work/host-7/begin", {"token": 0})
     call("POST", "/v1/work/host-7/begin", {"token": 1})
     call("POST", "/v1/work/host-7/withdraw", {"by": "ann"})
     call("POST", "/v1/work/host-7/finish", {"token": 1})
-    told.title("it carries load again")
+    transcript.add_title("it carries load again")
     step(9.0, ["host-7"])
     call("GET", "/v1/work/host-7")
-    told.title("the next one: an ingress says nothing, until an operator does")
+    transcript.add_title("the next one: an ingress says nothing, until an operator does")
     call("POST", "/v1/work", {"id": "host-8", "by": "bob", "servers": ["s1"], "zone": "b", "urgency": 3})
     step(1.0, [])
     step(31.0, [])
     call("GET", "/v1/work/host-8")
     call("POST", "/v1/work/host-8/override", {"by": "carla"})
     call("GET", "/v1/work/host-8")
-    assert told.text() == approved
+    assert transcript.render() == approved
 
 
 def test_discovery_is_listed_watched_and_asked_again_after_silence(approved: SnapshotAssertion) -> None:
-    told = Transcript()
-    scout = Rig()
-    source = Peer(scout)
-    scout.close()
-    with rig(discovery=source.address, known={}, seed="1") as r:
-        source.rig = r
+    transcript = Transcript()
+    address_rig = Rig()
+    source = Peer(address_rig)
+    address_rig.close()
+    with rig(discovery=source.address, known={}, seed="1") as daemon_rig:
+        source.rig = daemon_rig
         begin = 0.0
 
-        def heard(wire: Any) -> None:
+        def record_request(wire: Any) -> None:
             line = wire.read_until(b"\r\n").decode().splitlines()[0]
-            told.say(f"{r.daemon.clock() - begin if begin else 0:6.1f} ingress: {line}")
+            transcript.add_line(f"{daemon_rig.daemon.clock() - begin if begin else 0:6.1f} ingress: {line}")
 
-        def say(wire: Any, data: bytes, text: str) -> None:
-            told.say(f"{r.daemon.clock() - begin if begin else 0:6.1f} discovery: {text}")
+        def send(wire: Any, data: bytes, text: str) -> None:
+            transcript.add_line(f"{daemon_rig.daemon.clock() - begin if begin else 0:6.1f} discovery: {text}")
             wire.send(data)
 
         wire = source.accept()
-        heard(wire)
-        body = json.dumps(r.make_listing(), indent=1).encode()
-        say(wire, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body), "the whole list, indented")
+        record_request(wire)
+        body = json.dumps(daemon_rig.make_listing(), indent=1).encode()
+        send(wire, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body), "the whole list, indented")
         wire = source.accept()
-        heard(wire)
-        r.freeze_clock()
-        begin = r.daemon.clock()
-        change = {**r.make_listing(s_0="DRAINING"), "reset": False, "generation": 8}
-        say(wire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change), "s-0 drains, version 8")
-        r.run_until(lambda: not r.daemon.inventory.is_usable("s-0"))
-        told.say(f"{0:6.1f} ingress: uses s-0: {r.daemon.inventory.is_usable('s-0')}")
-        told.say("       discovery says nothing more")
+        record_request(wire)
+        daemon_rig.freeze_clock()
+        begin = daemon_rig.daemon.clock()
+        change = {**daemon_rig.make_listing(s_0="DRAINING"), "reset": False, "generation": 8}
+        send(wire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(change), "s-0 drains, version 8")
+        daemon_rig.run_until(lambda: not daemon_rig.daemon.inventory.is_usable("s-0"))
+        transcript.add_line(f"{0:6.1f} ingress: uses s-0: {daemon_rig.daemon.inventory.is_usable('s-0')}")
+        transcript.add_line("       discovery says nothing more")
         for _ in range(2):
-            call = None
-            while call is None:
-                r.step_clock(0.1)
-                call = source.try_accept()
-            heard(call)
-        say(
-            call,
+            poll_wire = None
+            while poll_wire is None:
+                daemon_rig.step_clock(0.1)
+                poll_wire = source.try_accept()
+            record_request(poll_wire)
+        send(
+            poll_wire,
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + chunk({**r.make_listing(), "reset": False, "generation": 9}),
+            + chunk({**daemon_rig.make_listing(), "reset": False, "generation": 9}),
             "s-0 serves, version 9",
         )
-        r.run_until(lambda: r.daemon.inventory.is_usable("s-0"))
-        told.say(f"       ingress: uses s-0: {r.daemon.inventory.is_usable('s-0')}")
-    assert told.text() == approved
+        daemon_rig.run_until(lambda: daemon_rig.daemon.inventory.is_usable("s-0"))
+        transcript.add_line(f"       ingress: uses s-0: {daemon_rig.daemon.inventory.is_usable('s-0')}")
+    assert transcript.render() == approved
 
 
 def test_the_counter_is_asked_and_fails_in_each_way(approved: SnapshotAssertion) -> None:
-    told = Transcript()
-    with rig(counter=True) as r:
-        ends: list[str] = []
-        client = r.daemon.counter
+    transcript = Transcript()
+    with rig(counter=True) as daemon_rig:
+        outcomes: list[str] = []
+        client = daemon_rig.daemon.counter
         assert client is not None
-        client.on_event = lambda event: ends.append(f"{event.status} {event.total:g}")
+        client.on_event = lambda event: outcomes.append(f"{event.status} {event.total:g}")
 
-        def asked(name: int, amount: float) -> None:
-            told.say("ingress: " + counter_call(name, amount, 4.0).decode().replace("\r\n", " "))
+        def add(name: int, amount: float) -> None:
+            transcript.add_line("ingress: " + counter_call(name, amount, 4.0).decode().replace("\r\n", " "))
             client.add(name, amount, 4.0)  # type: ignore[union-attr]
 
-        def heard(count: int, said: str) -> None:
-            r.run_until(lambda: len(ends) == count)
-            told.say(f"  {said}: {', '.join(ends[-1:])}")
+        def expect_outcome(count: int, cause: str) -> None:
+            daemon_rig.run_until(lambda: len(outcomes) == count)
+            transcript.add_line(f"  {cause}: {', '.join(outcomes[-1:])}")
 
-        asked(5, 1.5)
-        wire = r.counter.accept()
+        add(5, 1.5)
+        wire = daemon_rig.counter.accept()
         wire.read_until(b"4000\r\n")
         wire.send(b"$3\r\n1.5\r\n")
-        heard(1, "counter: 1.5")
+        expect_outcome(1, "counter: 1.5")
         for reply in (b"-BUSY\r\n", b"-ERR no\r\n"):
-            asked(6, 2)
+            add(6, 2)
             wire.read_until(b"4000\r\n")
             wire.send(reply)
-            heard(len(ends) + 1, f"counter: {reply.decode().strip()}")
-        asked(7, 1)
+            expect_outcome(len(outcomes) + 1, f"counter: {reply.decode().strip()}")
+        add(7, 1)
         wire.read_until(b"4000\r\n")
-        r.advance_clock(0.04)
-        heard(4, "counter says nothing in time")
-        asked(8, 1)
+        daemon_rig.advance_clock(0.04)
+        expect_outcome(4, "counter says nothing in time")
+        add(8, 1)
         wire.read_until(b"4000\r\n")
         wire.reset()
-        heard(5, "the connection breaks after the last byte")
-    assert told.text() == approved
+        expect_outcome(5, "the connection breaks after the last byte")
+    assert transcript.render() == approved
