--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -110,28 +110,28 @@
 
 
 def station(host: Host, seeds: list[str], world: World) -> Station:
-    return Station(f"{host.name}@{host.life}", host.address, random.Random(world.rng.random()), world.now, QUICK)
+    return Station(f"{host.name}@{host.incarnation}", host.address, random.Random(world.rng.random()), world.now, QUICK)
 
 
 def fleet(size: int, seed: int, link: Link) -> World:
     world = World(seed, Links(link))
     for n in range(size):
-        host = world.add(f"m{n}", f"a{n}", lambda host: station(host, [], world))
-        world.do(host, host.driven.join(["a0"]))  # type: ignore[union-attr]
+        host = world.add_host(f"m{n}", f"a{n}", lambda host: station(host, [], world))
+        world.apply_effects(host, host.process.join(["a0"]))  # type: ignore[union-attr]
     return world
 
 
 def stations(world: World) -> list[Station]:
-    return [host.driven for host in world.hosts.values() if isinstance(host.driven, Station)]
+    return [host.process for host in world.hosts.values() if isinstance(host.process, Station)]
 
 
 def test_a_change_reaches_all_members_at_a_fifth_of_datagrams_lost() -> None:
-    world = fleet(30, 2, Link(loss=0.2, double=0.1))
-    assert world.until(lambda: all(s.protocol.size == 30 for s in stations(world)), 30.0)
+    world = fleet(30, 2, Link(loss=0.2, duplication=0.1))
+    assert world.run_until(lambda: all(s.protocol.size == 30 for s in stations(world)), 30.0)
     for n, one in enumerate(stations(world)):
         one.records.publish("load", "x", str(n).encode())
     for host in world.hosts.values():
-        world.do(host, host.driven.said())  # type: ignore[union-attr]
+        world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
     def have_received(value: bytes) -> bool:
         return all(
@@ -139,23 +139,23 @@
             for s in stations(world)
         )
 
-    assert world.until(lambda: have_received(b"3"), 30.0)
+    assert world.run_until(lambda: have_received(b"3"), 30.0)
     stations(world)[3].records.publish("load", "x", b"news")
-    assert world.until(lambda: have_received(b"news"), 10.0)
+    assert world.run_until(lambda: have_received(b"news"), 10.0)
 
 
 def test_a_full_exchange_merges_records_after_a_partition() -> None:
     world = fleet(8, 3, Link())
-    assert world.until(lambda: all(s.protocol.size == 8 for s in stations(world)), 20.0)
+    assert world.run_until(lambda: all(s.protocol.size == 8 for s in stations(world)), 20.0)
     sides = {f"a{n}" for n in range(4)}, {f"a{n}" for n in range(4, 8)}
-    world.links.part(*sides)
+    world.links.partition(*sides)
     world.run(world.now + 25.0)
     for one in stations(world):
         one.records.publish("k", "x", one.id.encode())
     world.run(world.now + 20.0)  # long enough for each side to have used up its gossip sends
     assert all(len(list(s.records.iter_kind("k"))) == 4 for s in stations(world))
     world.links.heal()
-    assert world.until(lambda: all(len(list(s.records.iter_kind("k"))) == 8 for s in stations(world)), 90.0)
+    assert world.run_until(lambda: all(len(list(s.records.iter_kind("k"))) == 8 for s in stations(world)), 90.0)
 
 
 def test_a_payload_arrives_by_datagram_or_stream_and_an_unknown_kind_is_counted() -> None:
@@ -185,8 +185,8 @@
     first_echo.pending = [("a1", b"short"), ("a1", b"l" * 5000)]
     effects = first.said()
     assert [e.stream for e in effects if isinstance(e, Send)] == [False, True]
-    world.do(world.hosts["a0"], effects)
-    assert world.until(lambda: sorted(second_echo.received) == [("a0", b"l" * 5000), ("a0", b"short")], 5.0)
+    world.apply_effects(world.hosts["a0"], effects)
+    assert world.run_until(lambda: sorted(second_echo.received) == [("a0", b"l" * 5000), ("a0", b"short")], 5.0)
     second.receive(world.now, "a0", Carry("of another version", "a0", b""))
     assert second.counts["unknown_kind"] == 1
 
