--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -22,11 +22,11 @@
 import msgspec
 
 from brackenpulley.consensus import raft
-from brackenpulley.consensus.agreement import COMPACT, Agreement
+from brackenpulley.consensus.agreement import COMPACTION_ENTRIES, Agreement
 from brackenpulley.consensus.feed import Follower
-from brackenpulley.consensus.machine import Machine
-from brackenpulley.consensus.raft import FOLLOWER, LEADER, Kept, Node, Store
-from brackenpulley.consensus.wire import Between, Config, Entry, Snapshot, decode, encode
+from brackenpulley.consensus.machine import StateMachine
+from brackenpulley.consensus.raft import FOLLOWER, LEADER, PersistentState, Node, Persist
+from brackenpulley.consensus.wire import AddressedPayload, Config, Entry, Snapshot, decode, encode
 from brackenpulley.maintenance.order import Bounds, Facts, Server
 from brackenpulley.maintenance.permits import (
     Ask,
@@ -54,11 +54,14 @@
 # Planted faults: single changes, each as (of what, name of the member, what stands in its place).
 
 
-def _vote_forgotten(self: Disk, step: Store) -> bool:
-    return _store(self, raft.Store(step.term, "", step.unsure, step.floor, step.first, step.entries, step.snapshot))
+def _vote_forgotten(self: Disk, step: Persist) -> bool:
+    return _store(
+        self,
+        raft.Persist(step.term, "", step.is_unverified, step.log_floor, step.first_index, step.entries, step.snapshot),
+    )
 
 
-def _answered_before_sync(self: Disk, step: Store) -> bool:
+def _answered_before_sync(self: Disk, step: Persist) -> bool:
     """What is written now reaches the disk with the next step: a crash loses the last one."""
     late = _LATE.setdefault(id(self), [])
     late.append(step)
@@ -67,13 +70,14 @@
     return True
 
 
-_LATE: dict[int, list[Store]] = {}
+_LATE: dict[int, list[Persist]] = {}
 _store = Disk.store
 
 
 def _commit_of_older_term(self: Node) -> None:
     matches = sorted(
-        (self.last if name == self.name else self.peers[name].match for name in self.config.voters), reverse=True
+        (self.last_index if name == self.name else self.peers[name].match_index for name in self.config.voters),
+        reverse=True,
     )
     self._commit_to(max(self.commit, matches[self.config.majority - 1]))
 
@@ -81,14 +85,14 @@
 def _kept_conflicts(self: Node, entries: list[Entry]) -> None:
     """What conflicts stays; only what is beyond the end is added."""
     for entry in entries:
-        if entry.index == self.last + 1:
-            self._first = self._first or entry.index
+        if entry.index == self.last_index + 1:
+            self._first_unsaved = self._first_unsaved or entry.index
             self.entries.append(entry)
             self._note_config(entry)
 
 
 def _old_reading(self: Node, now: float) -> bool:
-    return self.role == LEADER and not self.halted and self.commit >= self._opened
+    return self.role == LEADER and not self.is_halted and self.commit >= self._term_start_index
 
 
 def _sure_at_once(self: Node) -> bool:
@@ -96,7 +100,7 @@
 
 
 def _gap_taken(self: Follower, now: float, source: str, word: Any) -> tuple[Any, Any]:
-    self.heard = now
+    self.heard_at = now
     self.commit, self.leader = max(self.commit, word.commit), word.leader
     snapshot = word.snapshot if word.snapshot is not None and word.snapshot.index > self.index else None
     fresh = [entry for entry in word.entries if entry.index > self.index]
@@ -105,18 +109,18 @@
     if fresh:
         self.index = fresh[-1].index
     return snapshot, [
-        Entry(self.index - len(fresh) + 1 + at, e.term, e.kind, e.data, e.at) for at, e in enumerate(fresh)
+        Entry(self.index - len(fresh) + 1 + at, e.term, e.kind, e.data, e.timestamp) for at, e in enumerate(fresh)
     ]
 
 
-def _done_again(self: Machine, entry: Entry) -> Any:
-    self._done.clear()
+def _done_again(self: StateMachine, entry: Entry) -> Any:
+    self._answers.clear()
     return _apply(self, entry)
 
 
-def _askers_forgotten(self: Machine, snapshot: Snapshot) -> None:
+def _askers_forgotten(self: StateMachine, snapshot: Snapshot) -> None:
     _restore(self, snapshot)
-    self._done.clear()
+    self._answers.clear()
 
 
 def _half(self: Config) -> int:
@@ -125,7 +129,7 @@
 
 def _cleared_by_one(self: Node, source: str, peer: raft.Progress) -> None:
     if peer.nonce:
-        peer.cleared = peer.nonce
+        peer.verified_nonce = peer.nonce
 
 
 def _told_before_committed(self: Agreement, entries: Any) -> None:
@@ -137,22 +141,22 @@
         _apply_all(self, ahead)
 
 
-_apply, _restore, _apply_all = Machine.apply, Machine.restore, Agreement._apply
+_apply, _restore, _apply_all = StateMachine.apply, StateMachine.restore, Agreement._apply_entries
 
 PLANTS: dict[str, tuple[Any, str, Any]] = {
     "vote_forgotten": (Disk, "store", _vote_forgotten),
     "answered_before_sync": (Disk, "store", _answered_before_sync),
-    "log_not_compared": (Node, "_behind", lambda self, term, index: False),
-    "commit_of_older_term": (Node, "_advance", _commit_of_older_term),
-    "conflicts_kept": (Node, "_replace", _kept_conflicts),
-    "stale_leader_reads": (Node, "current", _old_reading),
-    "votes_while_unsure": (Node, "proved", property(_sure_at_once)),
-    "gap_taken": (Follower, "told", _gap_taken),
-    "done_again": (Machine, "apply", _done_again),
-    "askers_forgotten": (Machine, "restore", _askers_forgotten),
+    "log_not_compared": (Node, "_is_log_behind", lambda self, term, index: False),
+    "commit_of_older_term": (Node, "_advance_commit", _commit_of_older_term),
+    "conflicts_kept": (Node, "_replace_suffix", _kept_conflicts),
+    "stale_leader_reads": (Node, "is_current", _old_reading),
+    "votes_while_unsure": (Node, "is_verified", property(_sure_at_once)),
+    "gap_taken": (Follower, "receive", _gap_taken),
+    "done_again": (StateMachine, "apply", _done_again),
+    "askers_forgotten": (StateMachine, "restore", _askers_forgotten),
     "half_is_enough": (Config, "majority", property(_half)),
-    "votes_under_a_lease": (Node, "_led", lambda self: False),
-    "told_before_committed": (Agreement, "_apply", _told_before_committed),
+    "votes_under_a_lease": (Node, "_has_live_leader", lambda self: False),
+    "told_before_committed": (Agreement, "_apply_entries", _told_before_committed),
 }
 
 
@@ -248,7 +252,7 @@
     """Snapshots every few entries."""
     import brackenpulley.consensus.agreement as agreement
 
-    agreement.COMPACT = 20
+    agreement.COMPACTION_ENTRIES = 20
 
 
 def _seed(seed: int) -> dict[str, Any]:
@@ -257,7 +261,7 @@
     try:
         ran = one(seed)
     finally:
-        agreement.COMPACT = COMPACT
+        agreement.COMPACTION_ENTRIES = COMPACTION_ENTRIES
     return {
         "seed": seed,
         "events": ran.events,
@@ -333,8 +337,8 @@
     __slots__ = ("nodes", "disks", "sent", "committed", "crashes", "asked")
 
     def __init__(self) -> None:
-        self.nodes = {name: Node(name, Kept(1, "-", snapshot=FIRST), Still(), 0.0) for name in NAMES}  # type: ignore[arg-type]
-        self.disks = {name: Disk(Kept(1, "-", snapshot=FIRST)) for name in NAMES}
+        self.nodes = {name: Node(name, PersistentState(1, "-", snapshot=FIRST), Still(), 0.0) for name in NAMES}  # type: ignore[arg-type]
+        self.disks = {name: Disk(PersistentState(1, "-", snapshot=FIRST)) for name in NAMES}
         self.sent: frozenset[Sent] = frozenset()
         self.committed: tuple[tuple[int, int], ...] = ()  # (index, term)
         self.crashes = self.asked = 0
@@ -346,23 +350,25 @@
         old, node = self.nodes[name], Node.__new__(Node)
         node.__dict__.update(old.__dict__)
         node.entries, node.votes, node._configs = list(old.entries), set(old.votes), list(old._configs)
-        node.peers = {peer: raft.Progress(p.next, p.match, 0.0) for peer, p in old.peers.items()}
-        node.counts, node._out = {}, []
+        node.peers = {peer: raft.Progress(p.next_index, p.match_index, 0.0) for peer, p in old.peers.items()}
+        node.counts, node._pending_effects = {}, []
         disk = self.disks[name].kept
         made.nodes[name] = node
-        made.disks[name] = Disk(Kept(disk.term, disk.vote, False, (0, 0), disk.snapshot, list(disk.entries)), 1, 1)
+        made.disks[name] = Disk(
+            PersistentState(disk.term, disk.vote, False, (0, 0), disk.snapshot, list(disk.entries)), 1, 1
+        )
         made.sent, made.committed, made.crashes, made.asked = self.sent, self.committed, self.crashes, self.asked
-        node._round, node._round_at, node._heard = 0, {}, -9.0  # time stands: no lease protects anybody
+        node._round, node._round_sent_at, node._leader_heard_at = 0, {}, -9.0  # time stands: no lease protects anybody
         return made
 
     def do(self, name: str, effects: list[raft.Effect]) -> str:
         """Done in order; what must not be is told."""
         node = self.nodes[name]
         for effect in effects:
-            if isinstance(effect, Store):
+            if isinstance(effect, Persist):
                 self.disks[name].store(effect)
             elif isinstance(effect, raft.Send):
-                self.sent |= {(name, effect.to, encode(Between(name, effect.to, effect.word)))}
+                self.sent |= {(name, effect.to, encode(AddressedPayload(name, effect.to, effect.payload)))}
             elif isinstance(effect, raft.Apply):
                 known = dict(self.committed)
                 for entry in effect.entries:
@@ -391,7 +397,7 @@
                     n.leader,
                     frozenset(n.votes),
                     tuple((e.term, e.kind) for e in n.entries),
-                    tuple((p, n.peers[p].next, n.peers[p].match) for p in sorted(n.peers)),
+                    tuple((p, n.peers[p].next_index, n.peers[p].match_index) for p in sorted(n.peers)),
                     d.term,
                     d.vote,
                     tuple((e.term, e.kind) for e in d.entries),
@@ -406,15 +412,15 @@
 def steps(model: Model, terms: int, crashes: int, commands: int, beats: bool) -> Iterator[Move]:
     for name, node in model.nodes.items():
         if node.role != LEADER and node.term < terms:
-            yield name, f"{name} stands", lambda n: (n._campaign(), n._effects())[1]
+            yield name, f"{name} stands", lambda n: (n._start_election(), n._take_effects())[1]
         if node.role == LEADER and model.asked < commands:
             yield name, f"{name} adds", lambda n: n.propose(0.0, b"x")[1]
         if node.role == LEADER and beats:
-            yield name, f"{name} beats", lambda n: (n._spread(all_of_them=True), n._effects())[1]
+            yield name, f"{name} beats", lambda n: (n._replicate(include_current=True), n._take_effects())[1]
         if model.crashes < crashes and (node.role != FOLLOWER or node.entries or node.term > 1):
             yield name, f"{name} crashes", lambda n: None
     for source, to, data in model.sent:
-        word = decode(data).word
+        word = decode(data).payload
         yield to, f"{to} gets {word}", lambda n, source=source, word=word: n.receive(0.0, source, word)  # type: ignore
 
 
@@ -548,8 +554,8 @@
 def figure_8() -> str:
     """Ongaro and Ousterhout's figure 8 at three voters, an entry a message: an entry of an older term is held by a
     majority, and its leader may not count it. What broke, or ""."""
-    names, before = list(NAMES), Node.after.__defaults__
-    nodes = {name: Node(name, Kept(1, "-", snapshot=FIRST), Still(), 0.0) for name in names}  # type: ignore[arg-type]
+    names, before = list(NAMES), Node.entries_after.__defaults__
+    nodes = {name: Node(name, PersistentState(1, "-", snapshot=FIRST), Still(), 0.0) for name in names}  # type: ignore[arg-type]
     committed: dict[int, int] = {}
     wrong = ""
 
@@ -560,7 +566,7 @@
                 for entry in effect.entries:
                     if committed.setdefault(entry.index, entry.term) != entry.term:
                         wrong = f"{name} commits term {entry.term} at {entry.index}, not {committed[entry.index]}"
-        return [(effect.to, effect.word) for effect in effects if isinstance(effect, raft.Send)]
+        return [(effect.to, effect.payload) for effect in effects if isinstance(effect, raft.Send)]
 
     def between(source: str, to: str, sent: list[tuple[str, Any]], words: int) -> None:
         """So many words of what was sent to that one, with the answers."""
@@ -571,27 +577,29 @@
 
     def stand(name: str, voter: str) -> list[tuple[str, Any]]:
         for node in nodes.values():
-            node._heard = -9.0
+            node._leader_heard_at = -9.0
         node, asked = nodes[name], nodes[voter]
-        node._campaign()
-        votes = [word for whom, word in do(name, node._effects()) if whom == voter]
+        node._start_election()
+        votes = [word for whom, word in do(name, node._take_effects()) if whom == voter]
         answers = [word for vote in votes for whom, word in do(voter, asked.receive(0.0, name, vote))]
         return [pair for answer in answers for pair in do(name, node.receive(0.0, voter, answer))]
 
-    Node.after.__defaults__ = (1,)
+    Node.entries_after.__defaults__ = (1,)
     try:
         stand("a", "b")  # its first entry reaches nobody
         nodes["c"].term = nodes["a"].term
         stand("c", "b")  # the same, a term later
-        nodes["a"].receive(0.0, "c", raft.Appended(nodes["c"].term, False, 0, 0, 1))
+        nodes["a"].receive(0.0, "c", raft.AppendReply(nodes["c"].term, False, 0, 0, 1))
         between("a", "b", stand("a", "b"), 2)  # its entry of the older term is with two of three now
-        nodes["c"].receive(0.0, "a", raft.Appended(nodes["a"].term, False, 0, 0, 1))
+        nodes["c"].receive(0.0, "a", raft.AppendReply(nodes["a"].term, False, 0, 0, 1))
         for voter in ("b", "a"):
             between("c", voter, stand("c", voter), 3)
             if nodes["c"].role == LEADER:
-                between("c", voter, do("c", (nodes["c"]._spread(all_of_them=True), nodes["c"]._effects())[1]), 3)
+                between(
+                    "c", voter, do("c", (nodes["c"]._replicate(include_current=True), nodes["c"]._take_effects())[1]), 3
+                )
     finally:
-        Node.after.__defaults__ = before
+        Node.entries_after.__defaults__ = before
     return wrong
 
 
--- a/benchmarks/capacity/kinds/agreed.py
+++ b/benchmarks/capacity/kinds/agreed.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import Any
 
-from brackenpulley.consensus.machine import Command, Machine, encode
+from brackenpulley.consensus.machine import Command, StateMachine, encode
 from brackenpulley.consensus.wire import Entry, Snapshot
 from brackenpulley.maintenance.permits import Enter, Permits
 from brackenpulley.maintenance.permits import encode as pack
@@ -79,8 +79,8 @@
 def snapshot(askers: int) -> dict[str, float]:
     """Each ingress has entered and asked 32 times: what the machine remembers of it, and its place in the roster."""
 
-    def make() -> Machine:
-        machine = Machine({"permits": Permits()})
+    def make() -> StateMachine:
+        machine = StateMachine({"permits": Permits()})
         index = 0
         for n in range(askers):
             for number in range(32):
@@ -105,7 +105,7 @@
 
     kept, _, machine = memory(make)
     data = machine.dump()
-    fresh = Machine({"permits": Permits()})
+    fresh = StateMachine({"permits": Permits()})
     return {
         "memory": kept / 1e6,
         "bytes": len(data),
@@ -116,7 +116,7 @@
 
 def entry(askers: int) -> float:
     """us of one command applied, with so many askers remembered."""
-    machine = Machine({"register": Register()})
+    machine = StateMachine({"register": Register()})
     entries = [
         Entry(n + 1, 1, "op", encode(Command(f"i{n % askers}", n + 1, "register", b"x" * BODY)), 1000.0)
         for n in range(2 * askers + 500)
--- a/benchmarks/capacity/kinds/shares.py
+++ b/benchmarks/capacity/kinds/shares.py
@@ -44,7 +44,7 @@
 class Agreed:
     """Stands for the log: nothing is proposed."""
 
-    id, leads = "ingress-0@1764651600000", False
+    id, is_leader = "ingress-0@1764651600000", False
 
     def propose(self, *told: Any) -> bool:
         return False
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -31,7 +31,7 @@
 from brackenpulley.configuration.rules import Change, ChangeError, Content, check, encoded
 from brackenpulley.configuration.wire import WireError, pack, pack_change, seal, unpack, unseal
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import Machine, Outcome
+from brackenpulley.consensus.machine import StateMachine, Outcome
 from brackenpulley.consensus.wire import Entry
 from brackenpulley.plans.book import Figures
 from brackenpulley.simulation.faults import Faults
@@ -70,7 +70,7 @@
         self.force: dict[str, InForce] = {}
         self.copies: dict[str, list[bytes]] = {}  # the file of a host, newest last
         self.lives: dict[str, int] = {}
-        self.reference = Machine({"register": Register(), PART: Revisions(FLEET)})
+        self.reference = StateMachine({"register": Register(), PART: Revisions(FLEET)})
         self.marks: dict[int, bytes] = {0: b""}  # by number, as first agreed
         self.contents: dict[bytes, bytes] = {b"": pack(Content())}
         self.answers: dict[int, bytes] = {}  # numbers told as taken, with the change
@@ -84,7 +84,7 @@
     def _make(self, host: Host) -> Bare:
         register, log = Register(), Revisions(FLEET)
 
-        def machine() -> Machine:
+        def machine() -> StateMachine:
             self.registers[host.name], self.logs[host.name] = register, log
             return self._machine({"register": register, PART: log})
 
@@ -98,8 +98,8 @@
             host.disk if host.name.startswith("v") else None,
             self.timing,
         )
-        part.applied = lambda entry: self._entry(host, part, entry, register)
-        part.restored = lambda: self._snapshot(host, part, register)
+        part.on_applied = lambda entry: self._entry(host, part, entry, register)
+        part.on_restored = lambda: self._snapshot(host, part, register)
         self.force[host.name] = InForce(host.clock(self.world.now))
         self._own_copy(host)
         life = host.life
@@ -297,7 +297,10 @@
     """One run with faults drawn from the seed; at the end all is well, and then all must have the last revision."""
     import brackenpulley.consensus.agreement as agreement
 
-    compact, agreement.COMPACT = agreement.COMPACT, 15 if seed % 2 else agreement.COMPACT
+    compact, agreement.COMPACTION_ENTRIES = (
+        agreement.COMPACTION_ENTRIES,
+        15 if seed % 2 else agreement.COMPACTION_ENTRIES,
+    )
     fleet, broken = Fleet(seed), ""
     world = fleet.world
     try:
@@ -326,7 +329,7 @@
     except AssertionError as error:
         broken = f"assertion: {error}"
     finally:
-        agreement.COMPACT = compact
+        agreement.COMPACTION_ENTRIES = compact
     refused: dict[str, int] = {}
     log = fleet.reference.parts[PART]
     assert isinstance(log, Revisions)
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -15,8 +15,8 @@
 from brackenpulley.configuration.rules import Change
 from brackenpulley.configuration.wire import pack, pack_change, seal
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import Machine, Outcome
-from brackenpulley.consensus.wire import Between, Config, Snapshot, Told
+from brackenpulley.consensus.machine import StateMachine, Outcome
+from brackenpulley.consensus.wire import AddressedPayload, Config, Snapshot, LogUpdate
 from brackenpulley.consensus.wire import encode as encode_word
 from brackenpulley.members.protocol import Send
 from brackenpulley.members.wire import Carry
@@ -88,7 +88,7 @@
             f"{host.name}@{host.life}",
             host.name,
             self.seats,
-            lambda: Machine({PART: log}),
+            lambda: StateMachine({PART: log}),
             random.Random(self.rng.random()),
             self.world.now,
             host.disk if host.name in self.seats else None,
@@ -105,7 +105,7 @@
             self.snapshots += 1
             look()
 
-        part.applied, part.restored = lambda entry: look(), told
+        part.on_applied, part.on_restored = lambda entry: look(), told
         life = host.life
 
         def tick() -> None:
@@ -275,9 +275,9 @@
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - begin
     tracemalloc.stop()
-    whole = Machine({PART: log})
+    whole = StateMachine({PART: log})
     dumped = whole.dump()
-    told = encode_word(Between("v0", "f0@1", Told(1, [], Snapshot(1, 1, Config({}), dumped))))
+    told = encode_word(AddressedPayload("v0", "f0@1", LogUpdate(1, [], Snapshot(1, 1, Config({}), dumped))))
     other = Revisions(FLEET)
     dump = log.dump()
     restore = took(lambda: other.load(dump))
@@ -321,7 +321,7 @@
     difference. Those that followed meanwhile are told nothing more than the changes."""
     import brackenpulley.consensus.agreement as agreement
 
-    compact, agreement.COMPACT = agreement.COMPACT, 10
+    compact, agreement.COMPACTION_ENTRIES = agreement.COMPACTION_ENTRIES, 10
     try:
         fleet = Regions(size, 1)
         world, rng = fleet.world, random.Random(1)
@@ -366,4 +366,4 @@
             "wrong": [] if done else ["not all caught up"],
         }
     finally:
-        agreement.COMPACT = compact
+        agreement.COMPACTION_ENTRIES = compact
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -197,7 +197,7 @@
 
         agreement = one.daemon.agreement
         agreement.agreement.propose(self.loop.clock(), "scale", b"", 10.0, done)
-        agreement.said()
+        agreement.send_pending()
         return True
 
     def ask_hear(self) -> bool:
--- a/brackenpulley/configuration/force.py
+++ b/brackenpulley/configuration/force.py
@@ -37,12 +37,14 @@
 def log_here(agreement: Agreement, now: float) -> Here:
     node, follower = agreement.node, agreement.follower
     if node is not None:
-        led = not node.halted and node.leader != ""
-        return Here(not node.halted and agreement.machine.index >= node.commit, now if led else -inf, led)
+        led = not node.is_halted and node.leader != ""
+        return Here(not node.is_halted and agreement.machine.index >= node.commit, now if led else -inf, led)
     if follower is None:
         return Here(False)
     return Here(
-        follower.heard > -inf and agreement.machine.index >= follower.commit, follower.led, now - follower.led < LED
+        follower.heard_at > -inf and agreement.machine.index >= follower.commit,
+        follower.leader_heard_at,
+        now - follower.leader_heard_at < LED,
     )
 
 
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -83,8 +83,8 @@
         assert agreement is not None and station is not None
         self._going = True
         self._own_copy()
-        agreement.applied = lambda entry: self._look()
-        agreement.restored = self._look
+        agreement.on_applied = lambda entry: self._look()
+        agreement.on_restored = self._look
         station.records.heard.setdefault(KIND, []).append(self._heard)
         self._tick()
 
@@ -233,7 +233,7 @@
 
         if not agreement.propose(self.loop.clock(), PART, pack_change(change, self.fleet), patience, over):
             done({"error": "too many calls at once", "field": "base"})
-        self.agreement.said()
+        self.agreement.send_pending()
 
     def _check_here(self, change: Change) -> None:
         """What contradicts this process's own settings, as those of the fleet are alike."""
--- a/brackenpulley/consensus/raft.py
+++ b/brackenpulley/consensus/raft.py
@@ -18,16 +18,16 @@
     proved  | the seal says that the disk is as left  |
     unsure  | no seal, or one of another disk or boot | a leader that a majority without this voter confirmed after the
             |                                         | question, once all that it held then is here; or without one,
-            |                                         | the word of every other voter
+            |                                         | the payload of every other voter
     fresh   | the disk holds nothing                  | such a leader; or no founder is beyond the first configuration
 
 Why that is enough: what a lost or older disk has forgotten are votes and what it said it held. A leader confirmed by a
 majority without this voter has a term at least that of any that this voter voted in or answered to, and holds whatever
-was committed by its word; its own answers from now on are true again. The word of all the others gives the term (and
+was committed by its payload; its own answers from now on are true again. The payload of all the others gives the term (and
 no vote in it) and how long a log a candidate must have, provided that not two disks are older at once. More of this in
 docs/design/consensus.md.
 
-What goes out is in the order in which it has to be done: first `Store`, synced, then all that rests on it. Where
+What goes out is in the order in which it has to be done: first `Persist`, synced, then all that rests on it. StateQuery
 storing fails the voter is `halted`: what it thinks is ahead of its disk, so it says nothing until made anew from it."""
 
 from __future__ import annotations
@@ -37,63 +37,63 @@
 from math import inf
 
 from .wire import (
-    Append,
-    Appended,
-    AskVote,
+    AppendEntries,
+    AppendReply,
+    Bootstrap,
     Config,
     Entry,
-    Found,
-    Here,
-    Install,
-    Message,
-    Now,
-    Seats,
+    InstallSnapshot,
+    RaftMessage,
+    RequestVote,
     Snapshot,
-    Vote,
-    Where,
+    StateQuery,
+    StateReply,
+    TimeoutNow,
+    VoterAddresses,
+    VoteReply,
     pack_config,
     unpack_config,
 )
 
-FOLLOWER, ASKING, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
-NOBODY = "-"  # a vote that can't be given any more
-UNKNOWN, NEVER = -1, -2  # terms: of an entry that is not here, and one that no entry has
-BATCH, BATCH_BYTES = 64, 60_000  # entries of one message
-ROUNDS = 256  # that a leader remembers the time of
-INSTALL_AGAIN = 1.0  # s between two tries to send a snapshot
-PERSIST = 3  # beats between two questions of a voter that is unsure
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
+VOTE_SPENT = "-"  # a vote that can't be given any more
+UNKNOWN_TERM, IMPOSSIBLE_TERM = -1, -2  # terms: of an entry that is not here, and one that no entry has
+MAX_BATCH_ENTRIES, MAX_BATCH_BYTES = 64, 60_000  # entries of one message
+MAX_TRACKED_ROUNDS = 256  # that a leader remembers the time of
+INSTALL_RETRY_SECONDS = 1.0  # s between two tries to send a snapshot
+QUERY_INTERVAL_HEARTBEATS = 3  # beats between two questions of a voter that is unsure
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
     """Seconds. `drift`: part of `election` by which clocks may differ over that time."""
 
-    beat: float = 0.2
-    election: float = 1.0  # without a leader's word, to twice as long
-    drift: float = 0.1
+    heartbeat: float = 0.2
+    election_timeout: float = 1.0  # without a leader's payload, to twice as long
+    clock_drift: float = 0.1
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """What the disk holds. `unsure` and `floor` outlive a restart: nothing was proved by it."""
 
     term: int = 0
     vote: str = ""
-    unsure: bool = False
-    floor: tuple[int, int] = (0, 0)
+    is_unverified: bool = False
+    log_floor: tuple[int, int] = (0, 0)
     snapshot: Snapshot = Snapshot()
     entries: list[Entry] = field(default_factory=list)  # those after the snapshot, without a gap
 
 
 @dataclass(slots=True, frozen=True)
-class Store:
+class Persist:
     """To be on disk before anything that stands behind it: entries from `first` on are replaced by these."""
 
     term: int
     vote: str
-    unsure: bool
-    floor: tuple[int, int]
-    first: int
+    is_unverified: bool
+    log_floor: tuple[int, int]
+    first_index: int
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None = None  # entries up to its index are no longer needed
 
@@ -101,7 +101,7 @@
 @dataclass(slots=True, frozen=True)
 class Send:
     to: str
-    word: Message
+    payload: RaftMessage
 
 
 @dataclass(slots=True, frozen=True)
@@ -116,197 +116,217 @@
     snapshot: Snapshot
 
 
-Effect = Store | Send | Apply | Restore
+Effect = Persist | Send | Apply | Restore
 
 
 @dataclass(slots=True)
 class Progress:
     """What a leader knows of another one."""
 
-    next: int
-    match: int = 0
-    heard: float = -inf
-    confirmed: float = -inf  # when the last round that it answered was sent
-    round: int = 0  # that one
-    installing: float = -inf
-    life: int = 0
+    next_index: int
+    match_index: int = 0
+    heard_at: float = -inf
+    confirmed_at: float = -inf  # when the last round that it answered was sent
+    confirmed_round: int = 0  # that one
+    snapshot_sent_at: float = -inf
+    incarnation: int = 0
     nonce: int = 0  # of one that is unsure: what it has to be shown
     nonce_round: int = 0
     nonce_index: int = 0
-    cleared: int = 0
+    verified_nonce: int = 0
 
 
 class Node:
-    """`founders` are those of the settings; they count only while all of them are fresh."""
+    """`initial_voters` are those of the settings; they count only while all of them are fresh."""
 
     def __init__(
         self,
         name: str,
-        kept: Kept,
+        persisted: PersistentState,
         rng: random.Random,
         now: float,
         timing: Timing | None = None,
-        proved: bool = True,
-        founders: Seats | None = None,
+        is_verified: bool = True,
+        initial_voters: VoterAddresses | None = None,
     ) -> None:
         self.name, self.rng, self.now, self.timing = name, rng, now, timing or Timing()
-        self.term, self.vote, self.base, self.entries = kept.term, kept.vote, kept.snapshot, list(kept.entries)
-        self.founders = dict(founders or {})
-        sure = proved and not kept.unsure and kept.snapshot.index > 0
+        self.term, self.vote, self.snapshot, self.entries = (
+            persisted.term,
+            persisted.vote,
+            persisted.snapshot,
+            list(persisted.entries),
+        )
+        self.initial_voters = dict(initial_voters or {})
+        sure = is_verified and not persisted.is_unverified and persisted.snapshot.index > 0
         self.nonce = 0 if sure else rng.getrandbits(62) + 1
-        self.life = rng.getrandbits(62)
-        self.floor = kept.floor  # (term, index) that a candidate's log must reach, whatever ours is
-        self.halted = False
+        self.incarnation = rng.getrandbits(62)
+        self.log_floor = persisted.log_floor  # (term, index) that a candidate's log must reach, whatever ours is
+        self.is_halted = False
         self.role, self.leader = FOLLOWER, ""
-        self.commit = self.applied = self.base.index
+        self.commit = self.applied = self.snapshot.index
         self.votes: set[str] = set()
         self.peers: dict[str, Progress] = {}
         self.counts: dict[str, int] = {}
-        self._heres: dict[str, Here] = {}
-        self._configs: list[tuple[int, Config]] = [(self.base.index, self.base.config)]
+        self._state_replies: dict[str, StateReply] = {}
+        self._configs: list[tuple[int, Config]] = [(self.snapshot.index, self.snapshot.config)]
         for entry in self.entries:
             self._note_config(entry)
-        self._heard = now  # a leader's word; at the start too, since one may have been promised time
-        self._deadline = 0.0
-        self._beat_at = self._ask_at = now
+        self._leader_heard_at = now  # a leader's payload; at the start too, since one may have been promised time
+        self._election_deadline = 0.0
+        self._heartbeat_at = self._query_at = now
         self._round = 0
-        self._round_at: dict[int, float] = {}
-        self._opened = 0  # index of this leader's first entry
-        self._stored = (self.term, self.vote, kept.unsure, self.floor)
-        self._first = 0  # of the entries that are still to be stored; 0 = none
-        self._snapshot: Snapshot | None = None
-        self._out: list[Effect] = []
-        self._rest()
+        self._round_sent_at: dict[int, float] = {}
+        self._term_start_index = 0  # index of this leader's first entry
+        self._saved_state = (self.term, self.vote, persisted.is_unverified, self.log_floor)
+        self._first_unsaved = 0  # of the entries that are still to be stored; 0 = none
+        self._unsaved_snapshot: Snapshot | None = None
+        self._pending_effects: list[Effect] = []
+        self._reset_election_timer()
 
     # What it is.
 
     @property
-    def proved(self) -> bool:
+    def is_verified(self) -> bool:
         return not self.nonce
 
     @property
-    def fresh(self) -> bool:
+    def is_empty(self) -> bool:
         """No leader was ever heard of either."""
-        return not self.term and not self.base.index
+        return not self.term and not self.snapshot.index
 
     @property
     def config(self) -> Config:
         return self._configs[-1][1]
 
     @property
-    def last(self) -> int:
-        return self.base.index + len(self.entries)
+    def last_index(self) -> int:
+        return self.snapshot.index + len(self.entries)
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """No change of voters is under way."""
         return self._configs[-1][0] <= self.commit
 
     def term_at(self, index: int) -> int:
-        """UNKNOWN where it is not here any more, or not yet."""
-        if index == self.base.index:
-            return self.base.term
-        at = index - self.base.index - 1
-        return self.entries[at].term if 0 <= at < len(self.entries) else UNKNOWN
+        """UNKNOWN_TERM where it is not here any more, or not yet."""
+        if index == self.snapshot.index:
+            return self.snapshot.term
+        at = index - self.snapshot.index - 1
+        return self.entries[at].term if 0 <= at < len(self.entries) else UNKNOWN_TERM
 
-    def after(self, index: int, most: int = BATCH) -> list[Entry]:
+    def entries_after(self, index: int, limit: int = MAX_BATCH_ENTRIES) -> list[Entry]:
         """Entries from the one after `index` on."""
-        begin = max(0, index - self.base.index)
+        begin = max(0, index - self.snapshot.index)
         found: list[Entry] = []
         size = 0
-        for entry in self.entries[begin : begin + most]:
+        for entry in self.entries[begin : begin + limit]:
             size += len(entry.data) + 40
-            if found and size > BATCH_BYTES:
+            if found and size > MAX_BATCH_BYTES:
                 break
             found.append(entry)
         return found
 
-    def current(self, now: float) -> bool:
+    def is_current(self, now: float) -> bool:
         """What is applied here is all that is committed anywhere: it leads, a majority said so so lately that no other
         one can lead yet, and an entry of its own term is committed."""
-        if self.role != LEADER or self.halted or self.commit < self._opened or self.applied < self.commit:
+        if self.role != LEADER or self.is_halted or self.commit < self._term_start_index or self.applied < self.commit:
             return False
         times = sorted(
-            [now if name == self.name else self.peers[name].confirmed for name in self.config.voters], reverse=True
+            [now if name == self.name else self.peers[name].confirmed_at for name in self.config.voters], reverse=True
         )
         since = times[self.config.majority - 1]
-        return now < since + self.timing.election * (1 - self.timing.drift)
+        return now < since + self.timing.election_timeout * (1 - self.timing.clock_drift)
 
     # What comes in.
 
-    def receive(self, now: float, source: str, word: Message) -> list[Effect]:
+    def receive(self, now: float, source: str, payload: RaftMessage) -> list[Effect]:
         self.now = max(self.now, now)
-        if self.halted:
+        if self.is_halted:
             return []
-        if isinstance(word, AskVote):
-            self._asked(source, word)
-        elif isinstance(word, Where):
-            if source in self._known():
+        if isinstance(payload, RequestVote):
+            self._handle_vote_request(source, payload)
+        elif isinstance(payload, StateQuery):
+            if source in self._other_voters():
                 self._send(
-                    source, Here(word.nonce, self.nonce, self.fresh, self.term, self.last, self.term_at(self.last))
+                    source,
+                    StateReply(
+                        payload.nonce,
+                        self.nonce,
+                        self.is_empty,
+                        self.term,
+                        self.last_index,
+                        self.term_at(self.last_index),
+                    ),
                 )
-        elif isinstance(word, Here):
-            self._here(source, word)
-        elif isinstance(word, Found):
-            if self.fresh and word.nonces.get(self.name) == self.nonce:
-                self._found(word.config)
+        elif isinstance(payload, StateReply):
+            self._handle_state_reply(source, payload)
+        elif isinstance(payload, Bootstrap):
+            if self.is_empty and payload.nonces.get(self.name) == self.nonce:
+                self._bootstrap(payload.config)
         else:
-            if word.term > self.term and not (isinstance(word, Vote) and word.pre):
-                self._follow(word.term, "")
-            if isinstance(word, Vote):
-                self._granted(source, word)
-            elif isinstance(word, Append):
-                self._append(source, word)
-            elif isinstance(word, Install):
-                self._install(source, word)
-            elif isinstance(word, Appended):
-                self._appended(source, word)
-            elif word.term == self.term and self.role == FOLLOWER and self.proved and self.name in self.config.voters:
-                self._campaign(sent=True)
-        return self._effects()
+            if payload.term > self.term and not (isinstance(payload, VoteReply) and payload.is_pre_vote):
+                self._become_follower(payload.term, "")
+            if isinstance(payload, VoteReply):
+                self._handle_vote_reply(source, payload)
+            elif isinstance(payload, AppendEntries):
+                self._handle_append(source, payload)
+            elif isinstance(payload, InstallSnapshot):
+                self._handle_install(source, payload)
+            elif isinstance(payload, AppendReply):
+                self._handle_append_reply(source, payload)
+            elif (
+                payload.term == self.term
+                and self.role == FOLLOWER
+                and self.is_verified
+                and self.name in self.config.voters
+            ):
+                self._start_election(is_leadership_transfer=True)
+        return self._take_effects()
 
     def tick(self, now: float) -> list[Effect]:
         """To be called again by `next_tick`."""
         self.now = max(self.now, now)
-        if self.halted:
+        if self.is_halted:
             return []
-        if self.nonce and self._ask_at <= self.now:
-            self._ask_at = self.now + self.timing.beat * PERSIST * (0.75 + 0.5 * self.rng.random())
-            self._clear()  # a lone voter has nobody to wait for
+        if self.nonce and self._query_at <= self.now:
+            self._query_at = self.now + self.timing.heartbeat * QUERY_INTERVAL_HEARTBEATS * (
+                0.75 + 0.5 * self.rng.random()
+            )
+            self._try_verify()  # a lone voter has nobody to wait for
             if self.nonce:
-                for name in self._known():
-                    self._send(name, Where(self.nonce))
+                for name in self._other_voters():
+                    self._send(name, StateQuery(self.nonce))
         if self.role == LEADER:
-            if self._beat_at <= self.now:
-                self._beat()
-        elif self._deadline <= self.now:
-            self._rest()
-            if self.proved and self.name in self.config.voters:
-                self._ask_beforehand()
-        return self._effects()
+            if self._heartbeat_at <= self.now:
+                self._send_heartbeats()
+        elif self._election_deadline <= self.now:
+            self._reset_election_timer()
+            if self.is_verified and self.name in self.config.voters:
+                self._start_pre_vote()
+        return self._take_effects()
 
     def next_tick(self) -> float:
-        times = [self._beat_at if self.role == LEADER else self._deadline]
+        times = [self._heartbeat_at if self.role == LEADER else self._election_deadline]
         if self.nonce:
-            times.append(self._ask_at)
-        return inf if self.halted else max(self.now, min(times))
+            times.append(self._query_at)
+        return inf if self.is_halted else max(self.now, min(times))
 
     def propose(self, now: float, data: bytes) -> tuple[int, list[Effect]]:
         """The index that it will have if it is committed; 0 where this voter does not lead."""
         self.now = max(self.now, now)
-        if self.role != LEADER or self.halted:
+        if self.role != LEADER or self.is_halted:
             return 0, []
-        index = self._add("op", data)
-        self._spread()
-        return index, self._effects()
+        index = self._append_entry("op", data)
+        self._replicate()
+        return index, self._take_effects()
 
-    def change(self, now: float, name: str, address: str = "") -> tuple[str, list[Effect]]:
+    def change_voter(self, now: float, name: str, address: str = "") -> tuple[str, list[Effect]]:
         """One voter comes, first as one that only listens, or goes where no address is told. Says why not, or ""."""
         self.now = max(self.now, now)
         config = self.config
-        if self.role != LEADER or self.halted:
+        if self.role != LEADER or self.is_halted:
             return "this voter does not lead", []
-        if not self.settled or self.commit < self._opened:
+        if not self.is_settled or self.commit < self._term_start_index:
             return "another change is under way", []
         if address:
             if name in config.voters or name in config.learners:
@@ -318,356 +338,383 @@
             if len(config.voters) == 1 and name in config.voters:
                 return "the last voter cannot go", []
             made = Config(
-                *({n: at for n, at in seats.items() if n != name} for seats in (config.voters, config.learners))
+                *({n: at for n, at in addresses.items() if n != name} for addresses in (config.voters, config.learners))
             )
-        self._add("seats", pack_config(made))
-        self._spread()
-        return "", self._effects()
+        self._append_entry("seats", pack_config(made))
+        self._replicate()
+        return "", self._take_effects()
 
     def resign(self, now: float) -> list[Effect]:
         """It goes, and asks the one whose log is longest to lead: nobody waits for a time-out."""
         self.now = max(self.now, now)
-        if self.role == LEADER and not self.halted:
+        if self.role == LEADER and not self.is_halted:
             others = [
-                (p.match, name)
+                (p.match_index, name)
                 for name, p in self.peers.items()
-                if name in self.config.voters and self.now - p.heard < self.timing.election
+                if name in self.config.voters and self.now - p.heard_at < self.timing.election_timeout
             ]
             term = self.term
-            self._follow(term, "")
-            self._heard = self.now  # it does not stand itself before the other one could
+            self._become_follower(term, "")
+            self._leader_heard_at = self.now  # it does not stand itself before the other one could
             if others:
-                self._send(max(others)[1], Now(term))
-        return self._effects()
+                self._send(max(others)[1], TimeoutNow(term))
+        return self._take_effects()
 
     def compact(self, index: int, data: bytes) -> list[Effect]:
         """All up to `index`, which is applied, is in `data` and leaves the log."""
-        if self.base.index < index <= self.applied and not self.halted:
+        if self.snapshot.index < index <= self.applied and not self.is_halted:
             config = [c for at, c in self._configs if at <= index][-1]
-            entry = self.entries[index - self.base.index - 1]
-            made = Snapshot(index, entry.term, config, data, entry.at)
-            del self.entries[: index - self.base.index]
-            self.base = self._snapshot = made
+            entry = self.entries[index - self.snapshot.index - 1]
+            made = Snapshot(index, entry.term, config, data, entry.timestamp)
+            del self.entries[: index - self.snapshot.index]
+            self.snapshot = self._unsaved_snapshot = made
             self._configs = [(index, config), *((at, c) for at, c in self._configs if at > index)]
-        return self._effects()
+        return self._take_effects()
 
-    def trust(self, now: float) -> list[Effect]:
-        """An operator's word that this disk is as it was left."""
+    def trust_store(self, now: float) -> list[Effect]:
+        """An operator's payload that this disk is as it was left."""
         self.now = max(self.now, now)
-        if self.base.index:
+        if self.snapshot.index:
             self.nonce = 0
-        return self._effects()
+        return self._take_effects()
 
     # Elections.
 
-    def _rest(self) -> None:
+    def _reset_election_timer(self) -> None:
         """A new time to wait, never in step with the others."""
-        self._deadline = self.now + self.timing.election * (1 + self.rng.random())
+        self._election_deadline = self.now + self.timing.election_timeout * (1 + self.rng.random())
 
-    def _led(self) -> bool:
+    def _has_live_leader(self) -> bool:
         """A leader was heard so lately that it counts on not being replaced."""
         if self.role == LEADER:
-            return self._majority_heard()
-        return self.now < self._heard + self.timing.election
+            return self._has_recent_quorum()
+        return self.now < self._leader_heard_at + self.timing.election_timeout
 
-    def _behind(self, last_term: int, last_index: int) -> bool:
+    def _is_log_behind(self, last_term: int, last_index: int) -> bool:
         """That log may lack what ours has, or what ours had."""
-        return (last_term, last_index) < max((self.term_at(self.last), self.last), self.floor)
+        return (last_term, last_index) < max((self.term_at(self.last_index), self.last_index), self.log_floor)
 
-    def _asked(self, source: str, word: AskVote) -> None:
-        if not self.proved or source not in self.config.voters and word.term <= self.term:
+    def _handle_vote_request(self, source: str, payload: RequestVote) -> None:
+        if not self.is_verified or source not in self.config.voters and payload.term <= self.term:
             return
-        if self._led() and not word.sent:
+        if self._has_live_leader() and not payload.is_leadership_transfer:
             return
-        if word.pre:
-            if word.term > self.term:
-                self._send(source, Vote(word.term, not self._behind(word.last_term, word.last_index), True))
+        if payload.is_pre_vote:
+            if payload.term > self.term:
+                self._send(
+                    source,
+                    VoteReply(payload.term, not self._is_log_behind(payload.last_term, payload.last_index), True),
+                )
             else:
-                self._send(source, Vote(self.term, False))
+                self._send(source, VoteReply(self.term, False))
             return
-        if word.term > self.term:
-            self._follow(word.term, "")
+        if payload.term > self.term:
+            self._become_follower(payload.term, "")
         granted = (
-            word.term == self.term and self.vote in ("", source) and not self._behind(word.last_term, word.last_index)
+            payload.term == self.term
+            and self.vote in ("", source)
+            and not self._is_log_behind(payload.last_term, payload.last_index)
         )
         if granted:
             self.vote = source
-            self._rest()
-        self._send(source, Vote(self.term, granted))
+            self._reset_election_timer()
+        self._send(source, VoteReply(self.term, granted))
 
-    def _ask_beforehand(self) -> None:
-        self.role, self.leader, self.votes = ASKING, "", {self.name}
+    def _start_pre_vote(self) -> None:
+        self.role, self.leader, self.votes = PRE_CANDIDATE, "", {self.name}
         self._count("asked_beforehand")
-        self._ask_all(AskVote(self.term + 1, self.last, self.term_at(self.last), pre=True))
+        self._request_votes(
+            RequestVote(self.term + 1, self.last_index, self.term_at(self.last_index), is_pre_vote=True)
+        )
 
-    def _campaign(self, sent: bool = False) -> None:
+    def _start_election(self, is_leadership_transfer: bool = False) -> None:
         self.term, self.vote = self.term + 1, self.name
         self.role, self.leader, self.votes = CANDIDATE, "", {self.name}
         self._count("elections")
-        self._rest()
-        self._ask_all(AskVote(self.term, self.last, self.term_at(self.last), sent=sent))
+        self._reset_election_timer()
+        self._request_votes(
+            RequestVote(
+                self.term, self.last_index, self.term_at(self.last_index), is_leadership_transfer=is_leadership_transfer
+            )
+        )
 
-    def _ask_all(self, word: AskVote) -> None:
+    def _request_votes(self, payload: RequestVote) -> None:
         for name in self.config.voters:
             if name != self.name:
-                self._send(name, word)
-        self._elected()
+                self._send(name, payload)
+        self._check_votes()
 
-    def _granted(self, source: str, word: Vote) -> None:
+    def _handle_vote_reply(self, source: str, payload: VoteReply) -> None:
         asked = (
-            self.role == ASKING
-            and word.pre
-            and word.term == self.term + 1
+            self.role == PRE_CANDIDATE
+            and payload.is_pre_vote
+            and payload.term == self.term + 1
             or self.role == CANDIDATE
-            and not word.pre
-            and word.term == self.term
+            and not payload.is_pre_vote
+            and payload.term == self.term
         )
-        if asked and word.granted and source in self.config.voters:
+        if asked and payload.granted and source in self.config.voters:
             self.votes.add(source)
-            self._elected()
+            self._check_votes()
 
-    def _elected(self) -> None:
+    def _check_votes(self) -> None:
         if len(self.votes) < self.config.majority:
             return
-        if self.role == ASKING:
-            self._campaign()
+        if self.role == PRE_CANDIDATE:
+            self._start_election()
             return
         self.role, self.leader = LEADER, self.name
         self._count("led")
         self.peers = {}
-        self._round_at = {}
-        self._peer_up()
+        self._round_sent_at = {}
+        self._update_peers()
         for peer in self.peers.values():
-            peer.heard = self.now
-        self._opened = self._add("open", b"")
-        self._beat()
+            peer.heard_at = self.now
+        self._term_start_index = self._append_entry("open", b"")
+        self._send_heartbeats()
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
             self.term, self.vote = term, ""
         if self.role == LEADER:
             self._count("stepped_down")
         self.role, self.leader, self.votes, self.peers = FOLLOWER, leader, set(), {}
-        self._rest()
+        self._reset_election_timer()
 
     # A leader.
 
-    def _peer_up(self) -> None:
+    def _update_peers(self) -> None:
         wanted = [name for name in (*self.config.voters, *self.config.learners) if name != self.name]
         # In the order of the configuration: that of a set differs from process to process, and so would runs.
-        self.peers = {name: self.peers.get(name) or Progress(self.last + 1) for name in wanted}
+        self.peers = {name: self.peers.get(name) or Progress(self.last_index + 1) for name in wanted}
 
-    def _majority_heard(self) -> bool:
+    def _has_recent_quorum(self) -> bool:
         heard = sum(
-            name == self.name or self.now - self.peers[name].heard < self.timing.election for name in self.config.voters
+            name == self.name or self.now - self.peers[name].heard_at < self.timing.election_timeout
+            for name in self.config.voters
         )
         return heard >= self.config.majority
 
-    def _beat(self) -> None:
-        if not self._majority_heard():
-            self._follow(self.term, "")  # cut off from the rest, who may have another one by now
+    def _send_heartbeats(self) -> None:
+        if not self._has_recent_quorum():
+            self._become_follower(self.term, "")  # cut off from the rest, who may have another one by now
             return
-        self._beat_at = self.now + self.timing.beat
-        self._spread(all_of_them=True)
+        self._heartbeat_at = self.now + self.timing.heartbeat
+        self._replicate(include_current=True)
 
-    def _spread(self, all_of_them: bool = False) -> None:
+    def _replicate(self, include_current: bool = False) -> None:
         """To those who lack something; to all where it is time."""
         if self.role != LEADER:
             return
         self._round += 1
-        self._round_at[self._round] = self.now
-        self._round_at.pop(self._round - ROUNDS, None)
+        self._round_sent_at[self._round] = self.now
+        self._round_sent_at.pop(self._round - MAX_TRACKED_ROUNDS, None)
         for name, peer in self.peers.items():
-            if all_of_them or peer.next <= self.last:
-                self._to(name, peer)
-        self._advance()
-
-    def _to(self, name: str, peer: Progress) -> None:
-        if peer.next <= self.base.index:
-            if self.now >= peer.installing + INSTALL_AGAIN:
-                peer.installing = self.now
-                self._send(name, Install(self.term, self.base, self._round))
-            elif self._beat_at > self.now + self.timing.beat * 0.99:  # a sign of life meanwhile, and only with the beat
-                self._send(name, Append(self.term, self.last + 1, NEVER, [], 0, self._round))
+            if include_current or peer.next_index <= self.last_index:
+                self._send_entries(name, peer)
+        self._advance_commit()
+
+    def _send_entries(self, name: str, peer: Progress) -> None:
+        if peer.next_index <= self.snapshot.index:
+            if self.now >= peer.snapshot_sent_at + INSTALL_RETRY_SECONDS:
+                peer.snapshot_sent_at = self.now
+                self._send(name, InstallSnapshot(self.term, self.snapshot, self._round))
+            elif (
+                self._heartbeat_at > self.now + self.timing.heartbeat * 0.99
+            ):  # a sign of life meanwhile, and only with the beat
+                self._send(name, AppendEntries(self.term, self.last_index + 1, IMPOSSIBLE_TERM, [], 0, self._round))
             return
-        entries = self.after(peer.next - 1)
+        entries = self.entries_after(peer.next_index - 1)
         self._send(
             name,
-            Append(
-                self.term, peer.next - 1, self.term_at(peer.next - 1), entries, self.commit, self._round, peer.cleared
+            AppendEntries(
+                self.term,
+                peer.next_index - 1,
+                self.term_at(peer.next_index - 1),
+                entries,
+                self.commit,
+                self._round,
+                peer.verified_nonce,
             ),
         )
-        peer.next += len(entries)  # lost ones are met by the answer to what follows
+        peer.next_index += len(entries)  # lost ones are met by the answer to what follows
 
-    def _appended(self, source: str, word: Appended) -> None:
+    def _handle_append_reply(self, source: str, payload: AppendReply) -> None:
         peer = self.peers.get(source)
-        if self.role != LEADER or word.term != self.term or peer is None:
+        if self.role != LEADER or payload.term != self.term or peer is None:
             return
-        peer.heard = self.now
-        if word.round > peer.round and word.round in self._round_at:
-            peer.round, peer.confirmed = word.round, self._round_at[word.round]
-        if (word.life, word.nonce) != (peer.life, peer.nonce):
-            if word.life != peer.life:
-                peer.match = 0  # another disk, maybe, under the same name: what it said it held counts no more
-            peer.life, peer.nonce, peer.cleared = word.life, word.nonce, 0
-            if word.nonce:
-                peer.nonce_round, peer.nonce_index = self._round + 1, self.last
-        if not word.ok:
-            peer.next = max(peer.match + 1, min(word.match + 1, self.last + 1))
-            self._to(source, peer)
+        peer.heard_at = self.now
+        if payload.round > peer.confirmed_round and payload.round in self._round_sent_at:
+            peer.confirmed_round, peer.confirmed_at = payload.round, self._round_sent_at[payload.round]
+        if (payload.incarnation, payload.nonce) != (peer.incarnation, peer.nonce):
+            if payload.incarnation != peer.incarnation:
+                peer.match_index = 0  # another disk, maybe, under the same name: what it said it held counts no more
+            peer.incarnation, peer.nonce, peer.verified_nonce = payload.incarnation, payload.nonce, 0
+            if payload.nonce:
+                peer.nonce_round, peer.nonce_index = self._round + 1, self.last_index
+        if not payload.ok:
+            peer.next_index = max(peer.match_index + 1, min(payload.match_index + 1, self.last_index + 1))
+            self._send_entries(source, peer)
             return
         # A snapshot's answer may name what the log no longer holds; beyond our last nothing is ours.
-        peer.match = max(peer.match, min(word.match, self.last))
-        peer.next = max(peer.next, peer.match + 1)
-        self._advance()
-        self._show(source, peer)
+        peer.match_index = max(peer.match_index, min(payload.match_index, self.last_index))
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
+        self._advance_commit()
+        self._verify_peer(source, peer)
         if (
             self.role == LEADER
             and source in self.config.learners
-            and not word.nonce
-            and peer.match >= self.last
-            and self.settled
+            and not payload.nonce
+            and peer.match_index >= self.last_index
+            and self.is_settled
         ):
             voters = {**self.config.voters, source: self.config.learners[source]}
             learners = {name: at for name, at in self.config.learners.items() if name != source}
-            self._add("seats", pack_config(Config(voters, learners)))
-            self._spread()
-        elif self.role == LEADER and peer.next <= self.last:
-            self._to(source, peer)
+            self._append_entry("seats", pack_config(Config(voters, learners)))
+            self._replicate()
+        elif self.role == LEADER and peer.next_index <= self.last_index:
+            self._send_entries(source, peer)
 
-    def _show(self, source: str, peer: Progress) -> None:
+    def _verify_peer(self, source: str, peer: Progress) -> None:
         """One that was unsure may vote again: a majority without it confirmed us after it asked, and it holds what we
         held then."""
-        if not peer.nonce or peer.cleared or peer.match < peer.nonce_index:
+        if not peer.nonce or peer.verified_nonce or peer.match_index < peer.nonce_index:
             return
         sure = sum(
-            name == self.name or self.peers[name].round >= peer.nonce_round
+            name == self.name or self.peers[name].confirmed_round >= peer.nonce_round
             for name in self.config.voters
             if name != source
         )
         if sure >= self.config.majority:
-            peer.cleared = peer.nonce
+            peer.verified_nonce = peer.nonce
             self._count("cleared")
 
-    def _advance(self) -> None:
+    def _advance_commit(self) -> None:
         matches = sorted(
-            (self.last if name == self.name else self.peers[name].match for name in self.config.voters), reverse=True
+            (self.last_index if name == self.name else self.peers[name].match_index for name in self.config.voters),
+            reverse=True,
         )
         reached = matches[self.config.majority - 1]
         if reached > self.commit and self.term_at(reached) == self.term:
             self._commit_to(reached)
-            if self.settled and self.name not in self.config.voters:
-                self._follow(self.term, "")
+            if self.is_settled and self.name not in self.config.voters:
+                self._become_follower(self.term, "")
 
     # A follower.
 
-    def _append(self, source: str, word: Append) -> None:
-        if word.term < self.term:
-            self._send(source, Appended(self.term, False, 0, word.round, self.life, self.nonce))
+    def _handle_append(self, source: str, payload: AppendEntries) -> None:
+        if payload.term < self.term:
+            self._send(source, AppendReply(self.term, False, 0, payload.round, self.incarnation, self.nonce))
             return
-        self._led_by(source)
-        if word.prev_index < self.base.index:  # it holds that already, applied
-            entries = [entry for entry in word.entries if entry.index > self.base.index]
-            if not entries or entries[0].index != self.base.index + 1:
-                self._send(source, Appended(self.term, True, self.commit, word.round, self.life, self.nonce))
+        self._note_leader(source)
+        if payload.prev_index < self.snapshot.index:  # it holds that already, applied
+            entries = [entry for entry in payload.entries if entry.index > self.snapshot.index]
+            if not entries or entries[0].index != self.snapshot.index + 1:
+                self._send(
+                    source, AppendReply(self.term, True, self.commit, payload.round, self.incarnation, self.nonce)
+                )
                 return
         else:
-            entries = word.entries
-            if self.term_at(word.prev_index) != word.prev_term:
-                worth = self.last if word.prev_index > self.last else self.commit
-                self._send(source, Appended(self.term, False, worth, word.round, self.life, self.nonce))
+            entries = payload.entries
+            if self.term_at(payload.prev_index) != payload.prev_term:
+                worth = self.last_index if payload.prev_index > self.last_index else self.commit
+                self._send(source, AppendReply(self.term, False, worth, payload.round, self.incarnation, self.nonce))
                 return
         for at, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
-                self._replace(entries[at:])
+                self._replace_suffix(entries[at:])
                 break
-        match = max(word.prev_index + len(word.entries), self.base.index)
-        self._commit_to(min(word.commit, match))
-        if word.cleared and word.cleared == self.nonce:
-            self._prove(self.term, source)
-        self._send(source, Appended(self.term, True, match, word.round, self.life, self.nonce))
-
-    def _install(self, source: str, word: Install) -> None:
-        if word.term < self.term:
-            self._send(source, Appended(self.term, False, 0, word.round, self.life, self.nonce))
+        match = max(payload.prev_index + len(payload.entries), self.snapshot.index)
+        self._commit_to(min(payload.commit, match))
+        if payload.verified_nonce and payload.verified_nonce == self.nonce:
+            self._mark_verified(self.term, source)
+        self._send(source, AppendReply(self.term, True, match, payload.round, self.incarnation, self.nonce))
+
+    def _handle_install(self, source: str, payload: InstallSnapshot) -> None:
+        if payload.term < self.term:
+            self._send(source, AppendReply(self.term, False, 0, payload.round, self.incarnation, self.nonce))
             return
-        self._led_by(source)
-        told = word.snapshot
+        self._note_leader(source)
+        told = payload.snapshot
         if told.index > self.commit:
             if self.term_at(told.index) == told.term:
                 self._commit_to(told.index)
             else:
-                self.base = self._snapshot = told
-                self.entries, self._first = [], 0
+                self.snapshot = self._unsaved_snapshot = told
+                self.entries, self._first_unsaved = [], 0
                 self._configs = [(told.index, told.config)]
                 self.commit = self.applied = told.index
-                self._out.append(Restore(told))
-        self._send(source, Appended(self.term, True, told.index, word.round, self.life, self.nonce))
+                self._pending_effects.append(Restore(told))
+        self._send(source, AppendReply(self.term, True, told.index, payload.round, self.incarnation, self.nonce))
 
-    def _led_by(self, source: str) -> None:
+    def _note_leader(self, source: str) -> None:
         if self.role != FOLLOWER:
-            self._follow(self.term, source)
-        self.leader, self._heard = source, self.now
-        self._rest()
+            self._become_follower(self.term, source)
+        self.leader, self._leader_heard_at = source, self.now
+        self._reset_election_timer()
 
-    def _replace(self, entries: list[Entry]) -> None:
+    def _replace_suffix(self, entries: list[Entry]) -> None:
         """These follow what is held; what stood there is of a leader that has lost."""
         first = entries[0].index
         assert first > self.commit, "what is committed is never replaced"
-        del self.entries[first - self.base.index - 1 :]
+        del self.entries[first - self.snapshot.index - 1 :]
         self._configs = [(at, config) for at, config in self._configs if at < first]
-        self._first = min(self._first or first, first)
+        self._first_unsaved = min(self._first_unsaved or first, first)
         for entry in entries:
             self.entries.append(entry)
             self._note_config(entry)
 
     # Whether the disk is as it was left.
 
-    def _known(self) -> list[str]:
-        seats = self.config.voters or self.founders
-        return [name for name in seats if name != self.name]
+    def _other_voters(self) -> list[str]:
+        addresses = self.config.voters or self.initial_voters
+        return [name for name in addresses if name != self.name]
 
-    def _here(self, source: str, word: Here) -> None:
-        if self.nonce and word.asked == self.nonce:
-            self._heres[source] = word
-            self._clear()
+    def _handle_state_reply(self, source: str, payload: StateReply) -> None:
+        if self.nonce and payload.query_nonce == self.nonce:
+            self._state_replies[source] = payload
+            self._try_verify()
 
-    def _clear(self) -> None:
+    def _try_verify(self) -> None:
         """All the others have said where they are, since this life began."""
-        others = self._known()
-        if any(name not in self._heres for name in others):
+        others = self._other_voters()
+        if any(name not in self._state_replies for name in others):
             return
-        if self.base.index:
-            heres = [self._heres[name] for name in others]
-            self.floor = max([self.floor, *((h.last_term, h.last_index) for h in heres)])
-            self._prove(max([self.term, *(h.term for h in heres)]), NOBODY)
+        if self.snapshot.index:
+            replies = [self._state_replies[name] for name in others]
+            self.log_floor = max([self.log_floor, *((reply.last_term, reply.last_index) for reply in replies)])
+            self._mark_verified(max([self.term, *(reply.term for reply in replies)]), VOTE_SPENT)
             return
-        heres = [self._heres[name] for name in others]
-        if not self.fresh or not self.founders or any((h.term, h.last_index) > (1, 1) for h in heres):
+        replies = [self._state_replies[name] for name in others]
+        if (
+            not self.is_empty
+            or not self.initial_voters
+            or any((reply.term, reply.last_index) > (1, 1) for reply in replies)
+        ):
             return
-        config = Config(self.founders)
-        if any(h.last_index for h in heres):
-            self._found(config)  # some have founded it, and nobody has gone on from there: word of it was lost
-        elif self.name == min(self.founders):
+        config = Config(self.initial_voters)
+        if any(reply.last_index for reply in replies):
+            self._bootstrap(config)  # some have founded it, and nobody has gone on from there: payload of it was lost
+        elif self.name == min(self.initial_voters):
             for name in others:
-                self._send(name, Found(config, {other: self._heres[other].nonce for other in others}))
-            self._found(config)
+                self._send(name, Bootstrap(config, {other: self._state_replies[other].nonce for other in others}))
+            self._bootstrap(config)
 
-    def _prove(self, term: int, vote: str) -> None:
+    def _mark_verified(self, term: int, vote: str) -> None:
         """It may vote again, but not in this term for anybody else."""
         self.nonce = 0
         if term > self.term:
-            self._follow(term, "")
+            self._become_follower(term, "")
         self.vote = vote
         self._count("proved")
 
-    def _found(self, config: Config) -> None:
-        self.base = self._snapshot = Snapshot(1, 1, config)
+    def _bootstrap(self, config: Config) -> None:
+        self.snapshot = self._unsaved_snapshot = Snapshot(1, 1, config)
         self.entries, self._configs = [], [(1, config)]
         self.commit = self.applied = 1
-        self.term, self.vote, self.nonce = 1, NOBODY, 0
-        self._out.append(Restore(self.base))
-        self._rest()
+        self.term, self.vote, self.nonce = 1, VOTE_SPENT, 0
+        self._pending_effects.append(Restore(self.snapshot))
+        self._reset_election_timer()
 
     # Small things.
 
@@ -675,35 +722,35 @@
         if entry.kind == "seats":
             self._configs.append((entry.index, unpack_config(entry.data)))
 
-    def _add(self, kind: str, data: bytes) -> int:
-        before = self.entries[-1].at if self.entries else self.base.at
-        entry = Entry(self.last + 1, self.term, kind, data, max(self.now, before))
+    def _append_entry(self, kind: str, data: bytes) -> int:
+        before = self.entries[-1].timestamp if self.entries else self.snapshot.timestamp
+        entry = Entry(self.last_index + 1, self.term, kind, data, max(self.now, before))
         self.entries.append(entry)
-        self._first = self._first or entry.index
+        self._first_unsaved = self._first_unsaved or entry.index
         self._note_config(entry)
         if kind == "seats":
-            self._peer_up()
+            self._update_peers()
         return entry.index
 
     def _commit_to(self, index: int) -> None:
         if index > self.commit:
             self.commit = index
-            ready = tuple(self.entries[self.applied - self.base.index : index - self.base.index])
+            ready = tuple(self.entries[self.applied - self.snapshot.index : index - self.snapshot.index])
             self.applied = index
-            self._out.append(Apply(ready))
+            self._pending_effects.append(Apply(ready))
 
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    def _send(self, to: str, word: Message) -> None:
-        self._out.append(Send(to, word))
-
-    def _effects(self) -> list[Effect]:
-        out, self._out = self._out, []
-        now = (self.term, self.vote, bool(self.nonce), self.floor)
-        if now != self._stored or self._first or self._snapshot is not None:
-            first = self._first or self.last + 1
-            entries = tuple(self.entries[max(0, first - self.base.index - 1) :])
-            out.insert(0, Store(*now, first, entries, self._snapshot))
-            self._stored, self._first, self._snapshot = now, 0, None
+    def _send(self, to: str, payload: RaftMessage) -> None:
+        self._pending_effects.append(Send(to, payload))
+
+    def _take_effects(self) -> list[Effect]:
+        out, self._pending_effects = self._pending_effects, []
+        now = (self.term, self.vote, bool(self.nonce), self.log_floor)
+        if now != self._saved_state or self._first_unsaved or self._unsaved_snapshot is not None:
+            first = self._first_unsaved or self.last_index + 1
+            entries = tuple(self.entries[max(0, first - self.snapshot.index - 1) :])
+            out.insert(0, Persist(*now, first, entries, self._unsaved_snapshot))
+            self._saved_state, self._first_unsaved, self._unsaved_snapshot = now, 0, None
         return out
--- a/brackenpulley/consensus/service.py
+++ b/brackenpulley/consensus/service.py
@@ -13,32 +13,32 @@
 from ..net.loop import Loop
 from ..operator import ConsensusOptions
 from .agreement import KIND, Agreement
-from .machine import Machine, Part
+from .machine import Part, StateMachine
 from .store import LogStore, StoreError
 
-Parts = Callable[[], dict[str, Part]]
+PartFactory = Callable[[], dict[str, Part]]
 
 
 class AgreementService:
     """`parts` are added by whoever keeps an agreed state, before `start`."""
 
     def __init__(
-        self, loop: Loop, told: ConsensusOptions, name: str, members: DaemonMembers, metrics: Metrics, log: Any
+        self, loop: Loop, options: ConsensusOptions, name: str, members: DaemonMembers, metrics: Metrics, log: Any
     ) -> None:
         """Raises ConfigError."""
-        self.loop, self.told, self.name, self.members = loop, told, name, members
+        self.loop, self.options, self.name, self.members = loop, options, name, members
         self.metrics, self.log = metrics, log
         self.parts: dict[str, Callable[[], Part]] = {}
         self.agreement: Agreement | None = None
         self.store: LogStore | None = None
-        self._led = ""
-        if told.directory:
+        self._logged_leader = ""
+        if options.directory:
             try:
                 self.store = LogStore(
-                    told.directory,
-                    told.seal_path or str(Path(told.directory).with_suffix(".seal")),
+                    options.directory,
+                    options.seal_path or str(Path(options.directory).with_suffix(".seal")),
                     name,
-                    told.max_store_bytes,
+                    options.max_store_bytes,
                 )
             except StoreError as error:
                 raise ConfigError(f"consensus.path: {error}") from None
@@ -49,8 +49,8 @@
             self.agreement = Agreement(
                 self.members.service.id,
                 self.name,
-                dict(self.told.voters),
-                self._machine,
+                dict(self.options.voters),
+                self._make_machine,
                 random.Random(),
                 self.loop.clock(),
                 self.store,
@@ -58,74 +58,74 @@
         except StoreError as error:
             raise ConfigError(f"consensus.path: {error}") from None
         self.members.attach(KIND, self.agreement)
-        self._watch()
+        self._monitor()
 
-    def _machine(self) -> Machine:
-        return Machine({name: make() for name, make in self.parts.items()})
+    def _make_machine(self) -> StateMachine:
+        return StateMachine({name: make() for name, make in self.parts.items()})
 
-    def _watch(self) -> None:
-        """Who leads is worth a line, and the counters of a voter are told with the others."""
+    def _monitor(self) -> None:
+        """Who leads is worth a line, and the counters of a voter are options with the others."""
         agreement = self.agreement
         if agreement is None:
             return
-        if agreement.leader != self._led:
-            self._led = agreement.leader
-            self.log.info("agreement", leader=self._led or "nobody", index=agreement.machine.index)
-        if self.store is not None and self.store.failed:
-            self.log.error("agreement", error=self.store.failed)
+        if agreement.leader != self._logged_leader:
+            self._logged_leader = agreement.leader
+            self.log.info("agreement", leader=self._logged_leader or "nobody", index=agreement.machine.index)
+        if self.store is not None and self.store.last_error:
+            self.log.error("agreement", error=self.store.last_error)
             self.metrics.add("agreement_unstored")
-        self.loop.call_in(1.0, self._watch)
+        self.loop.call_in(1.0, self._monitor)
 
-    def said(self) -> None:
+    def send_pending(self) -> None:
         """It has something to say that no message and no time brought about."""
         self.members.service.said()
 
     def status(self) -> dict[str, Any]:
         agreement = self.agreement
         if agreement is None:
-            return {"voter": bool(self.told.directory), "leader": ""}
-        found: dict[str, Any] = {
+            return {"voter": bool(self.options.directory), "leader": ""}
+        status: dict[str, Any] = {
             "voter": agreement.node is not None,
             "leader": agreement.leader,
             "index": agreement.machine.index,
-            "voters": agreement.seats(),
+            "voters": agreement.voter_addresses(),
         }
         node = agreement.node
         if node is not None and self.store is not None:
-            found.update(
-                role="halted" if node.halted else node.role,
+            status.update(
+                role="halted" if node.is_halted else node.role,
                 term=node.term,
                 commit=node.commit,
-                proved=node.proved,
-                current=agreement.current(self.loop.clock()),
+                proved=node.is_verified,
+                current=agreement.is_current(self.loop.clock()),
                 counts=node.counts,
                 store=self.store.status(),
             )
-        return found
+        return status
 
-    def change(self, name: str, address: str) -> str:
+    def change_voter(self, name: str, address: str) -> str:
         """Says why not, or ""."""
         if self.agreement is None:
             return "not started"
-        said = self.agreement.change(self.loop.clock(), name, address)
-        self.said()
-        return said
+        problem = self.agreement.change_voter(self.loop.clock(), name, address)
+        self.send_pending()
+        return problem
 
-    def trust(self) -> bool:
-        if self.agreement is None or not self.agreement.trust(self.loop.clock()):
+    def trust_store(self) -> bool:
+        if self.agreement is None or not self.agreement.trust_store(self.loop.clock()):
             return False
         self.log.info("agreement", trusted=self.name)
-        self.said()
+        self.send_pending()
         return True
 
-    def ending(self) -> None:
+    def hand_over(self) -> None:
         """A leader that goes hands on before it does."""
         if self.agreement is not None:
             self.agreement.resign(self.loop.clock())
-            self.said()
+            self.send_pending()
 
     def stop(self) -> None:
         self.agreement = None
         if self.store is not None:
-            self.store.end()
+            self.store.close()
             self.store = None
--- a/brackenpulley/consensus/store.py
+++ b/brackenpulley/consensus/store.py
@@ -3,7 +3,7 @@
 Beside it stands the seal, in a folder of its own: how many steps were stored, on which disk, in which boot of the host.
 It is not synced, so it outlives the process and not the host, and it is no part of a backup of the store. A store that
 has fewer steps than its seal is an older one; one without a seal of this boot may be. Either way `load` says that it is
-not sure, and the voter finds out from the others (see raft.py)."""
+not is_verified, and the voter finds out from the others (see raft.py)."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 import msgspec
 
 from ..lock import FileLock
-from .raft import Kept, Store
+from .raft import Persist, PersistentState
 from .wire import Entry, Snapshot
 
-FORMAT = 1
-BOOT = Path("/proc/sys/kernel/random/boot_id")
-SEAL = struct.Struct("<16s16sQ")  # boot, disk, steps
-packed = msgspec.msgpack.Encoder().encode
+FORMAT_VERSION = 1
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+SEAL_STRUCT = struct.Struct("<16s16sQ")  # boot, disk, steps
+_pack = msgspec.msgpack.Encoder().encode
 
 
 class StoreError(RuntimeError):
@@ -35,36 +35,38 @@
     format: int
     name: str
     disk: bytes
-    steps: int
+    write_count: int
     term: int = 0
     vote: str = ""
-    unsure: bool = False
-    floor: tuple[int, int] = (0, 0)
+    is_unverified: bool = False
+    log_floor: tuple[int, int] = (0, 0)
 
 
-_meta = msgspec.msgpack.Decoder(Meta).decode
-_entry = msgspec.msgpack.Decoder(Entry).decode
-_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
+_unpack_meta = msgspec.msgpack.Decoder(Meta).decode
+_unpack_entry = msgspec.msgpack.Decoder(Entry).decode
+_unpack_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-def number(index: int) -> bytes:
+def encode_index(index: int) -> bytes:
     return index.to_bytes(8, "big")
 
 
 class LogStore:
     """Owns the environment, the writer's lock and the seal's map; all are given back in `end`."""
 
-    def __init__(self, path: str, seal: str, name: str, size: int = 64 << 20, boot: bytes | None = None) -> None:
+    def __init__(self, path: str, seal: str, name: str, map_size: int = 64 << 20, boot_id: bytes | None = None) -> None:
         """Raises StoreError."""
         self.path, self.name = Path(path), name
-        self.failed = ""  # why the last step could not be stored
-        self._boot = (BOOT.read_bytes() if boot is None else boot).replace(b"-", b"").strip()[:16].ljust(16, b"0")
+        self.last_error = ""  # why the last step could not be stored
+        self._boot_id = (
+            (BOOT_ID_PATH.read_bytes() if boot_id is None else boot_id).replace(b"-", b"").strip()[:16].ljust(16, b"0")
+        )
         self._lock: FileLock | None = None
         try:
             self.path.mkdir(parents=True, exist_ok=True)
             self._lock = FileLock(self.path / "writer.lock", f"voter {name}", StoreError)
-            self._seal = self._map(Path(seal))
-            self._env = lmdb.open(str(self.path), map_size=size, max_dbs=2, readahead=False, meminit=False)
+            self._seal = self._map_seal(Path(seal))
+            self._env = lmdb.open(str(self.path), map_size=map_size, max_dbs=2, readahead=False, meminit=False)
             self._meta_db, self._log_db = (self._env.open_db(db) for db in (b"meta", b"log"))
         except (OSError, lmdb.Error) as error:
             if self._lock is not None:
@@ -72,41 +74,43 @@
             raise StoreError(f"{path}: {error}") from None
         with self._env.begin() as txn:
             data = txn.get(b"hard", db=self._meta_db)
-        self._meta = Meta(FORMAT, name, secrets.token_bytes(16), 0) if data is None else self._checked(data)
+        self._meta = Meta(FORMAT_VERSION, name, secrets.token_bytes(16), 0) if data is None else self._check_meta(data)
 
-    def _checked(self, data: bytes) -> Meta:
+    def _check_meta(self, data: bytes) -> Meta:
         try:
-            meta = _meta(data)
+            meta = _unpack_meta(data)
         except msgspec.MsgspecError as error:
-            self.end()
+            self.close()
             raise StoreError(
                 f"{self.path}: damaged: {error}; empty the folder, the other voters bring this one up again"
             ) from None
-        if meta.format != FORMAT or meta.name != self.name:
-            self.end()
+        if meta.format != FORMAT_VERSION or meta.name != self.name:
+            self.close()
             raise StoreError(
-                f"{self.path}: of voter {meta.name}, format {meta.format}; this is {self.name}, format {FORMAT}"
+                f"{self.path}: of voter {meta.name}, format {meta.format}; this is {self.name}, format {FORMAT_VERSION}"
             )
         return meta
 
-    def _map(self, path: Path) -> mmap.mmap:
+    def _map_seal(self, path: Path) -> mmap.mmap:
         path.parent.mkdir(parents=True, exist_ok=True)
         file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            os.posix_fallocate(file, 0, SEAL.size)
-            return mmap.mmap(file, SEAL.size)
+            os.posix_fallocate(file, 0, SEAL_STRUCT.size)
+            return mmap.mmap(file, SEAL_STRUCT.size)
         finally:
             os.close(file)
 
-    def load(self) -> tuple[Kept, bool]:
+    def load(self) -> tuple[PersistentState, bool]:
         """What it holds, and whether that is all that was ever stored. Raises StoreError where it can't be read."""
-        boot, disk, steps = SEAL.unpack(self._seal[:])
-        sure = (boot, disk) == (self._boot, self._meta.disk) and self._meta.steps >= steps
+        boot_id, disk, write_count = SEAL_STRUCT.unpack(self._seal[:])
+        is_verified = (boot_id, disk) == (self._boot_id, self._meta.disk) and self._meta.write_count >= write_count
         try:
             with self._env.begin() as txn:
-                told = txn.get(b"snapshot", db=self._meta_db)
-                snapshot = _snapshot(told) if told is not None else Snapshot()
-                entries = [_entry(value) for value in txn.cursor(db=self._log_db).iternext(keys=False, values=True)]
+                data = txn.get(b"snapshot", db=self._meta_db)
+                snapshot = _unpack_snapshot(data) if data is not None else Snapshot()
+                entries = [
+                    _unpack_entry(value) for value in txn.cursor(db=self._log_db).iternext(keys=False, values=True)
+                ]
         except (lmdb.Error, msgspec.MsgspecError) as error:
             raise StoreError(f"{self.path}: damaged: {error}") from None
         for at, entry in enumerate(entries):
@@ -116,46 +120,53 @@
                     "other voters bring this one up again"
                 )
         meta = self._meta
-        return Kept(meta.term, meta.vote, meta.unsure, meta.floor, snapshot, entries), sure
+        return PersistentState(meta.term, meta.vote, meta.is_unverified, meta.log_floor, snapshot, entries), is_verified
 
-    def store(self, step: Store) -> bool:
+    def store(self, step: Persist) -> bool:
         """False where the disk takes nothing: then nothing of it is stored."""
         meta = Meta(
-            FORMAT, self.name, self._meta.disk, self._meta.steps + 1, step.term, step.vote, step.unsure, step.floor
+            FORMAT_VERSION,
+            self.name,
+            self._meta.disk,
+            self._meta.write_count + 1,
+            step.term,
+            step.vote,
+            step.is_unverified,
+            step.log_floor,
         )
         try:
             with self._env.begin(write=True) as txn:
                 if step.snapshot is not None:
-                    txn.put(b"snapshot", packed(step.snapshot), db=self._meta_db)
-                    self._drop(txn, 0, step.snapshot.index)
-                self._drop(txn, step.first, 1 << 62)
+                    txn.put(b"snapshot", _pack(step.snapshot), db=self._meta_db)
+                    self._delete_range(txn, 0, step.snapshot.index)
+                self._delete_range(txn, step.first_index, 1 << 62)
                 for entry in step.entries:
-                    txn.put(number(entry.index), packed(entry), db=self._log_db, append=True)
-                txn.put(b"hard", packed(meta), db=self._meta_db)
+                    txn.put(encode_index(entry.index), _pack(entry), db=self._log_db, append=True)
+                txn.put(b"hard", _pack(meta), db=self._meta_db)
         except (lmdb.Error, OSError) as error:
-            self.failed = f"{self.path}: {error}"
+            self.last_error = f"{self.path}: {error}"
             return False
-        self.failed, self._meta = "", meta
-        self._seal[:] = SEAL.pack(self._boot, meta.disk, meta.steps)
+        self.last_error, self._meta = "", meta
+        self._seal[:] = SEAL_STRUCT.pack(self._boot_id, meta.disk, meta.write_count)
         return True
 
-    def _drop(self, txn: Any, first: int, last: int) -> None:
+    def _delete_range(self, txn: Any, first: int, last: int) -> None:
         """Entries from one to the other, both included."""
         cursor = txn.cursor(db=self._log_db)
-        more = cursor.set_range(number(first))
-        while more and int.from_bytes(cursor.key(), "big") <= last:
-            more = cursor.delete()  # on to the next one
+        has_entry = cursor.set_range(encode_index(first))
+        while has_entry and int.from_bytes(cursor.key(), "big") <= last:
+            has_entry = cursor.delete()  # on to the next one
 
     def status(self) -> dict[str, Any]:
         info, stat = self._env.info(), self._env.stat()
         return {
             "path": str(self.path),
-            "steps": self._meta.steps,
-            "failed": self.failed,
+            "steps": self._meta.write_count,
+            "failed": self.last_error,
             "bytes": int((info["last_pgno"] + 1) * stat["psize"]),
         }
 
-    def end(self) -> None:
+    def close(self) -> None:
         """The one place where the store is given back."""
         self._env.close()
         self._seal.close()
--- a/brackenpulley/consensus/wire.py
+++ b/brackenpulley/consensus/wire.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-Seats = dict[str, str]  # name of a voter, and the address where its membership listens
+VoterAddresses = dict[str, str]  # name of a voter, and the address where its membership listens
 
 
 class Config(msgspec.Struct, frozen=True, array_like=True):
     """Who votes, and who is sent the log and does not vote yet."""
 
-    voters: Seats
-    learners: Seats = {}
+    voters: VoterAddresses
+    learners: VoterAddresses = {}
 
     @property
     def majority(self) -> int:
@@ -26,7 +26,7 @@
     term: int
     kind: str
     data: bytes = b""
-    at: float = 0.0
+    timestamp: float = 0.0
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -36,26 +36,26 @@
     term: int = 0
     config: Config = Config({})
     data: bytes = b""
-    at: float = 0.0
+    timestamp: float = 0.0
 
 
-class AskVote(msgspec.Struct, frozen=True, array_like=True, tag="v"):
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="v"):
     """`pre`: would you, in that term? Nothing is stored for it. `sent`: the leader itself asked for this election."""
 
     term: int
     last_index: int
     last_term: int
-    pre: bool = False
-    sent: bool = False
+    is_pre_vote: bool = False
+    is_leadership_transfer: bool = False
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag="V"):
+class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag="V"):
     term: int
     granted: bool
-    pre: bool = False
+    is_pre_vote: bool = False
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="a"):
     """`round` is said back, so that a leader knows how lately it was one; `cleared` is the nonce of a voter that may
     vote again."""
 
@@ -65,67 +65,77 @@
     entries: list[Entry]
     commit: int
     round: int
-    cleared: int = 0
+    verified_nonce: int = 0
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag="A"):
+class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag="A"):
     """`match`: up to where the logs agree, or where `ok` is false the last index worth trying. `life` is another one
     after each start; `nonce` is not 0 while this voter does not know whether its disk is as it left it."""
 
     term: int
     ok: bool
-    match: int
+    match_index: int
     round: int
-    life: int
+    incarnation: int
     nonce: int = 0
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag="i"):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="i"):
     term: int
     snapshot: Snapshot
     round: int
 
 
-class Now(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="n"):
     """A leader that goes asks this voter to be the next one."""
 
     term: int
 
 
-class Where(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class StateQuery(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """A voter that does not know whether its disk is as it left it asks all the others how far they are."""
 
     nonce: int
 
 
-class Here(msgspec.Struct, frozen=True, array_like=True, tag="h"):
+class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="h"):
     """`asked` is the nonce of the question, `nonce` that of who answers; `fresh`: its disk holds nothing."""
 
-    asked: int
+    query_nonce: int
     nonce: int
-    fresh: bool
+    is_empty: bool
     term: int
     last_index: int
     last_term: int
 
 
-class Found(msgspec.Struct, frozen=True, array_like=True, tag="f"):
+class Bootstrap(msgspec.Struct, frozen=True, array_like=True, tag="f"):
     """All were fresh: this is the first configuration. `nonces` are of the lives that said so."""
 
     config: Config
     nonces: dict[str, int]
 
 
-Message = AskVote | Vote | Append | Appended | Install | Now | Where | Here | Found
+RaftMessage = (
+    RequestVote
+    | VoteReply
+    | AppendEntries
+    | AppendReply
+    | InstallSnapshot
+    | TimeoutNow
+    | StateQuery
+    | StateReply
+    | Bootstrap
+)
 
 
-class Follow(msgspec.Struct, frozen=True, array_like=True, tag="F"):
+class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="F"):
     """Tell me what is committed after this index, and for some seconds whatever comes."""
 
-    after: int
+    after_index: int
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag="T"):
+class LogUpdate(msgspec.Struct, frozen=True, array_like=True, tag="T"):
     """`entries` in order, from the one after what was asked for, or a snapshot first; `leader` as this voter knows."""
 
     commit: int
@@ -134,42 +144,42 @@
     leader: str = ""
 
 
-class Propose(msgspec.Struct, frozen=True, array_like=True, tag="P"):
+class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="P"):
     """A command for the log. It may come more than once; `machine` takes it once. `passed`: by a voter that does not
     lead, so it is not passed on again."""
 
     data: bytes
-    passed: bool = False
+    is_forwarded: bool = False
 
 
-Word = Message | Follow | Told | Propose
+Payload = RaftMessage | Subscribe | LogUpdate | Proposal
 
 
-class Between(msgspec.Struct, frozen=True, array_like=True):
+class AddressedPayload(msgspec.Struct, frozen=True, array_like=True):
     """`to` is the name that is meant: an address may have another process by now."""
 
     source: str
     to: str
-    word: Word
+    payload: Payload
 
 
-_encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Between).decode
-_config = msgspec.msgpack.Decoder(Config).decode
+_pack = msgspec.msgpack.Encoder().encode
+_unpack_addressed = msgspec.msgpack.Decoder(AddressedPayload).decode
+_unpack_config = msgspec.msgpack.Decoder(Config).decode
 
 
-def encode(between: Between) -> bytes:
-    return _encode(between)
+def encode(addressed: AddressedPayload) -> bytes:
+    return _pack(addressed)
 
 
-def decode(data: bytes) -> Between:
+def decode(data: bytes) -> AddressedPayload:
     """Raises msgspec.MsgspecError."""
-    return _decode(data)
+    return _unpack_addressed(data)
 
 
 def pack_config(config: Config) -> bytes:
-    return _encode(config)
+    return _pack(config)
 
 
 def unpack_config(data: bytes) -> Config:
-    return _config(data)
+    return _unpack_config(data)
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -382,12 +382,12 @@
                 parse_address(told.address, "address")
             except ConfigError as error:
                 raise ApiError(400, "address", str(error)) from None
-        if said := service.change(told.name, told.address):
+        if said := service.change_voter(told.name, told.address):
             raise ApiError(409, "name", said)
         return 202, service.status()
 
     def trust(request: Request) -> Any:
-        if not service.trust():
+        if not service.trust_store():
             raise ApiError(409, "voter", "no voter that is unsure of its disk")
         return service.status()
 
--- a/brackenpulley/drains/holder.py
+++ b/brackenpulley/drains/holder.py
@@ -72,7 +72,7 @@
         if not self.entered:
             self._once(now, "enter", Enter(life, self.address))
         listed = self.port.servers()
-        if self.agreement.leads:
+        if self.agreement.is_leader:
             self._tell(now, listed)
         wants: dict[str, int] = {}
         for server in listed:
--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -68,7 +68,7 @@
         if self.holder is None or self.agreement.agreement is None:
             return
         self.holder.tick(self.loop.clock())
-        self.agreement.said()
+        self.agreement.send_pending()
         self.loop.call_in(LOOK, self._look)
 
     def knows(self) -> bool:
@@ -114,7 +114,7 @@
             for server in list(self.daemon.south.open_connections):
                 self.daemon.south.close_idle(server, 0)
             self.holder.leave(self.loop.clock())
-            self.agreement.said()
+            self.agreement.send_pending()
 
     def gone(self) -> bool:
         """It is agreed that it has left."""
@@ -131,7 +131,7 @@
             lambda outcome: done(None if outcome is None else outcome.answer),
         ):
             done(None)
-        self.agreement.said()
+        self.agreement.send_pending()
 
     def stop(self) -> None:
         self.holder = None
--- a/brackenpulley/maintenance/clerk.py
+++ b/brackenpulley/maintenance/clerk.py
@@ -115,7 +115,7 @@
                 left = self.port.held() if job.ingress else self.port.attempts(job.servers)
                 if not left:
                     self._once(now, job.id, Said(job.id, job.token, self.name, self.agreement.id))
-        if self.agreement.leads and now >= self._step_at:
+        if self.agreement.is_leader and now >= self._step_at:
             self._step(now)
 
     def knows(self, now: float) -> bool:
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -172,7 +172,7 @@
             told.stuck_after_seconds,
             self.loop.clock(),
         )
-        agreement.advanced = self.clerk.heard
+        agreement.on_advanced = self.clerk.heard
         self._look()
 
     def _look(self) -> None:
@@ -187,7 +187,7 @@
                 station.records.publish(KIND, "", msgspec.msgpack.encode(self.port.holds()))
                 self._tell_away(station.records)
         self.clerk.tick(now)
-        self.agreement.said()
+        self.agreement.send_pending()
         self.loop.call_in(LOOK, self._look)
 
     def _tell_away(self, records: Table) -> None:
@@ -210,7 +210,7 @@
             done(None)
             return
         self.clerk.propose(self.loop.clock(), command, done, patience)
-        self.agreement.said()
+        self.agreement.send_pending()
 
     def plan(self) -> list[dict[str, Any]]:
         """What goes when, and why each waits, as this process sees the fleet."""
@@ -248,7 +248,7 @@
         before: what it has out when SIGTERM comes runs on."""
         if self.clerk is not None and not self.clerk.leaving:
             self.clerk.leave(self.loop.clock())
-            self.agreement.said()
+            self.agreement.send_pending()
 
     def gone(self) -> bool:
         """It is agreed that it has left."""
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -337,7 +337,7 @@
             if self.health is not None:
                 self.health.notify_stopping()
             if self.agreement is not None:
-                self.agreement.ending()
+                self.agreement.hand_over()
             self.loop.call_in(ACCEPT_AFTER_SIGTERM_SECONDS, self._stop_accepting)
 
     def _stop_accepting(self) -> None:
--- a/brackenpulley/simulation/disk.py
+++ b/brackenpulley/simulation/disk.py
@@ -5,7 +5,7 @@
 from copy import deepcopy
 from dataclasses import dataclass, field
 
-from ..consensus.raft import Kept, Store
+from ..consensus.raft import PersistentState, Persist
 from ..consensus.wire import Snapshot
 
 
@@ -13,23 +13,28 @@
 class Disk:
     """`seal` stands apart from it, as in consensus/store.py: it outlives the process, and not the host's power."""
 
-    kept: Kept = field(default_factory=Kept)
+    kept: PersistentState = field(default_factory=PersistentState)
     steps: int = 0
     seal: int | None = None
     full: bool = False
-    copies: list[tuple[Kept, int]] = field(default_factory=list)
+    copies: list[tuple[PersistentState, int]] = field(default_factory=list)
 
-    def load(self) -> tuple[Kept, bool]:
+    def load(self) -> tuple[PersistentState, bool]:
         return deepcopy(self.kept), self.seal is not None and self.steps >= self.seal
 
-    def store(self, step: Store) -> bool:
+    def store(self, step: Persist) -> bool:
         if self.full:
             return False
         kept = self.kept
-        kept.term, kept.vote, kept.unsure, kept.floor = step.term, step.vote, step.unsure, step.floor
+        kept.term, kept.vote, kept.is_unverified, kept.log_floor = (
+            step.term,
+            step.vote,
+            step.is_unverified,
+            step.log_floor,
+        )
         if step.snapshot is not None:
             kept.snapshot = step.snapshot
-        kept.entries = [e for e in kept.entries if kept.snapshot.index < e.index < step.first]
+        kept.entries = [e for e in kept.entries if kept.snapshot.index < e.index < step.first_index]
         kept.entries += step.entries
         self.steps += 1
         self.seal = self.steps
@@ -40,10 +45,10 @@
 
     def older(self) -> None:
         """A copy is put back; without one, nothing is on it."""
-        self.kept, self.steps = deepcopy(self.copies[-1]) if self.copies else (Kept(snapshot=Snapshot()), 0)
+        self.kept, self.steps = deepcopy(self.copies[-1]) if self.copies else (PersistentState(snapshot=Snapshot()), 0)
 
     def lose(self) -> None:
-        self.kept, self.steps = Kept(snapshot=Snapshot()), 0
+        self.kept, self.steps = PersistentState(snapshot=Snapshot()), 0
 
     def power(self) -> None:
         """The host went down: what was synced stands, the seal says nothing any more."""
--- a/brackenpulley/simulation/voters.py
+++ b/brackenpulley/simulation/voters.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ..consensus.agreement import KIND, Agreement
-from ..consensus.machine import Machine, Outcome
+from ..consensus.machine import StateMachine, Outcome
 from ..consensus.raft import LEADER, Node, Timing
 from ..consensus.wire import Entry
 from .faults import Faults
@@ -69,7 +69,7 @@
         traced: bool = False,
         skew: float = 0.02,
         agreement: type[Agreement] = Agreement,
-        machine: type[Machine] = Machine,
+        machine: type[StateMachine] = StateMachine,
     ) -> None:
         self.world = World(seed, links or Links(Link(spread=0.004, loss=0.01, double=0.01)), traced)
         self.rng, self.truth, self.timing = random.Random(seed + 1), Truth(), timing or Timing()
@@ -91,7 +91,7 @@
     def _make(self, host: Host) -> Bare:
         register = Register()
 
-        def machine() -> Machine:
+        def machine() -> StateMachine:
             self.registers[host.name] = register
             return self._machine({"register": register})
 
@@ -105,8 +105,8 @@
             host.disk if host.name.startswith("v") else None,
             self.timing,
         )
-        part.applied = lambda entry: self._applied(host, part, entry, register)
-        part.restored = lambda: self._restored(part, register)
+        part.on_applied = lambda entry: self._applied(host, part, entry, register)
+        part.on_restored = lambda: self._restored(part, register)
         return Bare(host.address, {KIND: part})
 
     def part(self, host: Host) -> Agreement | None:
@@ -116,7 +116,7 @@
         found = []
         for host in self.world.hosts.values():
             part = self.part(host)
-            if part is not None and part.node is not None and not part.node.halted:
+            if part is not None and part.node is not None and not part.node.is_halted:
                 found.append((host, part.node))
         return found
 
@@ -128,7 +128,7 @@
         """All the others are sure of their disks and hold what is committed."""
         others = {h.name: node for h, node in self.nodes() if h is not host and h.name in self.names}
         return len(others) == len(self.names) - 1 and all(
-            node.proved and node.last >= self.truth.commit for node in others.values()
+            node.is_verified and node.last_index >= self.truth.commit for node in others.values()
         )
 
     # Those that propose.
@@ -186,7 +186,7 @@
                 self._complete(host, node)
             elif known != host.name:
                 raise Broken(f"{known} and {host.name} lead in term {node.term}")
-            if not host.stopped and node.commit < self.truth.commit and node.current(host.clock(now)):
+            if not host.stopped and node.commit < self.truth.commit and node.is_current(host.clock(now)):
                 raise Broken(f"{host.name} calls {node.commit} current, {self.truth.commit} is committed")
         for body, index in list(self.told.items()):
             count = self.truth.applied.get(index)
@@ -194,7 +194,7 @@
                 raise Broken(f"{body!r} was told to be at {index}, where nothing is")
 
     def _complete(self, host: Host, node: Node) -> None:
-        for index in range(node.base.index + 1, self.truth.commit + 1):
+        for index in range(node.snapshot.index + 1, self.truth.commit + 1):
             if node.term_at(index) != self.truth.terms.get(index, node.term_at(index)):
                 raise Broken(f"{host.name} leads in term {node.term} without entry {index}")
 
@@ -266,7 +266,7 @@
                 world.go_on(host)
         cluster.proposing = False
         if not world.until(lambda: bool(cluster.leader()) and cluster.agreed(), 30.0):
-            found = [(h.name, n.role, n.term, n.commit, n.proved) for h, n in cluster.nodes()]
+            found = [(h.name, n.role, n.term, n.commit, n.is_verified) for h, n in cluster.nodes()]
             raise Broken(f"no agreement 30 s after the last fault: {found}")
         cluster.once()
     except Broken as error:
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -289,7 +289,7 @@
 
             service.changed = changed
         if self.daemon.agreement is not None:
-            self.daemon.agreement.agreement.applied = lambda entry: self.applied(entry)
+            self.daemon.agreement.agreement.on_applied = lambda entry: self.applied(entry)
 
     @property
     def members(self) -> int:
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -120,7 +120,7 @@
     world.start(world.host(lost))
 
     def sure() -> bool:
-        return any(host.name == lost and node.proved for host, node in made.nodes())
+        return any(host.name == lost and node.is_verified for host, node in made.nodes())
 
     assert world.until(sure, 4.0)
     told.title(f"{lost} may vote again")
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -179,7 +179,7 @@
         agreement = r.daemon.agreement.agreement
         assert agreement is not None and agreement.node is not None
         for number, body in enumerate((b"torn", b"x" * 40_000)):
-            agreement._do(
+            agreement._run_effects(
                 agreement.node.propose(r.daemon.clock(), encode(Command("another", number + 1, "configuration", body)))[
                     1
                 ]
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import Machine
+from brackenpulley.consensus.machine import StateMachine
 from brackenpulley.drains.holder import PART, Holder
 from brackenpulley.drains.limits import Command, Enter, Leave, Limit, Limits, Want, encode
 from brackenpulley.drains.schedule import Ingress, Rules, fits, lasts, left_out, waves
@@ -191,7 +191,7 @@
             f"{host.name}@{host.life}",
             host.name,
             self.seats,
-            lambda: Machine({PART: Limits()}),
+            lambda: StateMachine({PART: Limits()}),
             random.Random(self.rng.random()),
             self.world.now,
             host.disk if host.name in self.seats else None,
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -12,7 +12,7 @@
 import pytest
 
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import Machine
+from brackenpulley.consensus.machine import StateMachine
 from brackenpulley.maintenance.clerk import PART, Clerk
 from brackenpulley.maintenance.order import PASSES, Bounds, Facts, Server, Wanted, plan, why_not
 from brackenpulley.maintenance.permits import (
@@ -384,7 +384,7 @@
             f"{host.name}@{host.life}",
             host.name,
             self.seats,
-            lambda: Machine({PART: Permits()}),
+            lambda: StateMachine({PART: Permits()}),
             random.Random(self.rng.random()),
             self.world.now,
             host.disk if host.name in self.seats else None,
@@ -400,7 +400,7 @@
             60.0,
             self.world.now,
         )
-        part.advanced = clerk.heard
+        part.on_advanced = clerk.heard
         life = host.life
 
         def look() -> None:
@@ -537,10 +537,10 @@
 class Follows:
     """An agreement that holds what the test says, and takes no proposals."""
 
-    id, leads = "x@1", False
+    id, is_leader = "x@1", False
 
     def __init__(self) -> None:
-        self.machine = Machine({})
+        self.machine = StateMachine({})
 
     def propose(self, now: float, part: str, body: bytes, patience: float, done: Any) -> bool:
         return True
--- a/tests/transcripts.py
+++ b/tests/transcripts.py
@@ -63,7 +63,7 @@
         def sent(host: Host, send: Send) -> None:
             body: Any = send.body
             if isinstance(body, Carry):
-                body = decode(body.data).word
+                body = decode(body.data).payload
             way = "=>" if send.stream else "->"
             self.say(f"{world.now - START:7.3f} {host.name} {way} {names.get(send.to, send.to)}  {self.word(body)}")
 
