--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -25,7 +25,7 @@
 from brackenpulley.consensus.agreement import COMPACTION_ENTRIES, Agreement
 from brackenpulley.consensus.feed import Follower
 from brackenpulley.consensus.machine import StateMachine
-from brackenpulley.consensus.raft import FOLLOWER, LEADER, PersistentState, Node, Persist
+from brackenpulley.consensus.raft import FOLLOWER, LEADER, Node, Persist, PersistentState
 from brackenpulley.consensus.wire import AddressedPayload, Config, Entry, Snapshot, decode, encode
 from brackenpulley.maintenance.order import Bounds, Facts, Server
 from brackenpulley.maintenance.permits import (
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -31,7 +31,7 @@
 from brackenpulley.configuration.rules import Change, ChangeError, Content, check, encoded
 from brackenpulley.configuration.wire import WireError, pack, pack_change, seal, unpack, unseal
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import StateMachine, Outcome
+from brackenpulley.consensus.machine import Outcome, StateMachine
 from brackenpulley.consensus.wire import Entry
 from brackenpulley.plans.book import Figures
 from brackenpulley.simulation.faults import Faults
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -15,8 +15,8 @@
 from brackenpulley.configuration.rules import Change
 from brackenpulley.configuration.wire import pack, pack_change, seal
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import StateMachine, Outcome
-from brackenpulley.consensus.wire import AddressedPayload, Config, Snapshot, LogUpdate
+from brackenpulley.consensus.machine import Outcome, StateMachine
+from brackenpulley.consensus.wire import AddressedPayload, Config, LogUpdate, Snapshot
 from brackenpulley.consensus.wire import encode as encode_word
 from brackenpulley.members.protocol import Send
 from brackenpulley.members.wire import Carry
--- a/brackenpulley/consensus/__init__.py
+++ b/brackenpulley/consensus/__init__.py
@@ -1,5 +1,7 @@
-"""Agreement: a replicated log among three or five voters, followed by every other process of the fleet.
+"""Raft-replicated log among one, three or five voters, followed by every other process of the fleet.
 
-`raft` (the voters' states), `machine` (what the log is applied to), `feed` (who follows) and `agreement` (the three of
-them as a part of a `members` station) have no I/O; `store` keeps a voter's part on disk, `service` is a daemon's.
-Whoever needs an agreed order proposes to it."""
+`raft` implements a voter, `machine` the state machine that the log is applied to, `feed` the distribution of committed
+entries to processes without a vote, and `agreement` combines the three as one part of a `members` station; none of them
+does I/O. `store` persists a voter's state, and `service` runs all of it in a serving process. Parts that need a totally
+ordered stream of commands propose them here.
+"""
--- a/brackenpulley/consensus/agreement.py
+++ b/brackenpulley/consensus/agreement.py
@@ -1,8 +1,10 @@
-"""Voter or follower, with the machine that the log is applied to: one part of a `members` station. No I/O.
+"""Voter or follower with the state machine of the log, as one part of a `members` station. No I/O.
 
-A voter has a `Disk`; a process without one follows. Whoever proposes hears what came of it when its own machine has
-applied it: whatever it reads then holds it. A proposal goes to the leader as far as that is known, else to a voter that
-passes it on, and again every `PROPOSAL_RETRY_SECONDS` s until it is seen in the log or its time is over; the machine takes it once."""
+A process with a `Disk` is a voter, one without follows. A proposer learns the outcome of its command when its own state
+machine has applied it, so what it reads afterwards includes the command. A proposal goes to the leader if that is
+known, else to a voter that forwards it, and again every `PROPOSAL_RETRY_SECONDS` until it appears in the log or times
+out; the state machine applies it once.
+"""
 
 from __future__ import annotations
 
@@ -33,26 +35,28 @@
 from .wire import decode as decode_payload
 from .wire import encode as encode_payload
 
-KIND = "agree"  # of a station's part
-PROPOSAL_RETRY_SECONDS = 0.5  # s
-COMPACTION_ENTRIES = 1000  # entries that the log holds before they become a snapshot
-MAX_OUTSTANDING = 16  # from the oldest proposal of a process that is out to the newest
+KIND = "agree"  # kind of the station's part
+PROPOSAL_RETRY_SECONDS = 0.5
+COMPACTION_ENTRIES = 1000  # log length beyond which applied entries are compacted into a snapshot
+MAX_OUTSTANDING = 16  # span of numbers from the oldest outstanding proposal of a process to the newest
 
 OutcomeCallback = Callable[[Outcome | None], None]
 
 
 class Disk(Protocol):
-    """A voter's part on disk."""
+    """Persistent storage of a voter."""
 
     def load(self) -> tuple[PersistentState, bool]:
-        """What it holds, and whether it is is_verified that nothing written since is missing."""
+        """Return the persisted state and whether it is certain to include every write."""
 
     def store(self, store: Persist) -> bool:
-        """True once it is synced; False where it can't be, and then nothing of it counts."""
+        """Write and sync; return False on failure, in which case nothing was written."""
 
 
 @dataclass(slots=True)
 class Pending:
+    """Proposal whose outcome is not known yet."""
+
     data: bytes
     expires_at: float
     retry_at: float
@@ -60,6 +64,8 @@
 
 
 class Agreement:
+    """Voter or follower with its state machine, as one part of a `members` station."""
+
     def __init__(
         self,
         ident: str,
@@ -71,7 +77,7 @@
         disk: Disk | None = None,
         timing: Timing | None = None,
     ) -> None:
-        """`ident` is of this life, `name` outlives it; `voters` are those of the settings."""
+        """`ident` is unique to this incarnation, `name` is stable; `voters` are those of the settings."""
         self.id, self.name, self.voters, self.rng, self.now = ident, name, voters, rng, now
         self.timing, self._disk, self._make_machine = timing or Timing(), disk, machine
         self.machine = machine()
@@ -80,13 +86,13 @@
         self.follower: Follower | None = None
         self.on_applied: Callable[[Entry], None] = lambda entry: None
         self.on_restored: Callable[[], None] = lambda: None
-        self.on_advanced: Callable[[], None] = lambda: None  # after all that came at once is applied, or restored
+        self.on_advanced: Callable[[], None] = lambda: None  # after each batch of entries or snapshot
         self._pending: dict[int, Pending] = {}
         self._last_number = 0
         self._outbox: list[tuple[str, bytes]] = []
         self._effects: deque[Effect] = deque()
         self._is_running_effects = False
-        self._follower_addresses: dict[str, str] = {}  # of those that follow
+        self._follower_addresses: dict[str, str] = {}  # by identity of the subscribed follower
         self._restart_at = inf
         if disk is not None:
             self._open_node()
@@ -98,7 +104,7 @@
         persisted, is_verified = self._disk.load()
         self.machine = self._make_machine()
         self.machine.restore(persisted.snapshot)
-        # Those of the settings count as initial_voters only with this one among them: another one comes by a change.
+        # A voter that the settings do not list joins by a configuration change and never bootstraps a log.
         initial_voters = self.voters if self.name in self.voters else {}
         self.node = Node(self.name, persisted, self.rng, self.now, self.timing, is_verified, initial_voters)
         self.log_source = Source(self.node)
@@ -106,25 +112,26 @@
         self.on_restored()
         self.on_advanced()
 
-    # What it knows.
+    # State.
 
     @property
     def leader(self) -> str:
-        """As far as it knows; "" for nobody."""
+        """Return the name of the leader as far as it is known, else ""."""
         if self.node is not None:
             return self.node.leader
         return self.follower.leader if self.follower is not None else ""
 
     @property
     def is_leader(self) -> bool:
+        """Return whether this process leads the log."""
         return self.node is not None and self.node.role == LEADER and not self.node.is_halted
 
     def is_current(self, now: float) -> bool:
-        """What is read here now is all that was agreed before: this one leads by a confirmed lease."""
+        """Return whether local reads reflect every committed entry: this voter leads with a confirmed lease."""
         return self.node is not None and self.node.is_current(now)
 
     def voter_addresses(self) -> VoterAddresses:
-        """Voters as they are, with those of the settings until a configuration is known."""
+        """Return voters and learners, or the voters of the settings until a configuration is known."""
         config = self._config()
         return {**config.voters, **config.learners} or self.voters
 
@@ -132,12 +139,17 @@
         return self.node.config if self.node is not None else Config({})
 
     def address(self, name: str) -> str:
+        """Return the address of a voter, or "" for an unknown one."""
         return self.voter_addresses().get(name) or self.voters.get(name, "")
 
-    # What comes in.
+    # Input.
 
     def propose(self, now: float, part: str, body: bytes, timeout: float, callback: OutcomeCallback) -> bool:
-        """False where too many are out already."""
+        """Propose a command for `part` and call `callback` with its outcome.
+
+        The callback gets None after `timeout` seconds without an outcome. Returns False without proposing where too
+        many proposals are outstanding.
+        """
         self.now = max(self.now, now)
         if self._pending and self._last_number - min(self._pending) >= MAX_OUTSTANDING - 1:
             return False
@@ -148,25 +160,33 @@
         return True
 
     def change_voter(self, now: float, name: str, address: str = "") -> str:
-        """A voter comes or goes; only where this one leads. Says why not, or ""."""
+        """Add a voter, or remove it where `address` is empty; only the leader can.
+
+        Returns the reason for a rejection, or "".
+        """
         if self.node is None:
-            return "this process has no vote"
+            return "this process is not a voter"
         problem, effects = self.node.change_voter(now, name, address)
         self._run_effects(effects)
         return problem
 
     def trust_store(self, now: float) -> bool:
-        """An operator's payload that this voter's disk is as it was left."""
+        """Accept this voter's disk as complete on an operator's word.
+
+        Returns whether the voter was unverified and is verified now.
+        """
         if self.node is None or self.node.is_verified:
             return False
         self._run_effects(self.node.trust_store(now))
         return self.node.is_verified
 
     def resign(self, now: float) -> None:
+        """Give up leadership, if held, and ask another voter to take over."""
         if self.node is not None:
             self._run_effects(self.node.resign(now))
 
     def receive(self, now: float, address: str, data: bytes) -> None:
+        """Process one encoded payload; malformed data and payloads for another process are dropped."""
         self.now = max(self.now, now)
         try:
             addressed = decode_payload(data)
@@ -192,6 +212,7 @@
         self._feed_followers()
 
     def tick(self, now: float) -> None:
+        """Run all timers that are due."""
         self.now = max(self.now, now)
         if self.now >= self._restart_at:
             self._open_node()
@@ -204,6 +225,7 @@
         self._retry_pending()
 
     def next_tick(self) -> float:
+        """Return the time at which `tick` is due."""
         times = [self._restart_at, *(min(pending.retry_at, pending.expires_at) for pending in self._pending.values())]
         if self.node is not None:
             times.append(self.node.next_tick())
@@ -212,13 +234,14 @@
         return max(self.now, min(times))
 
     def changed(self, now: float, change: Changed) -> None:
-        """Membership says nothing of who votes."""
+        """Ignore changes of membership: voters change only through the log."""
 
     def take(self) -> list[tuple[str, bytes]]:
+        """Return and clear the outbox of (address, data) pairs."""
         out, self._outbox = self._outbox, []
         return out
 
-    # What goes out.
+    # Output.
 
     def _queue(self, address: str, to: str, payload: Payload) -> None:
         if address:
@@ -226,7 +249,7 @@
             self._outbox.append((address, encode_payload(AddressedPayload(source, to, payload))))
 
     def _run_effects(self, effects: list[Effect]) -> None:
-        """In order, also where something done here brings more about; what can't be stored is followed by nothing."""
+        """Run effects in order, including those they cause; a failed write discards all that follow it."""
         self._effects.extend(effects)
         if self._is_running_effects:
             return
@@ -302,8 +325,8 @@
         for number, pending in list(self._pending.items()):
             if pending.expires_at <= self.now:
                 self._finish(number, None)
-            elif (found := self.machine.outcome(self.id, number)) is not None:
-                self._finish(number, found)  # it came with a snapshot
+            elif (known_outcome := self.machine.outcome(self.id, number)) is not None:
+                self._finish(number, known_outcome)  # applied as part of a snapshot
             elif pending.retry_at <= self.now:
                 pending.retry_at = self.now + PROPOSAL_RETRY_SECONDS
                 self._send_proposal(pending.data)
--- a/brackenpulley/consensus/feed.py
+++ b/brackenpulley/consensus/feed.py
@@ -1,10 +1,12 @@
-"""Who does not vote follows: it asks one voter for what is committed, and gets what comes after for some seconds.
+"""Distribution of committed log entries to processes without a vote.
 
-    follower  | asks one voter, in turn another where nothing comes; each question names what it holds
-    voter     | answers at once with what is missing, and while `SUBSCRIPTION_SECONDS` lasts sends on what is committed
+    follower  | subscribes at one voter and turns to another one when no answer comes; each poll names its last index
+    voter     | answers at once with what is missing, and sends on what is committed until the subscription expires
 
-A voter's load is its part of the followers, each entry once; a question a follower every `POLL_INTERVAL_SECONDS` s. Lost words cost one
-`POLL_INTERVAL_SECONDS`. What a voter calls committed is committed, whoever leads now, so any voter will do."""
+Followers spread over the voters, and each entry goes to each follower once, plus one poll per follower every
+`POLL_INTERVAL_SECONDS`. A lost message delays a follower by one such interval. A commit index reported by any voter is
+final, whichever voter leads, so a follower may subscribe at any of them.
+"""
 
 from __future__ import annotations
 
@@ -16,27 +18,28 @@
 from .raft import Node
 from .wire import Entry, LogUpdate, Snapshot, Subscribe, VoterAddresses
 
-POLL_INTERVAL_SECONDS, SUBSCRIPTION_SECONDS, ANSWER_TIMEOUT_SECONDS = (
-    1.0,
-    3.5,
-    1.2,
-)  # s: between questions, that one holds, without an answer until another is asked
+POLL_INTERVAL_SECONDS = 1.0  # between two Subscribe messages of a follower, before jitter
+SUBSCRIPTION_SECONDS = 3.5  # lease of a subscription
+ANSWER_TIMEOUT_SECONDS = 1.2  # without an answer before the follower turns to another voter
 
 
 @dataclass(slots=True)
 class Subscription:
+    """Follower that a voter sends committed entries to."""
+
     expires_at: float
-    sent_index: int  # index up to which it has been update
+    sent_index: int  # last index sent to the follower
 
 
 class Source:
-    """A voter's side. `tell` is called with what goes to whom."""
+    """Voter side of the feed: tracks subscriptions and builds updates from the log of `node`."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.subscriptions: dict[str, Subscription] = {}
 
     def subscribe(self, now: float, follower: str, payload: Subscribe) -> LogUpdate:
+        """Start or renew the subscription of a follower and return its first update."""
         update = self._build_update(payload.after_index)
         sent_index = (
             update.entries[-1].index
@@ -49,7 +52,7 @@
         return update
 
     def take_updates(self, now: float) -> list[tuple[str, LogUpdate]]:
-        """What has been committed since goes to those that wait for it."""
+        """Return newly committed entries as (follower, update) pairs and drop expired subscriptions."""
         updates = []
         for follower, subscription in list(self.subscriptions.items()):
             if now >= subscription.expires_at:
@@ -72,19 +75,18 @@
 
 @dataclass(slots=True)
 class Follower:
-    """Of the voters named here; `index` is what it holds."""
+    """Follower side of the feed: polls one of `voters` and checks that entries arrive without a gap."""
 
     rng: random.Random
     voters: VoterAddresses
     now: float
-    index: int = 0
-    commit: int = 0
+    index: int = 0  # last index received
+    commit: int = 0  # greatest commit index reported by any voter
     leader: str = ""
-    voter: str = ""
-    heard_at: float = -inf
-    leader_heard_at: float = (
-        -inf
-    )  # when a voter last answered that knows a leader: one that is cut off itself answers as well
+    voter: str = ""  # the voter subscribed to, "" before the first poll
+    heard_at: float = -inf  # when `voter` last answered
+    # When a voter that knows a leader last answered: a voter that is cut off from the quorum answers as well.
+    leader_heard_at: float = -inf
     _poll_at: float = 0.0
     _rotation: list[str] = field(default_factory=list)
 
@@ -92,7 +94,7 @@
         self._poll_at = self.now
 
     def tick(self, now: float) -> tuple[str, Subscribe] | None:
-        """Whom to ask."""
+        """Return the voter to poll and the message for it, or None when no poll is due."""
         self.now = max(self.now, now)
         if self._poll_at > self.now or not self.voters:
             return None
@@ -102,10 +104,14 @@
         return self.voter, Subscribe(self.index)
 
     def next_tick(self) -> float:
+        """Return the time at which `tick` is due, or infinity without voters."""
         return max(self.now, self._poll_at) if self.voters else inf
 
     def receive(self, now: float, source: str, payload: LogUpdate) -> tuple[Snapshot | None, Sequence[Entry]]:
-        """What is new of it, in order. A gap means that something was lost: asked for at once."""
+        """Process an update and return its new snapshot and its new entries, in order.
+
+        A gap in the entries means that an update was lost: they are dropped and requested again at the next tick.
+        """
         self.now = max(self.now, now)
         if source == self.voter:
             self.heard_at = self.now
@@ -122,7 +128,7 @@
         if new_entries:
             self.index = new_entries[-1].index
         if self.index < self.commit and source == self.voter and (new_entries or snapshot):
-            self._poll_at = self.now  # there is more than one message holds
+            self._poll_at = self.now  # the update was cut at the size limit of a message
         return snapshot, new_entries
 
     def _next_voter(self) -> str:
--- a/brackenpulley/consensus/raft.py
+++ b/brackenpulley/consensus/raft.py
@@ -1,34 +1,37 @@
-"""One voter of the log: everything that its state depends on comes in through `receive`, `tick`, `propose`, `change`.
-
-Raft (Ongaro and Ousterhout 2014), with pre-vote, check-quorum, leases and one-at-a-time changes of voters as in
-Ongaro's dissertation (2014, chapters 3, 4, 6 and 9). Who leads and who votes:
-
-    role      | its time is over       | a greater term         | a majority grants | a leader of its term speaks
-    ----------+------------------------+------------------------+-------------------+----------------------------
-    follower  | asks beforehand        | follower               |                   | follows it
-    asking    | asks again             | follower               | candidate         | follower
-    candidate | asks beforehand        | follower               | leader            | follower
-    leader    | beat; without majority | follower               |                   | (there is no other)
-              | for a time: follower   |                        |                   |
-
-Whether it may vote:
-
-    proof   | begins with                             | becomes `proved` by
-    --------+-----------------------------------------+----------------------------------------------------------------
-    proved  | the seal says that the disk is as left  |
-    unsure  | no seal, or one of another disk or boot | a leader that a majority without this voter confirmed after the
-            |                                         | question, once all that it held then is here; or without one,
-            |                                         | the payload of every other voter
-    fresh   | the disk holds nothing                  | such a leader; or no founder is beyond the first configuration
-
-Why that is enough: what a lost or older disk has forgotten are votes and what it said it held. A leader confirmed by a
-majority without this voter has a term at least that of any that this voter voted in or answered to, and holds whatever
-was committed by its payload; its own answers from now on are true again. The payload of all the others gives the term (and
-no vote in it) and how long a log a candidate must have, provided that not two disks are older at once. More of this in
-docs/design/consensus.md.
-
-What goes out is in the order in which it has to be done: first `Persist`, synced, then all that rests on it. StateQuery
-storing fails the voter is `halted`: what it thinks is ahead of its disk, so it says nothing until made anew from it."""
+"""Raft voter without I/O: all input comes through the public methods of `Node`, all output is a list of effects.
+
+Raft (Ongaro and Ousterhout 2014) with pre-vote, check-quorum, leader leases and single-server configuration changes as
+in Ongaro's dissertation (2014, chapters 3, 4, 6 and 9). The role "asking" is the pre-candidate. Transitions of roles:
+
+    role      | timeout                | greater term | majority grants | message of a leader of its term
+    ----------+------------------------+--------------+-----------------+--------------------------------
+    follower  | asking                 | follower     |                 | follower
+    asking    | asking                 | follower     | candidate       | follower
+    candidate | asking                 | follower     | leader          | follower
+    leader    | heartbeat; follower if | follower     |                 | (cannot occur)
+              | no majority was heard  |              |                 |
+              | for a timeout          |              |                 |
+
+A voter whose disk may have lost writes must not vote until it is verified:
+
+    disk       | state at start                          | verified by
+    -----------+-----------------------------------------+-------------------------------------------------------------
+    verified   | the seal confirms the last write        |
+    unverified | no seal, or one of another disk or boot | a leader that a majority without this voter confirmed after
+               |                                         | the query, once all its entries of that time are here; or,
+               |                                         | without a leader, the replies of every other voter
+    empty      | the disk holds nothing                  | such a leader; or a bootstrap, if no initial voter is beyond
+               |                                         | the first configuration
+
+A lost or older disk has forgotten votes and acknowledgements. A leader confirmed by a majority without this voter has a
+term no less than any in which this voter voted or acknowledged, and holds every entry that was committed with its
+acknowledgement; so acknowledgements are sound again from then on. The replies of all other voters give the term (with
+the vote in it spent) and the log position that a candidate must reach, provided that no two disks are older copies at
+once. See docs/design/consensus.md.
+
+Effects must be run in order: `Persist` comes first and must be synced before the others. If it fails the node is
+halted, since its memory is ahead of its disk, and stays silent until it is created anew from the disk.
+"""
 
 from __future__ import annotations
 
@@ -55,39 +58,47 @@
     unpack_config,
 )
 
-FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
-VOTE_SPENT = "-"  # a vote that can't be given any more
-UNKNOWN_TERM, IMPOSSIBLE_TERM = -1, -2  # terms: of an entry that is not here, and one that no entry has
-MAX_BATCH_ENTRIES, MAX_BATCH_BYTES = 64, 60_000  # entries of one message
-MAX_TRACKED_ROUNDS = 256  # that a leader remembers the time of
-INSTALL_RETRY_SECONDS = 1.0  # s between two tries to send a snapshot
-QUERY_INTERVAL_HEARTBEATS = 3  # beats between two questions of a voter that is unsure
+FOLLOWER = "follower"
+PRE_CANDIDATE = "asking"
+CANDIDATE = "candidate"
+LEADER = "leader"
+VOTE_SPENT = "-"  # value of `vote` that grants no further vote in the term
+UNKNOWN_TERM = -1  # term of an entry that is not in the log
+IMPOSSIBLE_TERM = -2  # term that matches no entry, so that the receiver rejects the append
+MAX_BATCH_ENTRIES = 64  # of one AppendEntries
+MAX_BATCH_BYTES = 60_000  # of one AppendEntries; a single larger entry is still sent
+MAX_TRACKED_ROUNDS = 256  # replication rounds whose send time a leader keeps
+INSTALL_RETRY_SECONDS = 1.0  # between two transfers of a snapshot to the same peer
+QUERY_INTERVAL_HEARTBEATS = 3  # heartbeat intervals between two StateQuery of an unverified voter
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Seconds. `drift`: part of `election` by which clocks may differ over that time."""
+    """Intervals in seconds; `clock_drift` is the relative clock error assumed over an election timeout."""
 
     heartbeat: float = 0.2
-    election_timeout: float = 1.0  # without a leader's payload, to twice as long
+    election_timeout: float = 1.0  # minimum; randomized up to twice this
     clock_drift: float = 0.1
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """What the disk holds. `unsure` and `floor` outlive a restart: nothing was proved by it."""
+    """What the disk of a voter holds.
+
+    `is_unverified` and `log_floor` survive a restart, since a restart verifies nothing.
+    """
 
     term: int = 0
     vote: str = ""
     is_unverified: bool = False
     log_floor: tuple[int, int] = (0, 0)
     snapshot: Snapshot = Snapshot()
-    entries: list[Entry] = field(default_factory=list)  # those after the snapshot, without a gap
+    entries: list[Entry] = field(default_factory=list)  # contiguous, starting right after the snapshot
 
 
 @dataclass(slots=True, frozen=True)
 class Persist:
-    """To be on disk before anything that stands behind it: entries from `first` on are replaced by these."""
+    """Write to disk, and sync, before any later effect: `entries` replace all from `first_index` on."""
 
     term: int
     vote: str
@@ -95,23 +106,27 @@
     log_floor: tuple[int, int]
     first_index: int
     entries: tuple[Entry, ...]
-    snapshot: Snapshot | None = None  # entries up to its index are no longer needed
+    snapshot: Snapshot | None = None  # replaces all entries up to its index
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
+    """Send a payload to the voter `to`."""
+
     to: str
     payload: RaftMessage
 
 
 @dataclass(slots=True, frozen=True)
 class Apply:
+    """Apply committed entries to the state machine."""
+
     entries: tuple[Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Restore:
-    """Everything applied so far is replaced."""
+    """Replace the state machine by a snapshot."""
 
     snapshot: Snapshot
 
@@ -121,23 +136,27 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of another one."""
+    """State of a voter or learner as its leader knows it."""
 
     next_index: int
     match_index: int = 0
     heard_at: float = -inf
-    confirmed_at: float = -inf  # when the last round that it answered was sent
-    confirmed_round: int = 0  # that one
+    confirmed_at: float = -inf  # when the leader sent `confirmed_round`
+    confirmed_round: int = 0  # latest round that the peer acknowledged
     snapshot_sent_at: float = -inf
     incarnation: int = 0
-    nonce: int = 0  # of one that is unsure: what it has to be shown
-    nonce_round: int = 0
-    nonce_index: int = 0
-    verified_nonce: int = 0
+    nonce: int = 0  # of the peer's incarnation while it is unverified, else 0
+    nonce_round: int = 0  # first round sent after the nonce arrived
+    nonce_index: int = 0  # last index when the nonce arrived
+    verified_nonce: int = 0  # the nonce, once the peer may vote again
 
 
 class Node:
-    """`initial_voters` are those of the settings; they count only while all of them are fresh."""
+    """State of one voter.
+
+    `initial_voters` are those of the settings. They are used only to bootstrap a new log, once all of them have
+    reported an empty disk.
+    """
 
     def __init__(
         self,
@@ -157,10 +176,11 @@
             list(persisted.entries),
         )
         self.initial_voters = dict(initial_voters or {})
-        sure = is_verified and not persisted.is_unverified and persisted.snapshot.index > 0
-        self.nonce = 0 if sure else rng.getrandbits(62) + 1
+        is_trusted = is_verified and not persisted.is_unverified and persisted.snapshot.index > 0
+        self.nonce = 0 if is_trusted else rng.getrandbits(62) + 1
         self.incarnation = rng.getrandbits(62)
-        self.log_floor = persisted.log_floor  # (term, index) that a candidate's log must reach, whatever ours is
+        # (term, index) that a candidate's log must reach, even where this log is shorter
+        self.log_floor = persisted.log_floor
         self.is_halted = False
         self.role, self.leader = FOLLOWER, ""
         self.commit = self.applied = self.snapshot.index
@@ -171,64 +191,70 @@
         self._configs: list[tuple[int, Config]] = [(self.snapshot.index, self.snapshot.config)]
         for entry in self.entries:
             self._note_config(entry)
-        self._leader_heard_at = now  # a leader's payload; at the start too, since one may have been promised time
+        self._leader_heard_at = now  # also at start: this voter may have granted a lease
         self._election_deadline = 0.0
         self._heartbeat_at = self._query_at = now
         self._round = 0
         self._round_sent_at: dict[int, float] = {}
-        self._term_start_index = 0  # index of this leader's first entry
+        self._term_start_index = 0  # index of this leader's first entry of its term
         self._saved_state = (self.term, self.vote, persisted.is_unverified, self.log_floor)
-        self._first_unsaved = 0  # of the entries that are still to be stored; 0 = none
+        self._first_unsaved = 0  # index of the first entry not persisted yet; 0 = none
         self._unsaved_snapshot: Snapshot | None = None
         self._pending_effects: list[Effect] = []
         self._reset_election_timer()
 
-    # What it is.
+    # State.
 
     @property
     def is_verified(self) -> bool:
+        """Whether the disk is known to include every write, without which this voter must not vote."""
         return not self.nonce
 
     @property
     def is_empty(self) -> bool:
-        """No leader was ever heard of either."""
+        """Whether the disk holds nothing and no leader was ever heard of."""
         return not self.term and not self.snapshot.index
 
     @property
     def config(self) -> Config:
+        """The latest configuration in the log, committed or not."""
         return self._configs[-1][1]
 
     @property
     def last_index(self) -> int:
+        """Index of the last log entry."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def is_settled(self) -> bool:
-        """No change of voters is under way."""
+        """Whether the latest configuration is committed."""
         return self._configs[-1][0] <= self.commit
 
     def term_at(self, index: int) -> int:
-        """UNKNOWN_TERM where it is not here any more, or not yet."""
+        """Return the term of an entry, or UNKNOWN_TERM where it is compacted or not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        at = index - self.snapshot.index - 1
-        return self.entries[at].term if 0 <= at < len(self.entries) else UNKNOWN_TERM
+        offset = index - self.snapshot.index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else UNKNOWN_TERM
 
     def entries_after(self, index: int, limit: int = MAX_BATCH_ENTRIES) -> list[Entry]:
-        """Entries from the one after `index` on."""
+        """Return entries following `index`, at most `limit` and about MAX_BATCH_BYTES."""
         begin = max(0, index - self.snapshot.index)
-        found: list[Entry] = []
+        entries: list[Entry] = []
         size = 0
         for entry in self.entries[begin : begin + limit]:
             size += len(entry.data) + 40
-            if found and size > MAX_BATCH_BYTES:
+            if entries and size > MAX_BATCH_BYTES:
                 break
-            found.append(entry)
-        return found
+            entries.append(entry)
+        return entries
 
     def is_current(self, now: float) -> bool:
-        """What is applied here is all that is committed anywhere: it leads, a majority said so so lately that no other
-        one can lead yet, and an entry of its own term is committed."""
+        """Return whether all entries committed anywhere are applied here.
+
+        This holds for a leader whose lease a majority has confirmed recently enough that no other leader can exist,
+        once an entry of its own term is committed.
+        """
         if self.role != LEADER or self.is_halted or self.commit < self._term_start_index or self.applied < self.commit:
             return False
         times = sorted(
@@ -237,9 +263,10 @@
         since = times[self.config.majority - 1]
         return now < since + self.timing.election_timeout * (1 - self.timing.clock_drift)
 
-    # What comes in.
+    # Input.
 
     def receive(self, now: float, source: str, payload: RaftMessage) -> list[Effect]:
+        """Process a payload from another voter."""
         self.now = max(self.now, now)
         if self.is_halted:
             return []
@@ -284,7 +311,7 @@
         return self._take_effects()
 
     def tick(self, now: float) -> list[Effect]:
-        """To be called again by `next_tick`."""
+        """Run all timers that are due."""
         self.now = max(self.now, now)
         if self.is_halted:
             return []
@@ -292,7 +319,7 @@
             self._query_at = self.now + self.timing.heartbeat * QUERY_INTERVAL_HEARTBEATS * (
                 0.75 + 0.5 * self.rng.random()
             )
-            self._try_verify()  # a lone voter has nobody to wait for
+            self._try_verify()  # a single voter needs no reply
             if self.nonce:
                 for name in self._other_voters():
                     self._send(name, StateQuery(self.nonce))
@@ -306,13 +333,14 @@
         return self._take_effects()
 
     def next_tick(self) -> float:
+        """Return the time at which `tick` is due, or infinity for a halted voter."""
         times = [self._heartbeat_at if self.role == LEADER else self._election_deadline]
         if self.nonce:
             times.append(self._query_at)
         return inf if self.is_halted else max(self.now, min(times))
 
     def propose(self, now: float, data: bytes) -> tuple[int, list[Effect]]:
-        """The index that it will have if it is committed; 0 where this voter does not lead."""
+        """Append a command and return the index it gets if it is committed, or 0 where this voter is not the leader."""
         self.now = max(self.now, now)
         if self.role != LEADER or self.is_halted:
             return 0, []
@@ -321,58 +349,64 @@
         return index, self._take_effects()
 
     def change_voter(self, now: float, name: str, address: str = "") -> tuple[str, list[Effect]]:
-        """One voter comes, first as one that only listens, or goes where no address is told. Says why not, or ""."""
+        """Add a voter, first as a learner, or remove it where `address` is empty.
+
+        Returns the reason for a rejection, or "", and the effects.
+        """
         self.now = max(self.now, now)
         config = self.config
         if self.role != LEADER or self.is_halted:
-            return "this voter does not lead", []
+            return "this voter is not the leader", []
         if not self.is_settled or self.commit < self._term_start_index:
             return "another change is under way", []
         if address:
             if name in config.voters or name in config.learners:
-                return f"{name} is one already", []
-            made = Config(config.voters, {**config.learners, name: address})
+                return f"{name} is already a voter or learner", []
+            new_config = Config(config.voters, {**config.learners, name: address})
         else:
             if name not in config.voters and name not in config.learners:
                 return f"no voter {name}", []
             if len(config.voters) == 1 and name in config.voters:
-                return "the last voter cannot go", []
-            made = Config(
-                *({n: at for n, at in addresses.items() if n != name} for addresses in (config.voters, config.learners))
+                return "the last voter cannot be removed", []
+            new_config = Config(
+                *(
+                    {other: peer_address for other, peer_address in addresses.items() if other != name}
+                    for addresses in (config.voters, config.learners)
+                )
             )
-        self._append_entry("seats", pack_config(made))
+        self._append_entry("seats", pack_config(new_config))
         self._replicate()
         return "", self._take_effects()
 
     def resign(self, now: float) -> list[Effect]:
-        """It goes, and asks the one whose log is longest to lead: nobody waits for a time-out."""
+        """Step down and ask the reachable voter with the longest log to start an election without a timeout."""
         self.now = max(self.now, now)
         if self.role == LEADER and not self.is_halted:
             others = [
-                (p.match_index, name)
-                for name, p in self.peers.items()
-                if name in self.config.voters and self.now - p.heard_at < self.timing.election_timeout
+                (peer.match_index, name)
+                for name, peer in self.peers.items()
+                if name in self.config.voters and self.now - peer.heard_at < self.timing.election_timeout
             ]
             term = self.term
             self._become_follower(term, "")
-            self._leader_heard_at = self.now  # it does not stand itself before the other one could
+            self._leader_heard_at = self.now  # gives the successor time to be elected first
             if others:
                 self._send(max(others)[1], TimeoutNow(term))
         return self._take_effects()
 
     def compact(self, index: int, data: bytes) -> list[Effect]:
-        """All up to `index`, which is applied, is in `data` and leaves the log."""
+        """Replace the log up to `index`, which must be applied, by a snapshot with `data`."""
         if self.snapshot.index < index <= self.applied and not self.is_halted:
-            config = [c for at, c in self._configs if at <= index][-1]
+            config = [config for start, config in self._configs if start <= index][-1]
             entry = self.entries[index - self.snapshot.index - 1]
-            made = Snapshot(index, entry.term, config, data, entry.timestamp)
+            snapshot = Snapshot(index, entry.term, config, data, entry.timestamp)
             del self.entries[: index - self.snapshot.index]
-            self.snapshot = self._unsaved_snapshot = made
-            self._configs = [(index, config), *((at, c) for at, c in self._configs if at > index)]
+            self.snapshot = self._unsaved_snapshot = snapshot
+            self._configs = [(index, config), *((start, later) for start, later in self._configs if start > index)]
         return self._take_effects()
 
     def trust_store(self, now: float) -> list[Effect]:
-        """An operator's payload that this disk is as it was left."""
+        """Accept the disk as complete on an operator's word."""
         self.now = max(self.now, now)
         if self.snapshot.index:
             self.nonce = 0
@@ -381,17 +415,17 @@
     # Elections.
 
     def _reset_election_timer(self) -> None:
-        """A new time to wait, never in step with the others."""
+        """Restart the election timeout, randomized so that voters do not time out together."""
         self._election_deadline = self.now + self.timing.election_timeout * (1 + self.rng.random())
 
     def _has_live_leader(self) -> bool:
-        """A leader was heard so lately that it counts on not being replaced."""
+        """Return whether a leader was heard so recently that it may rely on its lease."""
         if self.role == LEADER:
             return self._has_recent_quorum()
         return self.now < self._leader_heard_at + self.timing.election_timeout
 
     def _is_log_behind(self, last_term: int, last_index: int) -> bool:
-        """That log may lack what ours has, or what ours had."""
+        """Return whether a candidate's log may lack entries that this voter holds or has acknowledged."""
         return (last_term, last_index) < max((self.term_at(self.last_index), self.last_index), self.log_floor)
 
     def _handle_vote_request(self, source: str, payload: RequestVote) -> None:
@@ -445,7 +479,7 @@
         self._check_votes()
 
     def _handle_vote_reply(self, source: str, payload: VoteReply) -> None:
-        asked = (
+        is_expected = (
             self.role == PRE_CANDIDATE
             and payload.is_pre_vote
             and payload.term == self.term + 1
@@ -453,7 +487,7 @@
             and not payload.is_pre_vote
             and payload.term == self.term
         )
-        if asked and payload.granted and source in self.config.voters:
+        if is_expected and payload.granted and source in self.config.voters:
             self.votes.add(source)
             self._check_votes()
 
@@ -481,29 +515,29 @@
         self.role, self.leader, self.votes, self.peers = FOLLOWER, leader, set(), {}
         self._reset_election_timer()
 
-    # A leader.
+    # Leader.
 
     def _update_peers(self) -> None:
-        wanted = [name for name in (*self.config.voters, *self.config.learners) if name != self.name]
-        # In the order of the configuration: that of a set differs from process to process, and so would runs.
-        self.peers = {name: self.peers.get(name) or Progress(self.last_index + 1) for name in wanted}
+        names = [name for name in (*self.config.voters, *self.config.learners) if name != self.name]
+        # Configuration order keeps runs reproducible: the iteration order of a set of names differs between processes.
+        self.peers = {name: self.peers.get(name) or Progress(self.last_index + 1) for name in names}
 
     def _has_recent_quorum(self) -> bool:
-        heard = sum(
+        heard_count = sum(
             name == self.name or self.now - self.peers[name].heard_at < self.timing.election_timeout
             for name in self.config.voters
         )
-        return heard >= self.config.majority
+        return heard_count >= self.config.majority
 
     def _send_heartbeats(self) -> None:
         if not self._has_recent_quorum():
-            self._become_follower(self.term, "")  # cut off from the rest, who may have another one by now
+            self._become_follower(self.term, "")  # the majority may have elected another leader
             return
         self._heartbeat_at = self.now + self.timing.heartbeat
         self._replicate(include_current=True)
 
     def _replicate(self, include_current: bool = False) -> None:
-        """To those who lack something; to all where it is time."""
+        """Send missing entries to peers that lack some, or to all peers with `include_current`."""
         if self.role != LEADER:
             return
         self._round += 1
@@ -519,9 +553,8 @@
             if self.now >= peer.snapshot_sent_at + INSTALL_RETRY_SECONDS:
                 peer.snapshot_sent_at = self.now
                 self._send(name, InstallSnapshot(self.term, self.snapshot, self._round))
-            elif (
-                self._heartbeat_at > self.now + self.timing.heartbeat * 0.99
-            ):  # a sign of life meanwhile, and only with the beat
+            elif self._heartbeat_at > self.now + self.timing.heartbeat * 0.99:
+                # During a transfer an empty append serves as the heartbeat, sent only with the heartbeats.
                 self._send(name, AppendEntries(self.term, self.last_index + 1, IMPOSSIBLE_TERM, [], 0, self._round))
             return
         entries = self.entries_after(peer.next_index - 1)
@@ -537,7 +570,7 @@
                 peer.verified_nonce,
             ),
         )
-        peer.next_index += len(entries)  # lost ones are met by the answer to what follows
+        peer.next_index += len(entries)  # if they are lost, the reply to a later append resets it
 
     def _handle_append_reply(self, source: str, payload: AppendReply) -> None:
         peer = self.peers.get(source)
@@ -548,7 +581,7 @@
             peer.confirmed_round, peer.confirmed_at = payload.round, self._round_sent_at[payload.round]
         if (payload.incarnation, payload.nonce) != (peer.incarnation, peer.nonce):
             if payload.incarnation != peer.incarnation:
-                peer.match_index = 0  # another disk, maybe, under the same name: what it said it held counts no more
+                peer.match_index = 0  # possibly another disk: earlier acknowledgements are void
             peer.incarnation, peer.nonce, peer.verified_nonce = payload.incarnation, payload.nonce, 0
             if payload.nonce:
                 peer.nonce_round, peer.nonce_index = self._round + 1, self.last_index
@@ -556,7 +589,7 @@
             peer.next_index = max(peer.match_index + 1, min(payload.match_index + 1, self.last_index + 1))
             self._send_entries(source, peer)
             return
-        # A snapshot's answer may name what the log no longer holds; beyond our last nothing is ours.
+        # A reply to a snapshot may name an index compacted since; what is beyond the last index is not this leader's.
         peer.match_index = max(peer.match_index, min(payload.match_index, self.last_index))
         peer.next_index = max(peer.next_index, peer.match_index + 1)
         self._advance_commit()
@@ -569,23 +602,25 @@
             and self.is_settled
         ):
             voters = {**self.config.voters, source: self.config.learners[source]}
-            learners = {name: at for name, at in self.config.learners.items() if name != source}
+            learners = {name: address for name, address in self.config.learners.items() if name != source}
             self._append_entry("seats", pack_config(Config(voters, learners)))
             self._replicate()
         elif self.role == LEADER and peer.next_index <= self.last_index:
             self._send_entries(source, peer)
 
     def _verify_peer(self, source: str, peer: Progress) -> None:
-        """One that was unsure may vote again: a majority without it confirmed us after it asked, and it holds what we
-        held then."""
+        """Allow an unverified peer to vote again once it holds everything up to `nonce_index`.
+
+        A majority without the peer must have confirmed this leader since the nonce arrived.
+        """
         if not peer.nonce or peer.verified_nonce or peer.match_index < peer.nonce_index:
             return
-        sure = sum(
+        confirmations = sum(
             name == self.name or self.peers[name].confirmed_round >= peer.nonce_round
             for name in self.config.voters
             if name != source
         )
-        if sure >= self.config.majority:
+        if confirmations >= self.config.majority:
             peer.verified_nonce = peer.nonce
             self._count("cleared")
 
@@ -594,20 +629,20 @@
             (self.last_index if name == self.name else self.peers[name].match_index for name in self.config.voters),
             reverse=True,
         )
-        reached = matches[self.config.majority - 1]
-        if reached > self.commit and self.term_at(reached) == self.term:
-            self._commit_to(reached)
+        quorum_index = matches[self.config.majority - 1]
+        if quorum_index > self.commit and self.term_at(quorum_index) == self.term:
+            self._commit_to(quorum_index)
             if self.is_settled and self.name not in self.config.voters:
                 self._become_follower(self.term, "")
 
-    # A follower.
+    # Follower.
 
     def _handle_append(self, source: str, payload: AppendEntries) -> None:
         if payload.term < self.term:
             self._send(source, AppendReply(self.term, False, 0, payload.round, self.incarnation, self.nonce))
             return
         self._note_leader(source)
-        if payload.prev_index < self.snapshot.index:  # it holds that already, applied
+        if payload.prev_index < self.snapshot.index:  # already applied here
             entries = [entry for entry in payload.entries if entry.index > self.snapshot.index]
             if not entries or entries[0].index != self.snapshot.index + 1:
                 self._send(
@@ -617,12 +652,12 @@
         else:
             entries = payload.entries
             if self.term_at(payload.prev_index) != payload.prev_term:
-                worth = self.last_index if payload.prev_index > self.last_index else self.commit
-                self._send(source, AppendReply(self.term, False, worth, payload.round, self.incarnation, self.nonce))
+                hint = self.last_index if payload.prev_index > self.last_index else self.commit
+                self._send(source, AppendReply(self.term, False, hint, payload.round, self.incarnation, self.nonce))
                 return
-        for at, entry in enumerate(entries):
+        for position, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
-                self._replace_suffix(entries[at:])
+                self._replace_suffix(entries[position:])
                 break
         match = max(payload.prev_index + len(payload.entries), self.snapshot.index)
         self._commit_to(min(payload.commit, match))
@@ -635,17 +670,17 @@
             self._send(source, AppendReply(self.term, False, 0, payload.round, self.incarnation, self.nonce))
             return
         self._note_leader(source)
-        told = payload.snapshot
-        if told.index > self.commit:
-            if self.term_at(told.index) == told.term:
-                self._commit_to(told.index)
+        snapshot = payload.snapshot
+        if snapshot.index > self.commit:
+            if self.term_at(snapshot.index) == snapshot.term:
+                self._commit_to(snapshot.index)
             else:
-                self.snapshot = self._unsaved_snapshot = told
+                self.snapshot = self._unsaved_snapshot = snapshot
                 self.entries, self._first_unsaved = [], 0
-                self._configs = [(told.index, told.config)]
-                self.commit = self.applied = told.index
-                self._pending_effects.append(Restore(told))
-        self._send(source, AppendReply(self.term, True, told.index, payload.round, self.incarnation, self.nonce))
+                self._configs = [(snapshot.index, snapshot.config)]
+                self.commit = self.applied = snapshot.index
+                self._pending_effects.append(Restore(snapshot))
+        self._send(source, AppendReply(self.term, True, snapshot.index, payload.round, self.incarnation, self.nonce))
 
     def _note_leader(self, source: str) -> None:
         if self.role != FOLLOWER:
@@ -654,17 +689,17 @@
         self._reset_election_timer()
 
     def _replace_suffix(self, entries: list[Entry]) -> None:
-        """These follow what is held; what stood there is of a leader that has lost."""
+        """Append entries after dropping conflicting ones, which were never committed."""
         first = entries[0].index
         assert first > self.commit, "what is committed is never replaced"
         del self.entries[first - self.snapshot.index - 1 :]
-        self._configs = [(at, config) for at, config in self._configs if at < first]
+        self._configs = [(start, config) for start, config in self._configs if start < first]
         self._first_unsaved = min(self._first_unsaved or first, first)
         for entry in entries:
             self.entries.append(entry)
             self._note_config(entry)
 
-    # Whether the disk is as it was left.
+    # Verification of the disk.
 
     def _other_voters(self) -> list[str]:
         addresses = self.config.voters or self.initial_voters
@@ -676,7 +711,7 @@
             self._try_verify()
 
     def _try_verify(self) -> None:
-        """All the others have said where they are, since this life began."""
+        """Verify the disk, or bootstrap the log, once every other voter has answered this incarnation's query."""
         others = self._other_voters()
         if any(name not in self._state_replies for name in others):
             return
@@ -694,14 +729,14 @@
             return
         config = Config(self.initial_voters)
         if any(reply.last_index for reply in replies):
-            self._bootstrap(config)  # some have founded it, and nobody has gone on from there: payload of it was lost
+            self._bootstrap(config)  # others have bootstrapped and not gone further: Bootstrap was lost
         elif self.name == min(self.initial_voters):
             for name in others:
                 self._send(name, Bootstrap(config, {other: self._state_replies[other].nonce for other in others}))
             self._bootstrap(config)
 
     def _mark_verified(self, term: int, vote: str) -> None:
-        """It may vote again, but not in this term for anybody else."""
+        """Allow this voter to vote again, except in the current term where `vote` is taken."""
         self.nonce = 0
         if term > self.term:
             self._become_follower(term, "")
@@ -716,15 +751,15 @@
         self._pending_effects.append(Restore(self.snapshot))
         self._reset_election_timer()
 
-    # Small things.
+    # Helpers.
 
     def _note_config(self, entry: Entry) -> None:
         if entry.kind == "seats":
             self._configs.append((entry.index, unpack_config(entry.data)))
 
     def _append_entry(self, kind: str, data: bytes) -> int:
-        before = self.entries[-1].timestamp if self.entries else self.snapshot.timestamp
-        entry = Entry(self.last_index + 1, self.term, kind, data, max(self.now, before))
+        previous = self.entries[-1].timestamp if self.entries else self.snapshot.timestamp
+        entry = Entry(self.last_index + 1, self.term, kind, data, max(self.now, previous))
         self.entries.append(entry)
         self._first_unsaved = self._first_unsaved or entry.index
         self._note_config(entry)
@@ -746,11 +781,11 @@
         self._pending_effects.append(Send(to, payload))
 
     def _take_effects(self) -> list[Effect]:
-        out, self._pending_effects = self._pending_effects, []
-        now = (self.term, self.vote, bool(self.nonce), self.log_floor)
-        if now != self._saved_state or self._first_unsaved or self._unsaved_snapshot is not None:
+        effects, self._pending_effects = self._pending_effects, []
+        state = (self.term, self.vote, bool(self.nonce), self.log_floor)
+        if state != self._saved_state or self._first_unsaved or self._unsaved_snapshot is not None:
             first = self._first_unsaved or self.last_index + 1
             entries = tuple(self.entries[max(0, first - self.snapshot.index - 1) :])
-            out.insert(0, Persist(*now, first, entries, self._unsaved_snapshot))
-            self._saved_state, self._first_unsaved, self._unsaved_snapshot = now, 0, None
-        return out
+            effects.insert(0, Persist(*state, first, entries, self._unsaved_snapshot))
+            self._saved_state, self._first_unsaved, self._unsaved_snapshot = state, 0, None
+        return effects
--- a/brackenpulley/consensus/service.py
+++ b/brackenpulley/consensus/service.py
@@ -1,4 +1,4 @@
-"""The agreed log as a part of a daemon: its store, its place in the station, and what operators ask of it."""
+"""The replicated log as a service of a process: its store, its part of the station, and calls of the control API."""
 
 from __future__ import annotations
 
@@ -20,12 +20,15 @@
 
 
 class AgreementService:
-    """`parts` are added by whoever keeps an agreed state, before `start`."""
+    """The replicated log in a serving process.
+
+    Other services add the factories of their replicated states to `parts` before `start`.
+    """
 
     def __init__(
         self, loop: Loop, options: ConsensusOptions, name: str, members: DaemonMembers, metrics: Metrics, log: Any
     ) -> None:
-        """Raises ConfigError."""
+        """Raises ConfigError where the store cannot be opened."""
         self.loop, self.options, self.name, self.members = loop, options, name, members
         self.metrics, self.log = metrics, log
         self.parts: dict[str, Callable[[], Part]] = {}
@@ -44,7 +47,10 @@
                 raise ConfigError(f"consensus.path: {error}") from None
 
     def start(self) -> None:
-        """Membership listens by now."""
+        """Join the log; the membership service must be listening.
+
+        Raises ConfigError where the store cannot be read.
+        """
         try:
             self.agreement = Agreement(
                 self.members.service.id,
@@ -64,7 +70,7 @@
         return StateMachine({name: make() for name, make in self.parts.items()})
 
     def _monitor(self) -> None:
-        """Who leads is worth a line, and the counters of a voter are options with the others."""
+        """Log changes of the leader and count failed writes, once a second."""
         agreement = self.agreement
         if agreement is None:
             return
@@ -77,10 +83,11 @@
         self.loop.call_in(1.0, self._monitor)
 
     def send_pending(self) -> None:
-        """It has something to say that no message and no time brought about."""
+        """Send the output of calls made outside a received message or a tick."""
         self.members.service.said()
 
     def status(self) -> dict[str, Any]:
+        """Return what the control API reports on the log."""
         agreement = self.agreement
         if agreement is None:
             return {"voter": bool(self.options.directory), "leader": ""}
@@ -104,7 +111,10 @@
         return status
 
     def change_voter(self, name: str, address: str) -> str:
-        """Says why not, or ""."""
+        """Add a voter, or remove it where `address` is empty.
+
+        Returns the reason for a rejection, or "".
+        """
         if self.agreement is None:
             return "not started"
         problem = self.agreement.change_voter(self.loop.clock(), name, address)
@@ -112,6 +122,7 @@
         return problem
 
     def trust_store(self) -> bool:
+        """Accept this voter's disk as complete; return False where it is no unverified voter."""
         if self.agreement is None or not self.agreement.trust_store(self.loop.clock()):
             return False
         self.log.info("agreement", trusted=self.name)
@@ -119,12 +130,13 @@
         return True
 
     def hand_over(self) -> None:
-        """A leader that goes hands on before it does."""
+        """Transfer leadership, if held, before the process shuts down."""
         if self.agreement is not None:
             self.agreement.resign(self.loop.clock())
             self.send_pending()
 
     def stop(self) -> None:
+        """Leave the log and close the store."""
         self.agreement = None
         if self.store is not None:
             self.store.close()
--- a/brackenpulley/consensus/store.py
+++ b/brackenpulley/consensus/store.py
@@ -1,9 +1,10 @@
-"""A voter's part on disk: term, vote, snapshot and log in LMDB, each step one transaction, synced before it counts.
+"""Persistent state of a voter: term, vote, snapshot and log in LMDB, one synced transaction for each step.
 
-Beside it stands the seal, in a folder of its own: how many steps were stored, on which disk, in which boot of the host.
-It is not synced, so it outlives the process and not the host, and it is no part of a backup of the store. A store that
-has fewer steps than its seal is an older one; one without a seal of this boot may be. Either way `load` says that it is
-not is_verified, and the voter finds out from the others (see raft.py)."""
+A seal file in a directory of its own records the number of steps written, the identity of the disk and the boot of the
+host. It is never synced, so it survives the process but not the host, and it is not part of a backup of the store. A
+store with fewer steps than its seal is an older copy; one without a seal from this boot may be one. In both cases
+`load` reports that the state is unverified, and the voter asks the others (see raft.py).
+"""
 
 from __future__ import annotations
 
@@ -23,15 +24,17 @@
 
 FORMAT_VERSION = 1
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-SEAL_STRUCT = struct.Struct("<16s16sQ")  # boot, disk, steps
+SEAL_STRUCT = struct.Struct("<16s16sQ")  # boot id, disk id, number of writes
 _pack = msgspec.msgpack.Encoder().encode
 
 
 class StoreError(RuntimeError):
-    """The store cannot be used; the text says why and what to do."""
+    """The store cannot be used; the message gives the reason and the remedy."""
 
 
 class Meta(msgspec.Struct, array_like=True):
+    """Persistent state other than log and snapshot, with the identity of the store and its number of writes."""
+
     format: int
     name: str
     disk: bytes
@@ -48,16 +51,20 @@
 
 
 def encode_index(index: int) -> bytes:
+    """Encode a log index as a key that sorts in numeric order."""
     return index.to_bytes(8, "big")
 
 
 class LogStore:
-    """Owns the environment, the writer's lock and the seal's map; all are given back in `end`."""
+    """Persistent state of a voter in an LMDB environment.
+
+    Owns the environment, the lock file and the mapping of the seal until `close`.
+    """
 
     def __init__(self, path: str, seal: str, name: str, map_size: int = 64 << 20, boot_id: bytes | None = None) -> None:
-        """Raises StoreError."""
+        """Raises StoreError where the store is damaged, in use, or of another voter or format."""
         self.path, self.name = Path(path), name
-        self.last_error = ""  # why the last step could not be stored
+        self.last_error = ""  # of the last write; "" where it succeeded
         self._boot_id = (
             (BOOT_ID_PATH.read_bytes() if boot_id is None else boot_id).replace(b"-", b"").strip()[:16].ljust(16, b"0")
         )
@@ -82,12 +89,13 @@
         except msgspec.MsgspecError as error:
             self.close()
             raise StoreError(
-                f"{self.path}: damaged: {error}; empty the folder, the other voters bring this one up again"
+                f"{self.path}: damaged: {error}; empty the directory, and the other voters restore this one"
             ) from None
         if meta.format != FORMAT_VERSION or meta.name != self.name:
             self.close()
             raise StoreError(
-                f"{self.path}: of voter {meta.name}, format {meta.format}; this is {self.name}, format {FORMAT_VERSION}"
+                f"{self.path}: store of voter {meta.name}, format {meta.format}; "
+                f"expected {self.name}, format {FORMAT_VERSION}"
             )
         return meta
 
@@ -101,7 +109,10 @@
             os.close(file)
 
     def load(self) -> tuple[PersistentState, bool]:
-        """What it holds, and whether that is all that was ever stored. Raises StoreError where it can't be read."""
+        """Return the persisted state and whether the seal confirms that it includes every write.
+
+        Raises StoreError where the data is damaged.
+        """
         boot_id, disk, write_count = SEAL_STRUCT.unpack(self._seal[:])
         is_verified = (boot_id, disk) == (self._boot_id, self._meta.disk) and self._meta.write_count >= write_count
         try:
@@ -116,14 +127,14 @@
         for at, entry in enumerate(entries):
             if entry.index != snapshot.index + 1 + at:
                 raise StoreError(
-                    f"{self.path}: entry {snapshot.index + 1 + at} is missing; empty the folder, the "
-                    "other voters bring this one up again"
+                    f"{self.path}: entry {snapshot.index + 1 + at} is missing; empty the directory, "
+                    "and the other voters restore this one"
                 )
         meta = self._meta
         return PersistentState(meta.term, meta.vote, meta.is_unverified, meta.log_floor, snapshot, entries), is_verified
 
     def store(self, step: Persist) -> bool:
-        """False where the disk takes nothing: then nothing of it is stored."""
+        """Write all changes of a step in one synced transaction; return False where none was written."""
         meta = Meta(
             FORMAT_VERSION,
             self.name,
@@ -151,13 +162,14 @@
         return True
 
     def _delete_range(self, txn: Any, first: int, last: int) -> None:
-        """Entries from one to the other, both included."""
+        """Delete log entries from `first` to `last`, both included."""
         cursor = txn.cursor(db=self._log_db)
         has_entry = cursor.set_range(encode_index(first))
         while has_entry and int.from_bytes(cursor.key(), "big") <= last:
-            has_entry = cursor.delete()  # on to the next one
+            has_entry = cursor.delete()  # moves the cursor to the next entry
 
     def status(self) -> dict[str, Any]:
+        """Return path, number of writes, last error and size for the status of the log."""
         info, stat = self._env.info(), self._env.stat()
         return {
             "path": str(self.path),
@@ -167,7 +179,7 @@
         }
 
     def close(self) -> None:
-        """The one place where the store is given back."""
+        """Close the environment and the seal and release the lock."""
         self._env.close()
         self._seal.close()
         if self._lock is not None:
--- a/brackenpulley/consensus/wire.py
+++ b/brackenpulley/consensus/wire.py
@@ -1,26 +1,34 @@
-"""What voters say to each other and to those that follow them; msgpack, inside the sealed packets of `members`."""
+"""Messages between voters, and between voters and followers.
+
+They are encoded as msgpack arrays and carried inside the encrypted packets of the `members` package.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-VoterAddresses = dict[str, str]  # name of a voter, and the address where its membership listens
+VoterAddresses = dict[str, str]  # voter name to the address on which its membership service listens
 
 
 class Config(msgspec.Struct, frozen=True, array_like=True):
-    """Who votes, and who is sent the log and does not vote yet."""
+    """Voters, and learners, which receive the log but do not vote yet."""
 
     voters: VoterAddresses
     learners: VoterAddresses = {}
 
     @property
     def majority(self) -> int:
+        """Return the number of voters that form a quorum."""
         return len(self.voters) // 2 + 1
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """`kind`: op (a command), open (a leader's first, which says nothing), seats (a Config). `at` is the leader's Unix
-    time when it was made, never less than that of the entry before: the only clock that a command may go by."""
+    """One log entry.
+
+    `kind` is "op" (a command), "open" (the empty first entry of a leader's term) or "seats" (a packed Config).
+    `timestamp` is the leader's Unix time at creation, never less than that of the entry before; it is the only clock
+    that a command may use, since it is the same on every process.
+    """
 
     index: int
     term: int
@@ -30,7 +38,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All up to `index`, applied."""
+    """State machine contents after all entries up to and including `index` were applied."""
 
     index: int = 0
     term: int = 0
@@ -40,7 +48,11 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """`pre`: would you, in that term? Nothing is stored for it. `sent`: the leader itself asked for this election."""
+    """Request for a vote in `term`.
+
+    With `is_pre_vote` the receiver only says whether it would grant the vote, and persists nothing. With
+    `is_leadership_transfer` the current leader asked for this election, so its lease does not block it.
+    """
 
     term: int
     last_index: int
@@ -50,14 +62,19 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag="V"):
+    """Answer to RequestVote."""
+
     term: int
     granted: bool
     is_pre_vote: bool = False
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """`round` is said back, so that a leader knows how lately it was one; `cleared` is the nonce of a voter that may
-    vote again."""
+    """Log entries or a heartbeat from the leader.
+
+    `round` is echoed in the reply, which tells the leader how recently it was confirmed. `verified_nonce` is the nonce
+    of an unverified voter that may vote again, or 0.
+    """
 
     term: int
     prev_index: int
@@ -69,8 +86,12 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag="A"):
-    """`match`: up to where the logs agree, or where `ok` is false the last index worth trying. `life` is another one
-    after each start; `nonce` is not 0 while this voter does not know whether its disk is as it left it."""
+    """Answer to AppendEntries and InstallSnapshot.
+
+    `match_index` is the last index at which the logs agree or, where `ok` is false, the last one worth trying.
+    `incarnation` is drawn anew at each start. `nonce` is not 0 while the voter has not verified that its disk holds
+    everything it persisted.
+    """
 
     term: int
     ok: bool
@@ -81,25 +102,31 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="i"):
+    """Snapshot for a voter or learner that needs entries which the leader has compacted."""
+
     term: int
     snapshot: Snapshot
     round: int
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """A leader that goes asks this voter to be the next one."""
+    """Request of a resigning leader that this voter start an election at once."""
 
     term: int
 
 
 class StateQuery(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """A voter that does not know whether its disk is as it left it asks all the others how far they are."""
+    """Request of an unverified voter for the term and log position of every other voter."""
 
     nonce: int
 
 
 class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """`asked` is the nonce of the question, `nonce` that of who answers; `fresh`: its disk holds nothing."""
+    """Answer to StateQuery.
+
+    `query_nonce` is the nonce of the query, `nonce` that of the answering voter. `is_empty` says that its disk holds
+    nothing.
+    """
 
     query_nonce: int
     nonce: int
@@ -110,7 +137,10 @@
 
 
 class Bootstrap(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """All were fresh: this is the first configuration. `nonces` are of the lives that said so."""
+    """First configuration of the log, sent once all initial voters have reported an empty disk.
+
+    `nonces` maps each receiver to the nonce of the incarnation that reported it.
+    """
 
     config: Config
     nonces: dict[str, int]
@@ -130,13 +160,17 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="F"):
-    """Tell me what is committed after this index, and for some seconds whatever comes."""
+    """Request of a follower for entries committed after `after_index`, now and until the subscription expires."""
 
     after_index: int
 
 
 class LogUpdate(msgspec.Struct, frozen=True, array_like=True, tag="T"):
-    """`entries` in order, from the one after what was asked for, or a snapshot first; `leader` as this voter knows."""
+    """Committed entries for a follower, in order.
+
+    They start right after the requested index or after `snapshot`. `leader` is the leader that the sending voter knows,
+    or "".
+    """
 
     commit: int
     entries: list[Entry]
@@ -145,8 +179,11 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="P"):
-    """A command for the log. It may come more than once; `machine` takes it once. `passed`: by a voter that does not
-    lead, so it is not passed on again."""
+    """Command proposed for the log.
+
+    It may arrive more than once; the state machine applies it once. `is_forwarded` says that a voter which is not the
+    leader passed it on, so that it is not forwarded again.
+    """
 
     data: bytes
     is_forwarded: bool = False
@@ -156,7 +193,10 @@
 
 
 class AddressedPayload(msgspec.Struct, frozen=True, array_like=True):
-    """`to` is the name that is meant: an address may have another process by now."""
+    """Payload with sender and receiver.
+
+    `to` is checked by the receiver, since another process may have taken over the address.
+    """
 
     source: str
     to: str
@@ -169,17 +209,26 @@
 
 
 def encode(addressed: AddressedPayload) -> bytes:
+    """Encode a payload with its sender and receiver."""
     return _pack(addressed)
 
 
 def decode(data: bytes) -> AddressedPayload:
-    """Raises msgspec.MsgspecError."""
+    """Decode a payload with its sender and receiver.
+
+    Raises msgspec.MsgspecError for malformed data.
+    """
     return _unpack_addressed(data)
 
 
 def pack_config(config: Config) -> bytes:
+    """Encode a configuration as the data of a log entry."""
     return _pack(config)
 
 
 def unpack_config(data: bytes) -> Config:
+    """Decode the configuration in the data of a log entry.
+
+    Raises msgspec.MsgspecError for malformed data.
+    """
     return _unpack_config(data)
--- a/brackenpulley/simulation/disk.py
+++ b/brackenpulley/simulation/disk.py
@@ -5,7 +5,7 @@
 from copy import deepcopy
 from dataclasses import dataclass, field
 
-from ..consensus.raft import PersistentState, Persist
+from ..consensus.raft import Persist, PersistentState
 from ..consensus.wire import Snapshot
 
 
--- a/brackenpulley/simulation/voters.py
+++ b/brackenpulley/simulation/voters.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ..consensus.agreement import KIND, Agreement
-from ..consensus.machine import StateMachine, Outcome
+from ..consensus.machine import Outcome, StateMachine
 from ..consensus.raft import LEADER, Node, Timing
 from ..consensus.wire import Entry
 from .faults import Faults
