--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -15,8 +15,8 @@
 from brackenpulley.configuration.rules import Change
 from brackenpulley.configuration.wire import pack, pack_change, seal
 from brackenpulley.consensus.agreement import KIND, Agreement
-from brackenpulley.consensus.machine import Machine, Outcome
-from brackenpulley.consensus.wire import Between, Config, Snapshot, Told
+from brackenpulley.consensus.machine import Outcome, StateMachine
+from brackenpulley.consensus.wire import AddressedPayload, Config, LogUpdate, Snapshot
 from brackenpulley.consensus.wire import encode as encode_word
 from brackenpulley.members.protocol import Send
 from brackenpulley.members.wire import Carry
@@ -90,7 +90,7 @@
             f"{host.name}@{host.incarnation}",
             host.name,
             self.seats,
-            lambda: Machine({PART: log}),
+            lambda: StateMachine({PART: log}),
             random.Random(self.rng.random()),
             self.world.now,
             host.disk if host.name in self.seats else None,
@@ -107,7 +107,7 @@
             self.snapshots += 1
             look()
 
-        part.applied, part.restored = lambda entry: look(), told
+        part.on_applied, part.on_restored = lambda entry: look(), told
         life = host.incarnation
 
         def tick() -> None:
@@ -277,9 +277,9 @@
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - begin
     tracemalloc.stop()
-    whole = Machine({PART: log})
+    whole = StateMachine({PART: log})
     dumped = whole.dump()
-    told = encode_word(Between("v0", "f0@1", Told(1, [], Snapshot(1, 1, Config({}), dumped))))
+    told = encode_word(AddressedPayload("v0", "f0@1", LogUpdate(1, [], Snapshot(1, 1, Config({}), dumped))))
     other = Revisions(FLEET)
     dump = log.dump()
     restore = took(lambda: other.load(dump))
@@ -323,7 +323,7 @@
     difference. Those that followed meanwhile are told nothing more than the changes."""
     import brackenpulley.consensus.agreement as agreement
 
-    compact, agreement.COMPACT = agreement.COMPACT, 10
+    compact, agreement.COMPACTION_ENTRIES = agreement.COMPACTION_ENTRIES, 10
     try:
         fleet = Regions(size, 1)
         world, rng = fleet.world, random.Random(1)
@@ -368,4 +368,4 @@
             "wrong": [] if done else ["not all caught up"],
         }
     finally:
-        agreement.COMPACT = compact
+        agreement.COMPACTION_ENTRIES = compact
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -91,8 +91,8 @@
         assert agreement is not None and station is not None
         self._is_running = True
         self._load_copy()
-        agreement.applied = lambda entry: self._update_active()
-        agreement.restored = self._update_active
+        agreement.on_applied = lambda entry: self._update_active()
+        agreement.on_restored = self._update_active
         station.records.subscribers.setdefault(KIND, []).append(self._on_record)
         self._tick()
 
@@ -260,7 +260,7 @@
 
         if not agreement.propose(self.loop.clock(), PART, pack_change(change, self.fleet), timeout, finish):
             done({"error": "too many calls at once", "field": "base"})
-        self.agreement.said()
+        self.agreement.send_pending()
 
     def _check_here(self, change: Change) -> None:
         """Reject what contradicts this process's own settings, which are the same in the whole fleet."""
--- a/brackenpulley/consensus/machine.py
+++ b/brackenpulley/consensus/machine.py
@@ -1,8 +1,10 @@
-"""What the log is applied to: commands in order, each once, on every process alike. No I/O, no clock but the entry's.
+"""State machine of the replicated log: applies each command once, in log order and alike on every process.
 
-A command names who asks and the number that it gave it. The greatest numbers of each asker are remembered with what
-came of them, so that one proposed twice, or by way of two voters, is done once, and who asks again gets the same
-answer. One under all that are remembered is not done: it may be an old one's double."""
+It does no I/O and reads no clock but the timestamps of the entries. A command carries its proposer and a number. The
+answers to the greatest numbers of each proposer are kept, so that a command which was proposed twice, or through two
+voters, is applied once, and proposing it again yields the same answer. A command whose number is below all that are
+kept is not applied, since it may be a duplicate of an old one.
+"""
 
 from __future__ import annotations
 
@@ -13,101 +15,126 @@
 
 from .wire import Entry, Snapshot
 
-ASKERS, REMEMBERED = 2000, 32  # askers, and answers of each: more than it may have out
+MAX_PROPOSERS = 2000  # whose answers are kept; the least recently active one is evicted
+MAX_ANSWERS = 32  # kept for each proposer; more than it may have outstanding (agreement.MAX_OUTSTANDING)
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    asker: str
-    number: int  # grows; several may be out at once
-    part: str  # whose command it is
+    """Command for one part, identified by proposer and number."""
+
+    proposer: str
+    number: int  # increases; several commands of one proposer may be outstanding
+    part: str  # name of the part that applies it
     body: bytes
 
 
 class Part(Protocol):
-    """A state that all processes keep alike."""
+    """Replicated state that commands of one name are applied to, identical on all processes."""
+
+    def apply(self, timestamp: float, body: bytes) -> Any:
+        """Apply a command and return its answer, which msgpack must be able to encode.
 
-    def apply(self, at: float, body: bytes) -> Any:
-        """What came of it, as something that msgpack can hold. Raises ValueError for what cannot be read."""
+        Raises ValueError for a malformed command.
+        """
 
-    def dump(self) -> Any: ...
+    def dump(self) -> Any:
+        """Return the whole state as a value that msgpack can encode."""
+        ...
 
-    def load(self, dumped: Any) -> None: ...
+    def load(self, state: Any) -> None:
+        """Replace the state by the result of an earlier `dump`, or reset it for None."""
+        ...
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
-    asker: str
+    """Answer to a command and the log index at which it was applied."""
+
+    proposer: str
     number: int
     index: int
     answer: Any
 
 
-class Dumped(msgspec.Struct, array_like=True):
-    askers: list[tuple[str, list[tuple[int, tuple[int, Any]]]]]
+class MachineState(msgspec.Struct, array_like=True):
+    """Contents of a snapshot: answers kept for each proposer, and the dump of each part."""
+
+    proposers: list[tuple[str, list[tuple[int, tuple[int, Any]]]]]
     parts: dict[str, Any]
 
 
-_encode = msgspec.msgpack.Encoder().encode
-_command = msgspec.msgpack.Decoder(Command).decode
-_dumped = msgspec.msgpack.Decoder(Dumped).decode
+_pack = msgspec.msgpack.Encoder().encode
+_unpack_command = msgspec.msgpack.Decoder(Command).decode
+_unpack_state = msgspec.msgpack.Decoder(MachineState).decode
 
 
 def encode(command: Command) -> bytes:
-    return _encode(command)
+    """Encode a command as the data of a log entry."""
+    return _pack(command)
+
 
+class StateMachine:
+    """Parts that the log is applied to, and the answers to recent commands.
 
-class Machine:
-    """A part that is not known here is passed over, and its state kept as it came: versions may live side by side."""
+    The state of an unknown part is kept unchanged and its commands are answered with an error, so that processes of
+    different versions can share a log.
+    """
 
     def __init__(self, parts: dict[str, Part]) -> None:
         self.parts = parts
         self.index = 0
-        self.at = 0.0  # of the last entry
-        self._done: OrderedDict[str, dict[int, tuple[int, Any]]] = OrderedDict()
-        self._strange: dict[str, Any] = {}
+        self.timestamp = 0.0  # of the last entry applied
+        self._answers: OrderedDict[str, dict[int, tuple[int, Any]]] = OrderedDict()
+        self._unknown_parts: dict[str, Any] = {}
 
     def apply(self, entry: Entry) -> Outcome | None:
-        """None for what is no command, and for one that was done before."""
+        """Apply the next entry and return the outcome, or None where it is no command or a duplicate."""
         assert entry.index == self.index + 1, (entry.index, self.index)
-        self.index, self.at = entry.index, entry.at
+        self.index, self.timestamp = entry.index, entry.timestamp
         if entry.kind != "op":
             return None
         try:
-            command = _command(entry.data)
+            command = _unpack_command(entry.data)
         except msgspec.MsgspecError:
             return None
-        done = self._done.get(command.asker, {})
-        if command.number in done or len(done) == REMEMBERED and command.number < min(done):
+        answers = self._answers.get(command.proposer, {})
+        if command.number in answers or len(answers) == MAX_ANSWERS and command.number < min(answers):
             return None
         part = self.parts.get(command.part)
         answer: Any = {"error": f"no part {command.part}"}
         if part is not None:
             try:
-                answer = part.apply(entry.at, command.body)
+                answer = part.apply(entry.timestamp, command.body)
             except ValueError as error:
                 answer = {"error": str(error)}
-        done = self._done.setdefault(command.asker, {})
-        self._done.move_to_end(command.asker)
-        done[command.number] = entry.index, answer
-        if len(done) > REMEMBERED:
-            del done[min(done)]
-        if len(self._done) > ASKERS:
-            self._done.popitem(last=False)
-        return Outcome(command.asker, command.number, entry.index, answer)
-
-    def outcome(self, asker: str, number: int) -> Outcome | None:
-        """What came of that command, while it is remembered."""
-        found = self._done.get(asker, {}).get(number)
-        return None if found is None else Outcome(asker, number, *found)
+        answers = self._answers.setdefault(command.proposer, {})
+        self._answers.move_to_end(command.proposer)
+        answers[command.number] = entry.index, answer
+        if len(answers) > MAX_ANSWERS:
+            del answers[min(answers)]
+        if len(self._answers) > MAX_PROPOSERS:
+            self._answers.popitem(last=False)
+        return Outcome(command.proposer, command.number, entry.index, answer)
+
+    def outcome(self, proposer: str, number: int) -> Outcome | None:
+        """Return the outcome of a command that was applied, or None where it is unknown or evicted."""
+        answer = self._answers.get(proposer, {}).get(number)
+        return None if answer is None else Outcome(proposer, number, *answer)
 
     def dump(self) -> bytes:
-        parts = {**self._strange, **{name: part.dump() for name, part in self.parts.items()}}
-        return _encode(Dumped([(asker, list(done.items())) for asker, done in self._done.items()], parts))
+        """Return the whole state, encoded as the data of a snapshot."""
+        parts = {**self._unknown_parts, **{name: part.dump() for name, part in self.parts.items()}}
+        return _pack(
+            MachineState([(proposer, list(answers.items())) for proposer, answers in self._answers.items()], parts)
+        )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Raises ValueError where it cannot be read."""
-        self.index, self.at = snapshot.index, snapshot.at
-        told = _dumped(snapshot.data) if snapshot.data else Dumped([], {})
-        self._done = OrderedDict((asker, dict(done)) for asker, done in told.askers)
-        self._strange = {name: dumped for name, dumped in told.parts.items() if name not in self.parts}
+        """Replace the state by that of a snapshot.
+
+        Raises ValueError for malformed data.
+        """
+        self.index, self.timestamp = snapshot.index, snapshot.timestamp
+        state = _unpack_state(snapshot.data) if snapshot.data else MachineState([], {})
+        self._answers = OrderedDict((proposer, dict(answers)) for proposer, answers in state.proposers)
+        self._unknown_parts = {name: part_state for name, part_state in state.parts.items() if name not in self.parts}
         for name, part in self.parts.items():
-            part.load(told.parts.get(name))
+            part.load(state.parts.get(name))
--- a/brackenpulley/simulation/voters.py
+++ b/brackenpulley/simulation/voters.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ..consensus.agreement import KIND, Agreement
-from ..consensus.machine import Machine, Outcome
+from ..consensus.machine import Outcome, StateMachine
 from ..consensus.raft import LEADER, Node, Timing
 from ..consensus.wire import Entry
 from .faults import FaultInjector
@@ -74,7 +74,7 @@
         traced: bool = False,
         skew: float = 0.02,
         agreement: type[Agreement] = Agreement,
-        machine: type[Machine] = Machine,
+        machine: type[StateMachine] = StateMachine,
     ) -> None:
         self.world = World(seed, links or Links(Link(jitter=0.004, loss=0.01, duplication=0.01)), traced)
         self.rng, self.observations, self.timing = random.Random(seed + 1), Observations(), timing or Timing()
@@ -96,7 +96,7 @@
     def _make_process(self, host: Host) -> StandaloneParts:
         register = Register()
 
-        def machine() -> Machine:
+        def machine() -> StateMachine:
             self.registers[host.name] = register
             return self._machine_class({"register": register})
 
@@ -110,8 +110,8 @@
             host.disk if host.name.startswith("v") else None,
             self.timing,
         )
-        part.applied = lambda entry: self._check_applied(host, part, entry, register)
-        part.restored = lambda: self._check_restored(part, register)
+        part.on_applied = lambda entry: self._check_applied(host, part, entry, register)
+        part.on_restored = lambda: self._check_restored(part, register)
         return StandaloneParts(host.address, {KIND: part})
 
     def find_agreement(self, host: Host) -> Agreement | None:
@@ -123,7 +123,7 @@
         found = []
         for host in self.world.hosts.values():
             part = self.find_agreement(host)
-            if part is not None and part.node is not None and not part.node.halted:
+            if part is not None and part.node is not None and not part.node.is_halted:
                 found.append((host, part.node))
         return found
 
@@ -140,7 +140,7 @@
         """Returns whether all other voters run, trust their disks and hold every committed entry."""
         others = {h.name: node for h, node in self.list_running_nodes() if h is not host and h.name in self.voter_names}
         return len(others) == len(self.voter_names) - 1 and all(
-            node.proved and node.last >= self.observations.commit_index for node in others.values()
+            node.is_verified and node.last_index >= self.observations.commit_index for node in others.values()
         )
 
     # Proposals.
@@ -202,7 +202,7 @@
             if (
                 not host.is_suspended
                 and node.commit < self.observations.commit_index
-                and node.current(host.to_local_time(now))
+                and node.is_current(host.to_local_time(now))
             ):
                 raise InvariantError(
                     f"{host.name} declares reads at index {node.commit} current, but index "
@@ -214,7 +214,7 @@
                 raise InvariantError(f"{body!r} was acknowledged at index {index}, where no entry was applied")
 
     def _check_leader_completeness(self, host: Host, node: Node) -> None:
-        for index in range(node.base.index + 1, self.observations.commit_index + 1):
+        for index in range(node.snapshot.index + 1, self.observations.commit_index + 1):
             if node.term_at(index) != self.observations.terms.get(index, node.term_at(index)):
                 raise InvariantError(f"{host.name} leads in term {node.term} without the committed entry {index}")
 
@@ -304,7 +304,7 @@
                 world.resume(host)
         cluster.is_proposing = False
         if not world.run_until(lambda: bool(cluster.find_leader()) and cluster.has_converged(), 30.0):
-            found = [(h.name, n.role, n.term, n.commit, n.proved) for h, n in cluster.list_running_nodes()]
+            found = [(h.name, n.role, n.term, n.commit, n.is_verified) for h, n in cluster.list_running_nodes()]
             raise InvariantError(f"no agreement 30 s after the last fault: {found}")
         cluster.check_applied_once()
     except InvariantError as error:
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -130,7 +130,7 @@
     world.start(world.find_host(lost))
 
     def may_vote() -> bool:
-        return any(host.name == lost and node.proved for host, node in cluster.list_running_nodes())
+        return any(host.name == lost and node.is_verified for host, node in cluster.list_running_nodes())
 
     assert world.run_until(may_vote, 4.0)
     transcript.add_title(f"{lost} may vote again")
--- a/tests/transcripts.py
+++ b/tests/transcripts.py
@@ -70,7 +70,7 @@
         def record(host: Host, send: Send) -> None:
             body: Any = send.body
             if isinstance(body, Carry):
-                body = decode(body.data).word
+                body = decode(body.data).payload
             arrow = "=>" if send.stream else "->"
             self.add_line(
                 f"{world.now - START_SECONDS:7.3f} {host.name} {arrow} {names.get(send.to, send.to)}  "
