--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -30,7 +30,7 @@
 from brackenpulley.ledger.store import Store
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
-from brackenpulley.plans.book import Book, Change, Figures, firm_text
+from brackenpulley.plans.book import Book, Change, Figures, format_firm
 from brackenpulley.plans.snapshot import load
 from brackenpulley.serve import wall_clock
 from brackenpulley.settings import decode_settings
@@ -242,9 +242,9 @@
         kind = number % 5
         plan = self.rng.choice([name for name in PLANS if name != firm.plan])
         if kind in (0, 1):
-            self._decide(kind="move", firm=firm_text(firm.key), plan=plan, since=now + lead, at=now)
+            self._decide(kind="move", firm=format_firm(firm.key), plan=plan, since=now + lead, at=now)
             if kind == 1:  # a second one for the same instant: the later revision holds
-                self._decide(kind="move", firm=firm_text(firm.key), plan=firm.plan, since=now + lead, at=now)
+                self._decide(kind="move", firm=format_firm(firm.key), plan=firm.plan, since=now + lead, at=now)
         elif kind == 2:
             name = self.rng.choice(sorted(PLANS))
             figures = Figures(
@@ -252,9 +252,9 @@
             )
             self._decide(kind="set", plan=name, figures=figures, since=now + lead, at=now)
         elif kind == 3:  # comes late: it holds since a second ago, and takes effect where it is heard
-            self._decide(kind="move", firm=firm_text(firm.key), plan="county", since=now - 1.0, at=now)
+            self._decide(kind="move", firm=format_firm(firm.key), plan="county", since=now - 1.0, at=now)
         else:
-            self._decide(kind="move", firm=firm_text(firm.key), plan=plan, since=now + lead, at=now)
+            self._decide(kind="move", firm=format_firm(firm.key), plan=plan, since=now + lead, at=now)
             self._decide(kind="withdraw", of=len(self.changes), at=now)
 
     def _decide(self, **told: Any) -> None:
@@ -387,7 +387,7 @@
         moves = {
             firm.key: [
                 c
-                for c in book.history(firm=firm_text(firm.key))
+                for c in book.list_history(firm=format_firm(firm.key))
                 if c.kind == "move" and c.revision not in book.withdrawn
             ]
             for firm in self.firms
@@ -404,11 +404,11 @@
                 times.append(one.at - begin)
                 used.append(total)
             grid = [begin + (end - begin) * n / 400 for n in range(401)]
-            plan = book.figures(book.plan_of(firm.key, begin, firm.plan)[0], begin)
+            plan = book.find_spec(book.plan_of(firm.key, begin, firm.plan)[0], begin)
             burst = plan[1].burst if plan else 0.0
             axis.plot(
                 [t - begin for t in grid],
-                [burst + book.integral(firm.key, firm.plan, begin, t) for t in grid],
+                [burst + book.integrate_rate(firm.key, firm.plan, begin, t) for t in grid],
                 color="tab:orange",
                 label="burst and integral of the rate",
             )
@@ -416,7 +416,7 @@
             for change in {change.since: change for change in moves[firm.key]}.values():  # at one instant the later
                 axis.axvline(change.since - begin, color="grey", linewidth=0.8, linestyle=":")
                 axis.annotate(change.plan, (change.since - begin, 0), rotation=90, fontsize=8, va="bottom")
-            axis.set_title(f"firm {firm_text(firm.key)}, began on {firm.plan}", fontsize=10)
+            axis.set_title(f"firm {format_firm(firm.key)}, began on {firm.plan}", fontsize=10)
             axis.set_ylabel("units")
             axis.legend(loc="upper left", fontsize=8)
         for axis in axes[-1]:
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -19,7 +19,7 @@
 from ..metrics import Metrics
 from ..net.loop import Loop
 from ..operator import decode as decode_operator
-from ..plans.book import Change, firm_text
+from ..plans.book import Change, format_firm
 from ..serve import Daemon, wall_clock
 from ..standins import audit
 from ..standins.billing import Billing
@@ -110,7 +110,7 @@
 
         faults = [] if turn_until(daemon.is_ready, 10) else ["the daemon was not ready in time"]
         begin = clock()
-        moved = firm_text(firms[0].key)
+        moved = format_firm(firms[0].key)
         load.start()
         turn_until(lambda: clock() >= begin + seconds / 2, seconds + 5)
         change = Change(1, "move", at=clock(), since=clock(), plan="county", firm=moved)
--- a/brackenpulley/configuration/rules.py
+++ b/brackenpulley/configuration/rules.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ..address import ConfigError, parse_address
-from ..plans.book import FIRM_MOST, BookError, Figures, firm_text, spec_of
+from ..plans.book import FIRM_LIMIT, PlanChangeError, Figures, format_firm, build_plan_spec
 
 ADDRESSES = ("counter", "discovery")
 NAME, NOTE = 64, 200  # characters
@@ -164,8 +164,8 @@
         raise ChangeError("plans", f"{name[:NAME]!r} is no plan's name")
     if figures is not None:
         try:
-            spec_of(name, figures)
-        except BookError as error:
+            build_plan_spec(name, figures)
+        except PlanChangeError as error:
             raise ChangeError(
                 f"plans.{name}.{error.field.removeprefix('figures').lstrip('.') or 'figures'}", error.text
             ) from None
@@ -184,7 +184,7 @@
     """A firm's plan is there, and a plan that goes has nobody on it."""
     on = Counter[str]()
     for firm, plan in change.firms.items():
-        if not 0 <= firm < FIRM_MOST:
+        if not 0 <= firm < FIRM_LIMIT:
             raise ChangeError("firms", f"{firm} is no firm: a number under 2^33")
         if (old := content.firms.get(firm)) is not None:
             on[old] -= 1
@@ -192,7 +192,7 @@
             continue
         on[plan] += 1
         if change.plans.get(plan, content.plans.get(plan)) is None or change.plans.get(plan, "") is None:
-            raise ChangeError(f"firms.{firm_text(firm)}", f"no plan {plan[:NAME]!r} in that revision")
+            raise ChangeError(f"firms.{format_firm(firm)}", f"no plan {plan[:NAME]!r} in that revision")
     for name, figures in change.plans.items():
         if figures is None and (left := content.on[name] + on[name]) > 0:
             raise ChangeError(f"plans.{name}", f"{left} firms are on it")
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -17,7 +17,7 @@
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
 from ..operator import ConfigurationOptions
-from ..plans.book import firm_of, firm_text, spec_of
+from ..plans.book import parse_firm, format_firm, build_plan_spec
 from ..policy import interface as i
 from . import store
 from .force import InForce, Taken, log_here
@@ -144,7 +144,7 @@
         found = []
         for name in taken.plans:
             figures = content.plans.get(name)
-            plan = self._file.get(name) if figures is None else spec_of(name, figures)
+            plan = self._file.get(name) if figures is None else build_plan_spec(name, figures)
             (self._gone.add if plan is None else self._gone.discard)(name)
             if plan is not None:
                 found.append(plan)
@@ -254,9 +254,13 @@
         self.propose(change, done, patience)
 
     def firm(self, text: str) -> dict[str, Any]:
-        """Raises BookError."""
-        number = firm_of(text)
-        return {"firm": firm_text(number), "plan": self.force.content.firms.get(number), "revision": self.force.number}
+        """Raises PlanChangeError."""
+        number = parse_firm(text)
+        return {
+            "firm": format_firm(number),
+            "plan": self.force.content.firms.get(number),
+            "revision": self.force.number,
+        }
 
     def shown(self) -> dict[str, Any]:
         content = self.force.content
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -162,10 +162,10 @@
 
 def plan_routes(routes: Routes, service: Any) -> None:
     """`service` is a plans.service.PlanService."""
-    from ..plans.book import BookError, Change, firm_of, firm_text
+    from ..plans.book import PlanChangeError, Change, parse_firm, format_firm
 
     def shown(plan: str, when: float) -> dict[str, Any] | None:
-        held = service.book.figures(plan, when)
+        held = service.book.find_spec(plan, when)
         if held is None:
             return None
         spec = held[1]
@@ -207,16 +207,16 @@
 
     def firm(request: Request) -> Any:
         try:
-            number = firm_of(request.parts[0])
-        except BookError as error:
+            number = parse_firm(request.parts[0])
+        except PlanChangeError as error:
             raise ApiError(error.status, error.field, error.text) from None
         name, revision = service.book.plan_of(number, moment(request))
-        return {"firm": firm_text(number), "plan": name or None, "revision": revision}
+        return {"firm": format_firm(number), "plan": name or None, "revision": revision}
 
     def history(request: Request) -> Any:
         try:
-            changes = service.book.history(request.query.get("plan", ""), request.query.get("firm", ""))
-        except BookError as error:
+            changes = service.book.list_history(request.query.get("plan", ""), request.query.get("firm", ""))
+        except PlanChangeError as error:
             raise ApiError(error.status, error.field, error.text) from None
         after, most = whole(request, "after", 0, 0, 1 << 40), whole(request, "most", 200, 1, 1000)
         rows = [change for change in changes if change.revision > after]
@@ -231,7 +231,7 @@
         told = decode(request.body, Change)
         try:
             fresh = service.change(told)
-        except BookError as error:
+        except PlanChangeError as error:
             raise ApiError(error.status, error.field, error.text) from None
         return 201 if fresh else 200, {"revision": told.revision, "taken": "now" if fresh else "before"}
 
@@ -244,14 +244,14 @@
 
 def reservation_routes(routes: Routes, service: Any) -> None:
     """`service` is a plans.service.ReservationService."""
-    from ..plans.book import BookError, firm_of
+    from ..plans.book import PlanChangeError, parse_firm
     from ..plans.reservations import ReservationError
     from ..plans.service import row
 
     def guard(call: Callable[[], T]) -> T:
         try:
             return call()
-        except (ReservationError, BookError) as error:
+        except (ReservationError, PlanChangeError) as error:
             raise ApiError(error.status, error.field, error.text) from None
 
     def listed(request: Request) -> Any:
@@ -268,7 +268,7 @@
         told = decode(request.body, ReserveCall)
         one, after = guard(
             lambda: service.reserve(
-                told.id, firm_of(told.firm), told.plan, told.units, told.lifetime, told.spread, told.first
+                told.id, parse_firm(told.firm), told.plan, told.units, told.lifetime, told.spread, told.first
             )
         )
         if one is None:
@@ -542,7 +542,7 @@
 def configuration_routes(routes: Routes, service: Any) -> None:
     """`service` is a configuration.service.ConfigurationService. A change is answered once it holds here."""
     from ..configuration.rules import Change, ChangeError
-    from ..plans.book import BookError, Figures, firm_of
+    from ..plans.book import PlanChangeError, Figures, parse_firm
 
     def figures(name: str, told: Any) -> Figures | None:
         try:
@@ -560,8 +560,8 @@
     def change(request: Request) -> Any:
         told = decode(request.body, ConfigurationCall)
         try:
-            firms = {firm_of(firm, f"firms.{firm[:20]}"): plan for firm, plan in told.firms.items()}
-        except BookError as error:
+            firms = {parse_firm(firm, f"firms.{firm[:20]}"): plan for firm, plan in told.firms.items()}
+        except PlanChangeError as error:
             raise ApiError(error.status, error.field, error.text) from None
         if len(firms) < len(told.firms):
             raise ApiError(400, "firms", "a firm twice")
@@ -582,7 +582,7 @@
     def firm(request: Request) -> Any:
         try:
             return service.firm(request.parts[0])
-        except BookError as error:
+        except PlanChangeError as error:
             raise ApiError(error.status, error.field, error.text) from None
 
     routes.add("GET", "/v1/configuration", lambda request: service.shown())
--- a/brackenpulley/plans/__init__.py
+++ b/brackenpulley/plans/__init__.py
@@ -1,4 +1,5 @@
-"""The plan book, explicit reservations and leased allowance: what a firm may use, and from when.
+"""Plan history, explicit reservations and quota leases: what a firm may use, and from when.
 
-Owned by the daemon (`service`), which tells the decision module by events; `book`, `reservations` and `leases` do no
-I/O and may be called by tests and the lab as well."""
+The services in `service` and `leasing` run on the daemon's loop and report to the decision module by events. `book`,
+`reservations` and `leases` do no I/O, so tests and simulations use them directly.
+"""
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -43,7 +43,7 @@
     ) -> None:
         self.loop, self.ingress, self.counter, self.book = loop, ingress, counter, book
         self.part, self.metrics, self.log = part, metrics, log
-        self.keeper = Keeper(book.integral, self._burst, part.prefetch_seconds, part.idle_seconds)
+        self.keeper = Keeper(book.integrate_rate, self._burst, part.prefetch_seconds, part.idle_seconds)
         self.waiting: dict[int, dict[Waiting, None]] = {}
         self.heard = loop.clock()
         self.asked = 0.0  # when the first call without an answer since was made; 0 = none
@@ -54,7 +54,7 @@
         self.loop.call_in(SWEEP, self._sweep)
 
     def _burst(self, firm: int, told: str, when: float) -> float:
-        found = self.book.figures(self.book.plan_of(firm, when, told)[0], when)
+        found = self.book.find_spec(self.book.plan_of(firm, when, told)[0], when)
         return found[1].burst if found else 0.0
 
     def level(self, firm: int) -> float:
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -11,7 +11,7 @@
 from ..operator import ReservationsOptions
 from ..policy import interface as i
 from . import snapshot
-from .book import Book, BookError, Change, firm_of, firm_text
+from .book import Book, PlanChangeError, Change, parse_firm, format_firm
 from .reservations import Reservation, ReservationError, Reservations
 
 
@@ -37,17 +37,17 @@
         return self.book.plan_of(customer, self.loop.clock(), told)
 
     def change(self, change: Change) -> bool:
-        """False where it was taken before. Raises BookError; then, and where the file can't be written, all is as
+        """False where it was taken before. Raises PlanChangeError; then, and where the file can't be written, all is as
         it was."""
         now = self.loop.clock()
-        if not self.book.examine(change, now):
+        if not self.book.validate(change, now):
             self.metrics.add("plan_changes_repeated")
             return False
         try:
             snapshot.save(self.path, [*self.book.changes, change])
         except OSError as error:
             self.metrics.add("snapshot_failures")
-            raise BookError(503, "snapshot", f"{self.path}: {error.strerror}; nothing was changed") from None
+            raise PlanChangeError(503, "snapshot", f"{self.path}: {error.strerror}; nothing was changed") from None
         self.book.apply(change, now)
         self.metrics.add("plan_changes")
         if change.kind != "withdraw":
@@ -79,20 +79,20 @@
 
     def _effect(self) -> None:
         now = self.loop.clock()
-        self._tell(self.book.takes_effect(self._until, now), now)
+        self._tell(self.book.list_effective(self._until, now), now)
         self._until = now
         self._wait()
 
     def _tell(self, changes: list[Change], now: float) -> None:
         """The module hears what the book says now of everything that these changes are about."""
         plans = {change.plan: None for change in changes if change.kind == "set"}
-        found = [held[1] for plan in plans if (held := self.book.figures(plan, now))]
+        found = [held[1] for plan in plans if (held := self.book.find_spec(plan, now))]
         changed: list[int] = []
         if found:
             names = {plan.name for plan in found}
             changed += [key for key, c in self.ingress.decision_module.firms.items() if c.plan.name in names]
             self.ingress.notify(i.PlansChanged(found))
-        for firm in {firm_of(change.firm): None for change in changes if change.kind == "move"}:
+        for firm in {parse_firm(change.firm): None for change in changes if change.kind == "move"}:
             name, _ = self.book.plan_of(firm, now)
             if name:
                 changed.append(firm)
@@ -228,7 +228,7 @@
 def row(one: Reservation, now: float) -> dict[str, Any]:
     return {
         "id": one.id,
-        "firm": firm_text(one.firm),
+        "firm": format_firm(one.firm),
         "plan": one.plan,
         "revision": one.revision,
         "units": one.units,
--- a/brackenpulley/plans/snapshot.py
+++ b/brackenpulley/plans/snapshot.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from .book import Book, BookError, Change
+from .book import Book, PlanChangeError, Change
 
 FORMAT = "brackenpulley-plans-1"
 LARGEST = 64 << 20  # bytes
@@ -97,5 +97,5 @@
     for change in changes:
         try:
             book.apply(change, max(now, change.at))
-        except BookError as error:
+        except PlanChangeError as error:
             raise SnapshotError(f"{name}: revision {change.revision}: {error}") from None
--- a/brackenpulley/standins/audit.py
+++ b/brackenpulley/standins/audit.py
@@ -109,12 +109,12 @@
     found = []
     for firm, tries in sorted(firms.items()):
         result, debt, at = Excess(firm), 0.0, begin
-        plan = book.figures(book.plan_of(firm, begin, told[firm])[0], begin)
-        result.allowed = (plan[1].burst if plan else 0.0) + book.integral(firm, told[firm], begin, end)
+        plan = book.find_spec(book.plan_of(firm, begin, told[firm])[0], begin)
+        result.allowed = (plan[1].burst if plan else 0.0) + book.integrate_rate(firm, told[firm], begin, end)
         for one in tries:
-            debt = max(0.0, debt - book.integral(firm, told[firm], at, one.at))
+            debt = max(0.0, debt - book.integrate_rate(firm, told[firm], at, one.at))
             at = max(at, one.at)
-            figures = book.figures(book.plan_of(firm, one.at, told[firm])[0], one.at)
+            figures = book.find_spec(book.plan_of(firm, one.at, told[firm])[0], one.at)
             burst = figures[1].burst if figures else 0.0
             over = min(one.guess, max(0.0, debt + one.guess - burst))
             result.over += over
--- a/tests/test_plan_book.py
+++ b/tests/test_plan_book.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from brackenpulley.plans import snapshot
-from brackenpulley.plans.book import Book, BookError, Change, Figures
+from brackenpulley.plans.book import Book, PlanChangeError, Change, Figures
 from brackenpulley.policy.interface import PlanSpec
 
 NOW = 1_000_000.0
@@ -42,16 +42,16 @@
     b = book()
     b.apply(Change(1, "set", at=NOW, since=NOW + 5, plan="school", figures=Figures(rate=6.0, burst=8.0)), NOW)
     b.apply(move(2, "county", NOW + 10), NOW)
-    priced = [b.figures(b.plan_of(1, NOW + t, "school")[0], NOW + t) for t in (0, 6, 11)]
+    priced = [b.find_spec(b.plan_of(1, NOW + t, "school")[0], NOW + t) for t in (0, 6, 11)]
     assert [found and found[1].rate for found in priced] == [3.0, 6.0, 7.0]
-    assert b.integral(1, "school", NOW, NOW + 20) == 5 * 3 + 5 * 6 + 10 * 7
-    assert b.integral(2, "school", NOW, NOW + 20) == 5 * 3 + 15 * 6
+    assert b.integrate_rate(1, "school", NOW, NOW + 20) == 5 * 3 + 5 * 6 + 10 * 7
+    assert b.integrate_rate(2, "school", NOW, NOW + 20) == 5 * 3 + 15 * 6
 
 
 def test_a_change_may_come_twice_but_not_differ() -> None:
     b = book()
     assert b.apply(move(1, "county", NOW), NOW) and not b.apply(move(1, "county", NOW), NOW)
-    with pytest.raises(BookError, match="revision: 1 is another change") as error:
+    with pytest.raises(PlanChangeError, match="revision: 1 is another change") as error:
         b.apply(move(1, "school", NOW), NOW)
     assert error.value.status == 409 and b.revision == 1
 
@@ -83,7 +83,7 @@
 def test_what_does_not_fit_changes_nothing(change: Change, status: int, field: str) -> None:
     b = book()
     b.apply(move(1, "county", NOW + 1), NOW)
-    with pytest.raises(BookError) as error:
+    with pytest.raises(PlanChangeError) as error:
         b.apply(change, NOW)
     assert (error.value.status, error.value.field) == (status, field)
     assert b.revision == 1 and b.plan_of(1, NOW + 2, "school") == ("county", 1)
@@ -96,7 +96,7 @@
         b.apply(move(1, "county", NOW + 10), now)
         b.apply(Change(2, "withdraw", at=NOW + 9, of=1), now + 9)
         assert b.plan_of(1, NOW + 30, "school")[0] == "school" and b.next_due(NOW) is None
-    with pytest.raises(BookError, match="withdrawn already"):
+    with pytest.raises(PlanChangeError, match="withdrawn already"):
         early.apply(Change(3, "withdraw", at=NOW + 9, of=1), NOW + 9)
 
 
@@ -104,11 +104,11 @@
     b = book()
     b.apply(Change(1, "set", at=NOW, since=NOW + 5, plan="gold", figures=Figures(1.0, 1.0)), NOW)
     b.apply(move(2, "gold", NOW + 6), NOW)
-    with pytest.raises(BookError, match="revision 2 moves a firm to that plan"):
+    with pytest.raises(PlanChangeError, match="revision 2 moves a firm to that plan"):
         b.apply(Change(3, "withdraw", at=NOW, of=1), NOW)
     b.apply(Change(3, "withdraw", at=NOW, of=2), NOW)
     b.apply(Change(4, "withdraw", at=NOW, of=1), NOW)
-    assert b.plans == ["county", "school"] and b.firms == [] and len(b.history(plan="gold")) == 4
+    assert b.plans == ["county", "school"] and b.firms == [] and len(b.list_history(plan="gold")) == 4
 
 
 MOVES = st.lists(st.tuples(st.sampled_from(["school", "county"]), st.integers(-5, 30), st.integers(1, 2)), max_size=12)
@@ -129,7 +129,7 @@
             try:
                 shuffled.apply(change, NOW + 3)
                 waiting.remove(change)
-            except BookError as error:
+            except PlanChangeError as error:
                 assert error.status == 409
     for firm in (1, 2):
         for t in range(-6, 32):
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -24,7 +24,7 @@
 from brackenpulley.net.loop import Loop
 from brackenpulley.net.pool import Pool
 from brackenpulley.operator import LedgerOptions, ReservationsOptions
-from brackenpulley.plans.book import Change, Figures, firm_text
+from brackenpulley.plans.book import Change, Figures, format_firm
 from brackenpulley.plans.reservations import ReservationError
 from brackenpulley.plans.service import PlanService, ReservationService
 from brackenpulley.policy.brain import DecisionModule
@@ -168,7 +168,7 @@
                         core.plans.book.revision + 1,
                         "move",
                         at=core.now,
-                        firm=firm_text(firm),
+                        firm=format_firm(firm),
                         since=core.now + number / 10 - 0.3,
                         plan=("school", "county")[number % 2],
                     )
