--- a/benchmarks/capacity/kinds/counter.py
+++ b/benchmarks/capacity/kinds/counter.py
@@ -6,7 +6,7 @@
 import random
 
 from benchmarks.vast import World
-from brackenpulley.plans.leases import Call, Free, Grant, Keeper
+from brackenpulley.plans.leases import CounterCall, LeaseFinished, LeaseGrant, LeaseManager
 
 from ..measure import REPEATS, Slope, slope
 
@@ -19,7 +19,9 @@
 def leased(rate: float, seed: int) -> float:
     """Counter calls a try: Poisson tries of a unit, firms well inside their quota, leases as in deploy's settings."""
     rng = random.Random(seed)
-    keeper = Keeper(lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0)
+    keeper = LeaseManager(
+        lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0
+    )
     numbers: dict[int, float] = {}
     levels: dict[int, float] = {}
     heap: list[tuple[float, int, str, float]] = []
@@ -30,14 +32,14 @@
         serial += 1
         heapq.heappush(heap, (when, serial, what, value))
 
-    def do(now: float, effects: list[Call | Grant | Free]) -> None:
+    def do(now: float, effects: list[CounterCall | LeaseGrant | LeaseFinished]) -> None:
         nonlocal calls
         for effect in effects:
-            if isinstance(effect, Call):
+            if isinstance(effect, CounterCall):
                 calls += 1
                 numbers[effect.name] = numbers.get(effect.name, 0.0) + effect.amount
                 push(now + ANSWER, "answer", effect.name)
-            elif isinstance(effect, Grant):
+            elif isinstance(effect, LeaseGrant):
                 levels[effect.firm] = levels.get(effect.firm, 0.0) + effect.units
 
     begin = 1000.0
@@ -50,13 +52,13 @@
         if what == "try":
             firm = int(value)
             tries += 1
-            do(now, keeper.need(now, firm, "county", 1.0, 3, 0, levels.get(firm, 0.0))[1])
+            do(now, keeper.request(now, firm, "county", 1.0, 3, 0, levels.get(firm, 0.0))[1])
             push(now + 2 * ANSWER, "use", firm)
             push(now + rng.expovariate(rate), "try", firm)
         elif what == "use":
             levels[int(value)] = levels.get(int(value), 0.0) - 1.0
         elif what == "answer":
-            do(now, keeper.answered(now, int(value), "ok", numbers[int(value)]))
+            do(now, keeper.handle_reply(now, int(value), "ok", numbers[int(value)]))
         else:
             do(now, keeper.sweep(now, lambda key: levels.get(key, 0.0)))
             push(now + 0.25, "sweep", 0.0)
--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -8,18 +8,20 @@
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.counter import encode_add
 from brackenpulley.net.loop import Loop
-from brackenpulley.plans.leases import TTL, Keeper, name_of
+from brackenpulley.plans.leases import COUNTER_TTL_SECONDS, LeaseManager, build_counter_name
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
 
 SIZES, TIMERS = (1000, 4000, 11000, 44000), (100, 1000, 10000, 40000)
 
 
-def keeper(firms: int) -> Keeper:
-    made = Keeper(lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0)
+def keeper(firms: int) -> LeaseManager:
+    made = LeaseManager(
+        lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0
+    )
     for firm in range(1, firms + 1):
-        made.need(1000.0, firm, "county", 1.0, 3, 0, 0.0)
-        made.answered(1000.01, made.firms[firm].name, "ok", 0.0)
+        made.request(1000.0, firm, "county", 1.0, 3, 0, 0.0)
+        made.handle_reply(1000.01, made.firms[firm].call_name, "ok", 0.0)
     return made
 
 
@@ -67,7 +69,9 @@
 def measured(seed: int, sizes: tuple[int, ...] = SIZES, timers: tuple[int, ...] = TIMERS) -> list[Slope]:
     found = {n: leased(n) for n in sizes}
     ledger = {n: closed(n) for n in sizes}
-    size = len(encode_add(name_of("debt", 12345, 1 << 32), 12.345678, TTL)) + len(b"$9\r\n123.45678\r\n")
+    size = len(encode_add(build_counter_name("debt", 12345, 1 << 32), 12.345678, COUNTER_TTL_SECONDS)) + len(
+        b"$9\r\n123.45678\r\n"
+    )
     return [
         slope(
             "firms.leases",
--- a/brackenpulley/configuration/rules.py
+++ b/brackenpulley/configuration/rules.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ..address import ConfigError, parse_address
-from ..plans.book import FIRM_LIMIT, PlanChangeError, Figures, format_firm, build_plan_spec
+from ..plans.book import FIRM_LIMIT, Figures, PlanChangeError, build_plan_spec, format_firm
 
 ADDRESSES = ("counter", "discovery")
 NAME, NOTE = 64, 200  # characters
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -17,7 +17,7 @@
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
 from ..operator import ConfigurationOptions
-from ..plans.book import parse_firm, format_firm, build_plan_spec
+from ..plans.book import build_plan_spec, format_firm, parse_firm
 from ..policy import interface as i
 from . import store
 from .force import InForce, Taken, log_here
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -162,7 +162,7 @@
 
 def plan_routes(routes: Routes, service: Any) -> None:
     """`service` is a plans.service.PlanService."""
-    from ..plans.book import PlanChangeError, Change, parse_firm, format_firm
+    from ..plans.book import Change, PlanChangeError, format_firm, parse_firm
 
     def shown(plan: str, when: float) -> dict[str, Any] | None:
         held = service.book.find_spec(plan, when)
@@ -542,7 +542,7 @@
 def configuration_routes(routes: Routes, service: Any) -> None:
     """`service` is a configuration.service.ConfigurationService. A change is answered once it holds here."""
     from ..configuration.rules import Change, ChangeError
-    from ..plans.book import PlanChangeError, Figures, parse_firm
+    from ..plans.book import Figures, PlanChangeError, parse_firm
 
     def figures(name: str, told: Any) -> Figures | None:
         try:
--- a/brackenpulley/extras.py
+++ b/brackenpulley/extras.py
@@ -82,16 +82,16 @@
     """
     if (options := daemon.config.operator.leases) is None:
         return
-    from .plans.leases import EPOCH
+    from .plans.leases import EPOCH_SECONDS
     from .plans.leasing import LeaseService
 
     if daemon.plans is None or daemon.counter is None:
         raise ConfigError("leases: need [plans] and a counter that the settings allow")
     for plan in daemon.config.settings.plans:
-        if plan.rate and plan.burst > EPOCH * plan.rate:
+        if plan.rate and plan.burst > EPOCH_SECONDS * plan.rate:
             raise ConfigError(
                 f"leases: plan {plan.name}: its burst is worth {plan.burst / plan.rate:.1f} s of its "
-                f"rate, {EPOCH:g} s at most"
+                f"rate, {EPOCH_SECONDS:g} s at most"
             )
     daemon.leases = daemon.ingress.leases = LeaseService(
         daemon.loop, daemon.ingress, daemon.counter, daemon.plans.book, options, daemon.metrics, daemon.log
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -12,7 +12,7 @@
 from ..operator import LeasesOptions
 from ..policy import interface as i
 from .book import Book
-from .leases import EPOCH, Call, Effect, Free, Grant, Keeper
+from .leases import EPOCH_SECONDS, CounterCall, Effect, LeaseFinished, LeaseGrant, LeaseManager
 
 SWEEP = 0.25  # s
 LOST = 1.0  # s without an answer after which the counter counts as lost
@@ -43,7 +43,7 @@
     ) -> None:
         self.loop, self.ingress, self.counter, self.book = loop, ingress, counter, book
         self.part, self.metrics, self.log = part, metrics, log
-        self.keeper = Keeper(book.integrate_rate, self._burst, part.prefetch_seconds, part.idle_seconds)
+        self.keeper = LeaseManager(book.integrate_rate, self._burst, part.prefetch_seconds, part.idle_seconds)
         self.waiting: dict[int, dict[Waiting, None]] = {}
         self.heard = loop.clock()
         self.asked = 0.0  # when the first call without an answer since was made; 0 = none
@@ -68,7 +68,7 @@
             return None
         if self.lost and self.part.share_on_counter_loss:
             self._share(now, message, plan)
-        waits, effects = self.keeper.need(
+        waits, effects = self.keeper.request(
             now,
             firm,
             message.plan,
@@ -111,24 +111,24 @@
                 error="the counter does not answer",
                 mode="share" if self.part.share_on_counter_loss else "refuse",
             )
-        self._do(self.keeper.answered(now, event.name, event.status, event.total))
+        self._do(self.keeper.handle_reply(now, event.name, event.status, event.total))
 
     def settled(self, customer: int) -> None:
-        self._do(self.keeper.settle(self.loop.clock(), customer, self.level(customer)))
+        self._do(self.keeper.lease_overdraft(self.loop.clock(), customer, self.level(customer)))
 
     def moved(self, customers: Iterable[int]) -> None:
         for customer in customers:
-            self._do(self.keeper.moved(self.loop.clock(), customer, self.level(customer)))
+            self._do(self.keeper.return_units(self.loop.clock(), customer, self.level(customer)))
 
     def _do(self, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Call):
+            if isinstance(effect, CounterCall):
                 self.metrics.add("lease_calls")
                 self.asked = self.asked or self.loop.clock()
                 self.counter.add(effect.name, effect.amount, effect.ttl)
-            elif isinstance(effect, Grant):
+            elif isinstance(effect, LeaseGrant):
                 self.ingress.notify(i.LeaseGranted(effect.firm, effect.plan, effect.units, effect.spread, effect.first))
-            elif isinstance(effect, Free):
+            elif isinstance(effect, LeaseFinished):
                 for waiting in list(self.waiting.pop(effect.firm, {})):
                     waiting.done()
 
@@ -138,14 +138,14 @@
 
     def give_back(self) -> None:
         """The end: what is held goes back to the others, as far as the calls get out."""
-        self._do(self.keeper.sweep(self.loop.clock(), self.level, everything=True))
+        self._do(self.keeper.sweep(self.loop.clock(), self.level, return_all=True))
 
     def status(self) -> dict[str, Any]:
         return {
             "firms": len(self.keeper.firms),
-            "calls": self.keeper.calls,
-            "refused": self.keeper.refused,
-            "unitsLost": round(self.keeper.lost, 3),
+            "calls": self.keeper.calls_by_stage,
+            "refused": self.keeper.refused_count,
+            "unitsLost": round(self.keeper.lost_units, 3),
             "counterLost": self.lost,
-            "epochSeconds": EPOCH,
+            "epochSeconds": EPOCH_SECONDS,
         }
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -11,7 +11,7 @@
 from ..operator import ReservationsOptions
 from ..policy import interface as i
 from . import snapshot
-from .book import Book, PlanChangeError, Change, parse_firm, format_firm
+from .book import Book, Change, PlanChangeError, format_firm, parse_firm
 from .reservations import Reservation, ReservationError, Reservations
 
 
--- a/brackenpulley/plans/snapshot.py
+++ b/brackenpulley/plans/snapshot.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from .book import Book, PlanChangeError, Change
+from .book import Book, Change, PlanChangeError
 
 FORMAT = "brackenpulley-plans-1"
 LARGEST = 64 << 20  # bytes
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenpulley.plans.leases import EPOCH, Call, Effect, Free, Grant, Keeper
+from brackenpulley.plans.leases import EPOCH_SECONDS, CounterCall, Effect, LeaseFinished, LeaseGrant, LeaseManager
 
 RATE, BURST = 6.0, 24.0
 
@@ -29,8 +29,8 @@
         self.used: list[tuple[float, float]] = []
         self.waiting: list[list[float]] = [[] for _ in range(ingresses)]
 
-    def keeper(self) -> Keeper:
-        return Keeper(lambda firm, plan, a, b: RATE * (b - a), lambda firm, plan, when: BURST, 1.0, 1.0)
+    def keeper(self) -> LeaseManager:
+        return LeaseManager(lambda firm, plan, a, b: RATE * (b - a), lambda firm, plan, when: BURST, 1.0, 1.0)
 
     def at(self, delay: float, call: Any) -> None:
         self.serial += 1
@@ -39,17 +39,17 @@
     def do(self, n: int, effects: list[Effect]) -> None:
         keeper = self.keepers[n]
         for effect in effects:
-            if isinstance(effect, Call):
+            if isinstance(effect, CounterCall):
                 self.calls += 1
                 self.at(self.rng.uniform(0.0005, 0.012), lambda e=effect: self.counter(n, keeper, e))
-            elif isinstance(effect, Grant):
+            elif isinstance(effect, LeaseGrant):
                 self.levels[n] += effect.units
-            elif isinstance(effect, Free):
+            elif isinstance(effect, LeaseFinished):
                 waiting, self.waiting[n] = self.waiting[n], []
                 for units in waiting:
                     self.use(n, units)
 
-    def counter(self, n: int, keeper: Keeper, call: Call) -> None:
+    def counter(self, n: int, keeper: LeaseManager, call: CounterCall) -> None:
         if self.rng.random() < self.lost:  # never arrived; the caller cannot know
             self.at(0.02, lambda: self.back(n, keeper, call, "timeout", 0.0))
             return
@@ -63,12 +63,12 @@
             lambda: self.back(n, keeper, call, status, total + call.amount),
         )
 
-    def back(self, n: int, keeper: Keeper, call: Call, status: str, total: float) -> None:
+    def back(self, n: int, keeper: LeaseManager, call: CounterCall, status: str, total: float) -> None:
         if self.keepers[n] is keeper:  # else it was killed
-            self.do(n, keeper.answered(self.now, call.name, status, total))
+            self.do(n, keeper.handle_reply(self.now, call.name, status, total))
 
     def ask(self, n: int, units: float) -> None:
-        waits, effects = self.keepers[n].need(self.now, 7, "p", units, len(self.keepers), 0, self.levels[n])
+        waits, effects = self.keepers[n].request(self.now, 7, "p", units, len(self.keepers), 0, self.levels[n])
         if waits:
             self.waiting[n].append(units)
         self.do(n, effects)
@@ -143,17 +143,17 @@
 def test_a_silent_counter_is_asked_with_nothing_at_stake() -> None:
     w = World(3, 2)
     load(w, 5.0, 30.0)
-    w.lost, before = 1.0, w.keepers[0].lost + w.keepers[1].lost
+    w.lost, before = 1.0, w.keepers[0].lost_units + w.keepers[1].lost_units
     begin, calls = w.now, w.calls
     for n in range(300):
         w.at(n / 100, lambda n=n: w.ask(n % 2, 1.0))
     w.run(begin + 4.0)
-    assert w.calls - calls < 40 and w.keepers[0].lost + w.keepers[1].lost - before <= BURST
+    assert w.calls - calls < 40 and w.keepers[0].lost_units + w.keepers[1].lost_units - before <= BURST
     w.lost = 0.0
     for n in range(300):
         w.at(n / 100, lambda n=n: w.ask(n % 2, 1.0))
     served = len(w.used)
-    w.run(w.now + EPOCH / 4)
+    w.run(w.now + EPOCH_SECONDS / 4)
     assert len(w.used) > served and w.peak() <= 0.5
 
 
@@ -161,7 +161,7 @@
     w = World(4, 1)
     load(w, 1.0, 10.0)
     w.levels[0] -= 9.0
-    w.do(0, w.keepers[0].settle(w.now, 7, w.levels[0]))
+    w.do(0, w.keepers[0].lease_overdraft(w.now, 7, w.levels[0]))
     assert w.levels[0] >= 0.0
     begin, used = w.now, len(w.used)
     for n in range(100):
--- a/tests/test_plan_book.py
+++ b/tests/test_plan_book.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from brackenpulley.plans import snapshot
-from brackenpulley.plans.book import Book, PlanChangeError, Change, Figures
+from brackenpulley.plans.book import Book, Change, Figures, PlanChangeError
 from brackenpulley.policy.interface import PlanSpec
 
 NOW = 1_000_000.0
