--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -246,7 +246,7 @@
     """`service` is a plans.service.ReservationService."""
     from ..plans.book import PlanChangeError, parse_firm
     from ..plans.reservations import ReservationError
-    from ..plans.service import row
+    from ..plans.service import describe_reservation
 
     def guard(call: Callable[[], T]) -> T:
         try:
@@ -257,11 +257,11 @@
     def listed(request: Request) -> Any:
         now = service.loop.clock()
         most = whole(request, "most", 200, 1, 10_000)
-        held = service.table.held()
+        held = service.table.list_held()
         return {
             "held": len(held),
-            "units": service.table.units_held(),
-            "reservations": [row(one, now) for one in held[:most]],
+            "units": service.table.sum_held_units(),
+            "reservations": [describe_reservation(one, now) for one in held[:most]],
         }
 
     def reserve(request: Request) -> Any:
@@ -273,20 +273,20 @@
         )
         if one is None:
             raise ApiError(429, "units", f"not within the firm's allowance now; come back in {after:.3f} s", after)
-        return 201, row(one, service.loop.clock())
+        return 201, describe_reservation(one, service.loop.clock())
 
     def known(request: Request) -> Any:
-        one = service.table.known(request.parts[0])
+        one = service.table.find(request.parts[0])
         if one is None:
             raise ApiError(404, "id", f"no reservation {request.parts[0][:70]}")
-        return row(one, service.loop.clock())
+        return describe_reservation(one, service.loop.clock())
 
     def commit(request: Request) -> Any:
         told = decode(request.body, CommitCall)
-        return row(guard(lambda: service.commit(request.parts[0], told.units)), service.loop.clock())
+        return describe_reservation(guard(lambda: service.commit(request.parts[0], told.units)), service.loop.clock())
 
     def release(request: Request) -> Any:
-        return row(guard(lambda: service.release(request.parts[0])), service.loop.clock())
+        return describe_reservation(guard(lambda: service.release(request.parts[0])), service.loop.clock())
 
     routes.add("GET", "/v1/reservations", listed)
     routes.add("POST", "/v1/reservations", reserve)
--- a/brackenpulley/plans/leasing.py
+++ b/brackenpulley/plans/leasing.py
@@ -1,4 +1,7 @@
-"""The exact mode on the daemon's loop: the keeper's calls go to the counter, its grants to the module."""
+"""The lease service: carries out the lease manager's effects on the daemon's loop.
+
+Calls go to the shared counter, grants to the decision module. The ingress asks it before it decides on a message.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 from ..metrics import Metrics
 from ..net.loop import Loop
 from ..operator import LeasesOptions
-from ..policy import interface as i
+from ..policy import interface
 from .book import Book
 from .leases import EPOCH_SECONDS, CounterCall, Effect, LeaseFinished, LeaseGrant, LeaseManager
 
-SWEEP = 0.25  # s
-LOST = 1.0  # s without an answer after which the counter counts as lost
+SWEEP_SECONDS = 0.25
+COUNTER_LOST_SECONDS = 1.0  # without a reply, after which the counter is regarded as lost
 
 
-class Waiting:
-    """One message that waits for a lease."""
+class WaitingMessage:
+    """A message that waits for a lease."""
 
     __slots__ = ("service", "firm", "done")
 
@@ -27,125 +30,142 @@
         self.service, self.firm, self.done = service, firm, done
 
     def drop(self) -> None:
-        self.service.waiting.get(self.firm, {}).pop(self, None)
+        """Stop waiting; `done` is not called any more."""
+        self.service.waiting_by_firm.get(self.firm, {}).pop(self, None)
 
 
 class LeaseService:
+    """Leases units for the firms of waiting messages, and tracks whether the counter replies."""
+
     def __init__(
         self,
         loop: Loop,
         ingress: Ingress,
         counter: Counter,
         book: Book,
-        part: LeasesOptions,
+        options: LeasesOptions,
         metrics: Metrics,
         log: Any,
     ) -> None:
         self.loop, self.ingress, self.counter, self.book = loop, ingress, counter, book
-        self.part, self.metrics, self.log = part, metrics, log
-        self.keeper = LeaseManager(book.integrate_rate, self._burst, part.prefetch_seconds, part.idle_seconds)
-        self.waiting: dict[int, dict[Waiting, None]] = {}
-        self.heard = loop.clock()
-        self.asked = 0.0  # when the first call without an answer since was made; 0 = none
-        self.lost = False
-        self._shared: dict[int, float] = {}  # firm: when its share was last given out
+        self.options, self.metrics, self.log = options, metrics, log
+        self.manager = LeaseManager(book.integrate_rate, self._burst, options.prefetch_seconds, options.idle_seconds)
+        self.waiting_by_firm: dict[int, dict[WaitingMessage, None]] = {}
+        self.last_reply_at = loop.clock()
+        self.unanswered_since = 0.0  # time of the first call since the last reply; 0 = none
+        self.is_counter_lost = False
+        self._shared_at: dict[int, float] = {}  # by firm: when its share was last granted
 
     def start(self) -> None:
-        self.loop.call_in(SWEEP, self._sweep)
+        """Start the periodic sweep."""
+        self.loop.call_in(SWEEP_SECONDS, self._sweep)
 
-    def _burst(self, firm: int, told: str, when: float) -> float:
-        found = self.book.find_spec(self.book.plan_of(firm, when, told)[0], when)
+    def _burst(self, firm: int, requested_plan: str, when: float) -> float:
+        found = self.book.find_spec(self.book.plan_of(firm, when, requested_plan)[0], when)
         return found[1].burst if found else 0.0
 
-    def level(self, firm: int) -> float:
+    def find_level(self, firm: int) -> float:
+        """Return the units that the decision module holds for a firm."""
         record = self.ingress.decision_module.firms.get(firm)
         return record.level if record is not None else 0.0
 
-    def ask(self, message: Message, done: Callable[[], None]) -> Waiting | None:
+    def ask(self, message: Message, done: Callable[[], None]) -> WaitingMessage | None:
+        """Request units for a message; returns a handle where it must wait, and then calls `done` after the lease."""
         now, firm = self.loop.clock(), message.firm
         plan = self.ingress.decision_module.plans.get(message.plan)
         if plan is None or not plan.rate:
             return None
-        if self.lost and self.part.share_on_counter_loss:
-            self._share(now, message, plan)
-        waits, effects = self.keeper.request(
+        if self.is_counter_lost and self.options.share_on_counter_loss:
+            self._share_rate(now, message, plan)
+        waits, effects = self.manager.request(
             now,
             firm,
             message.plan,
             message.units,
             message.spread,
             message.first,
-            self.level(firm),
+            self.find_level(firm),
             message.requested_plan,
         )
-        waiting = Waiting(self, firm, done) if waits else None
+        waiting = WaitingMessage(self, firm, done) if waits else None
         if waiting is not None:
             self.metrics.add("lease_waits")
-            self.waiting.setdefault(firm, {})[waiting] = None
-        self._do(effects)
+            self.waiting_by_firm.setdefault(firm, {})[waiting] = None
+        self._apply_effects(effects)
         return waiting
 
-    def _share(self, now: float, message: Message, plan: i.PlanSpec) -> None:
-        """The counter is lost: each ingress of the firm's set lets in its even part of the rate, a second's at once."""
-        since = self._shared.get(message.firm, now - 1.0)
+    def _share_rate(self, now: float, message: Message, plan: interface.PlanSpec) -> None:
+        """Grant this ingress an equal share of the firm's rate, at most one second's at once.
+
+        Used while the counter is lost and the operator chose to share then.
+        """
+        since = self._shared_at.get(message.firm, now - 1.0)
         units = min(1.0, now - since) * plan.rate / message.spread
-        most = max(plan.rate / message.spread, message.units) - self.level(message.firm)
-        if (units := min(units, most)) > 0:
-            self._shared[message.firm] = now
+        max_units = max(plan.rate / message.spread, message.units) - self.find_level(message.firm)
+        if (units := min(units, max_units)) > 0:
+            self._shared_at[message.firm] = now
             self.metrics.add("lease_shares")
-            self.ingress.notify(i.LeaseGranted(message.firm, message.plan, units, message.spread, message.first))
+            self.ingress.notify(
+                interface.LeaseGranted(message.firm, message.plan, units, message.spread, message.first)
+            )
 
-    def counted(self, event: i.CounterResult) -> None:
+    def counted(self, event: interface.CounterResult) -> None:
+        """Handle the end of a counter call."""
         now = self.loop.clock()
         if event.status == "ok":
-            self.heard, self.asked = now, 0.0
-            if self.lost:
-                self.lost = False
-                self._shared.clear()
+            self.last_reply_at, self.unanswered_since = now, 0.0
+            if self.is_counter_lost:
+                self.is_counter_lost = False
+                self._shared_at.clear()
                 self.log.info("leases", said="the counter answers again")
-        elif not self.lost and self.asked and now - self.asked > LOST:
-            self.lost = True
+        elif not self.is_counter_lost and self.unanswered_since and now - self.unanswered_since > COUNTER_LOST_SECONDS:
+            self.is_counter_lost = True
             self.metrics.add("lease_counter_lost")
             self.log.error(
                 "leases",
                 error="the counter does not answer",
-                mode="share" if self.part.share_on_counter_loss else "refuse",
+                mode="share" if self.options.share_on_counter_loss else "refuse",
             )
-        self._do(self.keeper.handle_reply(now, event.name, event.status, event.total))
+        self._apply_effects(self.manager.handle_reply(now, event.name, event.status, event.total))
 
-    def settled(self, customer: int) -> None:
-        self._do(self.keeper.lease_overdraft(self.loop.clock(), customer, self.level(customer)))
+    def settled(self, firm: int) -> None:
+        """Lease what the true cost of a message took beyond the units held for the firm."""
+        self._apply_effects(self.manager.lease_overdraft(self.loop.clock(), firm, self.find_level(firm)))
 
-    def moved(self, customers: Iterable[int]) -> None:
-        for customer in customers:
-            self._do(self.keeper.return_units(self.loop.clock(), customer, self.level(customer)))
+    def moved(self, firms: Iterable[int]) -> None:
+        """Return the leases of firms whose plan or figures changed."""
+        for firm in firms:
+            self._apply_effects(self.manager.return_units(self.loop.clock(), firm, self.find_level(firm)))
 
-    def _do(self, effects: list[Effect]) -> None:
+    def _apply_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, CounterCall):
                 self.metrics.add("lease_calls")
-                self.asked = self.asked or self.loop.clock()
+                self.unanswered_since = self.unanswered_since or self.loop.clock()
                 self.counter.add(effect.name, effect.amount, effect.ttl)
             elif isinstance(effect, LeaseGrant):
-                self.ingress.notify(i.LeaseGranted(effect.firm, effect.plan, effect.units, effect.spread, effect.first))
+                self.ingress.notify(
+                    interface.LeaseGranted(effect.firm, effect.plan, effect.units, effect.spread, effect.first)
+                )
             elif isinstance(effect, LeaseFinished):
-                for waiting in list(self.waiting.pop(effect.firm, {})):
+                for waiting in list(self.waiting_by_firm.pop(effect.firm, {})):
                     waiting.done()
 
     def _sweep(self) -> None:
-        self._do(self.keeper.sweep(self.loop.clock(), self.level))
-        self.loop.call_in(SWEEP, self._sweep)
+        self._apply_effects(self.manager.sweep(self.loop.clock(), self.find_level))
+        self.loop.call_in(SWEEP_SECONDS, self._sweep)
 
-    def give_back(self) -> None:
-        """The end: what is held goes back to the others, as far as the calls get out."""
-        self._do(self.keeper.sweep(self.loop.clock(), self.level, return_all=True))
+    def return_all_leases(self) -> None:
+        """Return all held units at shutdown; calls that are not sent before the end are lost."""
+        self._apply_effects(self.manager.sweep(self.loop.clock(), self.find_level, return_all=True))
 
     def status(self) -> dict[str, Any]:
+        """Return the lease figures shown by the control API."""
         return {
-            "firms": len(self.keeper.firms),
-            "calls": self.keeper.calls_by_stage,
-            "refused": self.keeper.refused_count,
-            "unitsLost": round(self.keeper.lost_units, 3),
-            "counterLost": self.lost,
+            "firms": len(self.manager.firms),
+            "calls": self.manager.calls_by_stage,
+            "refused": self.manager.refused_count,
+            "unitsLost": round(self.manager.lost_units, 3),
+            "counterLost": self.is_counter_lost,
             "epochSeconds": EPOCH_SECONDS,
         }
--- a/brackenpulley/plans/service.py
+++ b/brackenpulley/plans/service.py
@@ -1,4 +1,7 @@
-"""The plan book and reservations on the daemon's loop: what holds from now on goes to the module as events."""
+"""The plan and reservation services: the plan book and the reservation table on the daemon's loop.
+
+Both notify the decision module by events; the control API and the ingress call them.
+"""
 
 from __future__ import annotations
 
@@ -9,36 +12,40 @@
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
 from ..operator import ReservationsOptions
-from ..policy import interface as i
+from ..policy import interface
 from . import snapshot
 from .book import Book, Change, PlanChangeError, format_firm, parse_firm
-from .reservations import Reservation, ReservationError, Reservations
+from .reservations import Reservation, ReservationError, ReservationTable
 
 
 class PlanService:
-    """Owns the book and its one file."""
+    """Owns the plan book and its snapshot file; tells the decision module of changes when they take effect."""
 
     def __init__(
-        self, loop: Loop, ingress: Ingress, plans: list[i.PlanSpec], path: str, metrics: Metrics, log: Any
+        self, loop: Loop, ingress: Ingress, plans: list[interface.PlanSpec], path: str, metrics: Metrics, log: Any
     ) -> None:
-        """Raises SnapshotError."""
+        """Load the snapshot. Raises SnapshotError where no usable file is left."""
         self.loop, self.ingress, self.path, self.metrics, self.log = loop, ingress, path, metrics, log
         self.book = Book(plans)
         for line in snapshot.load(path, self.book, loop.clock()):
             log.error("plans", error=line)
-        self._until = loop.clock()  # what took effect up to here the module has been told
+        self._notified_until = loop.clock()  # the module was notified of changes effective up to here
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        self._tell(self.book.changes, self.loop.clock())
-        self._wait()
+        """Notify the module of the loaded changes and schedule the next one."""
+        self._notify_changes(self.book.changes, self.loop.clock())
+        self._schedule()
 
-    def plan_of(self, customer: int, told: str) -> tuple[str, int]:
-        return self.book.plan_of(customer, self.loop.clock(), told)
+    def plan_of(self, firm: int, requested_plan: str) -> tuple[str, int]:
+        """Return the current plan of a firm, and the revision of the book that set it or its figures."""
+        return self.book.plan_of(firm, self.loop.clock(), requested_plan)
 
     def change(self, change: Change) -> bool:
-        """False where it was taken before. Raises PlanChangeError; then, and where the file can't be written, all is as
-        it was."""
+        """Store and apply a change; returns False where it was applied before.
+
+        Raises PlanChangeError where it is rejected or the snapshot cannot be written; nothing is changed then.
+        """
         now = self.loop.clock()
         if not self.book.validate(change, now):
             self.metrics.add("plan_changes_repeated")
@@ -51,163 +58,181 @@
         self.book.apply(change, now)
         self.metrics.add("plan_changes")
         if change.kind != "withdraw":
-            late = now - change.since
+            lateness = now - change.since
             self.log.info(
                 "plan change",
                 revision=change.revision,
                 kind=change.kind,
                 plan=change.plan,
                 firm=change.firm,
-                in_s=round(-late, 3),
+                in_s=round(-lateness, 3),
             )
-            if late >= 0:
-                self.metrics.add("plan_changes_late" if late > 0.05 else "plan_changes_at_once")
-                self._tell([change], now)
-        elif (old := self.book.changes[change.of - 1]).since <= now:
-            # Withdrawn in time, but heard of late: what holds instead is told.
-            self._tell([old], now)
-        self._wait()
+            if lateness >= 0:
+                self.metrics.add("plan_changes_late" if lateness > 0.05 else "plan_changes_at_once")
+                self._notify_changes([change], now)
+        elif (previous := self.book.changes[change.of - 1]).since <= now:
+            # Withdrawn in time but received late: notify the module of what is effective instead.
+            self._notify_changes([previous], now)
+        self._schedule()
         return True
 
-    def _wait(self) -> None:
+    def _schedule(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        due = self.book.next_due(self._until)
-        if due is not None:
-            self._timer = self.loop.call_at(due, self._effect)
+        next_due = self.book.next_due(self._notified_until)
+        if next_due is not None:
+            self._timer = self.loop.call_at(next_due, self._apply_due)
 
-    def _effect(self) -> None:
+    def _apply_due(self) -> None:
         now = self.loop.clock()
-        self._tell(self.book.list_effective(self._until, now), now)
-        self._until = now
-        self._wait()
+        self._notify_changes(self.book.list_effective(self._notified_until, now), now)
+        self._notified_until = now
+        self._schedule()
 
-    def _tell(self, changes: list[Change], now: float) -> None:
-        """The module hears what the book says now of everything that these changes are about."""
+    def _notify_changes(self, changes: list[Change], now: float) -> None:
+        """Notify the module of the current figures and assignments that these changes concern."""
         plans = {change.plan: None for change in changes if change.kind == "set"}
         found = [held[1] for plan in plans if (held := self.book.find_spec(plan, now))]
         changed: list[int] = []
         if found:
             names = {plan.name for plan in found}
-            changed += [key for key, c in self.ingress.decision_module.firms.items() if c.plan.name in names]
-            self.ingress.notify(i.PlansChanged(found))
+            changed += [key for key, record in self.ingress.decision_module.firms.items() if record.plan.name in names]
+            self.ingress.notify(interface.PlansChanged(found))
         for firm in {parse_firm(change.firm): None for change in changes if change.kind == "move"}:
             name, _ = self.book.plan_of(firm, now)
             if name:
                 changed.append(firm)
-                self.ingress.notify(i.FirmMoved(firm, name))
+                self.ingress.notify(interface.FirmMoved(firm, name))
         if self.ingress.leases is not None:
             self.ingress.leases.moved(changed)
 
     def status(self) -> dict[str, Any]:
+        """Return the state of the plan book shown by the control API."""
         now = self.loop.clock()
-        due = self.book.next_due(now)
+        next_due = self.book.next_due(now)
         return {
             "revision": self.book.revision,
             "firms": len(self.book.firms),
             "plans": self.book.plans,
-            "nextChangeIn": None if due is None else round(due - now, 3),
+            "nextChangeIn": None if next_due is None else round(next_due - now, 3),
             "snapshot": self.path,
         }
 
 
 class ReservationService:
-    """Owns the table of reservations; the module holds the units."""
+    """Owns the table of reservations; the decision module holds their units."""
 
-    def __init__(self, loop: Loop, ingress: Ingress, part: ReservationsOptions, metrics: Metrics) -> None:
-        self.loop, self.ingress, self.part, self.metrics = loop, ingress, part, metrics
-        self.table = Reservations(part.max_reservations, part.max_lifetime_seconds)
+    def __init__(self, loop: Loop, ingress: Ingress, options: ReservationsOptions, metrics: Metrics) -> None:
+        self.loop, self.ingress, self.options, self.metrics = loop, ingress, options, metrics
+        self.table = ReservationTable(options.max_reservations, options.max_lifetime_seconds)
         self._timer: Timer | None = None
-        self._at = 0.0
+        self._timer_at = 0.0
 
     def reserve(
         self, ident: str, firm: int, plan: str, units: float, lifetime: float, spread: int = 1, first: int = 0
     ) -> tuple[Reservation | None, float]:
-        """The reservation, or None and when to come back (s). Raises ReservationError."""
+        """Reserve units; returns the reservation, or None and seconds until a retry. Raises ReservationError."""
         now = self.loop.clock()
-        old = self.table.check(ident, firm, units, lifetime, now)
-        if old is not None:
-            return old, 0.0
+        previous = self.table.check_new(ident, firm, units, lifetime, now)
+        if previous is not None:
+            return previous, 0.0
         settings, revision = self.ingress.decision_module.settings, 0
         if units > settings.most_units:
-            raise ReservationError(400, "units", f"{units:g} is more than the {settings.most_units:g} of one request")
+            raise ReservationError(
+                400, "units", f"{units:g} is more than {settings.most_units:g}, the maximum of one request"
+            )
         if not 1 <= spread <= settings.places or not 0 <= first < settings.places:
-            raise ReservationError(400, "spread", f"{spread} from {first} is no set of {settings.places}")
+            raise ReservationError(400, "spread", f"{spread} from {first} is not a range of {settings.places} places")
         if self.ingress.plans is not None:
             plan, revision = self.ingress.plans.plan_of(firm, plan)
         if plan not in self.ingress.decision_module.plans:
             raise ReservationError(400, "plan", f"no plan {plan[:40]!r}")
-        answer = self.ingress.reserve(i.Reserve(ident, firm, plan, units, spread, first))
-        if isinstance(answer, i.Refuse):
+        answer = self.ingress.reserve(interface.Reserve(ident, firm, plan, units, spread, first))
+        if isinstance(answer, interface.Refuse):
             self.metrics.add("reservations_refused")
             return None, answer.retry_after
-        one = Reservation(ident, firm, plan, revision, units, now, now + lifetime)
-        self._hold(one)
-        return one, 0.0
+        reservation = Reservation(ident, firm, plan, revision, units, now, now + lifetime)
+        self._add(reservation)
+        return reservation, 0.0
 
-    def _hold(self, one: Reservation) -> None:
-        self.table.hold(one)
-        self.metrics.add("reservations_" + one.kind)
-        self._wait()
+    def _add(self, reservation: Reservation) -> None:
+        self.table.add(reservation)
+        self.metrics.add("reservations_" + reservation.kind)
+        self._schedule()
 
     def commit(self, ident: str, units: float) -> Reservation:
-        """Raises ReservationError."""
+        """Charge a reservation with its true units. Raises ReservationError."""
         if units > 1e6:
-            raise ReservationError(400, "units", f"{units:g} is no amount up to 1000000")
-        if (one := self.table.commit(ident, units, self.loop.clock())) is not None:
-            self._settle(one, units, "committed")
-        found = self.table.known(ident)
+            raise ReservationError(400, "units", f"{units:g} is more than 1000000")
+        if (reservation := self.table.commit(ident, units, self.loop.clock())) is not None:
+            self._settle(reservation, units, "committed")
+        found = self.table.find(ident)
         assert found is not None
         return found
 
     def release(self, ident: str) -> Reservation:
-        """Raises ReservationError."""
-        if (one := self.table.release(ident, self.loop.clock())) is not None:
-            self._settle(one, 0.0, "released")
-        found = self.table.known(ident)
+        """Return the units of a reservation. Raises ReservationError."""
+        if (reservation := self.table.release(ident, self.loop.clock())) is not None:
+            self._settle(reservation, 0.0, "released")
+        found = self.table.find(ident)
         assert found is not None
         return found
 
-    def _settle(self, one: Reservation, units: float, how: str) -> None:
-        self.metrics.add("reservations_" + how)
-        one.settled = units
-        self.ingress.notify(i.Settle(one.id, one.firm, one.plan, one.revision, one.units, units, one.made))
+    def _settle(self, reservation: Reservation, units: float, outcome: str) -> None:
+        self.metrics.add("reservations_" + outcome)
+        reservation.charged_units = units
+        self.ingress.notify(
+            interface.Settle(
+                reservation.id,
+                reservation.firm,
+                reservation.plan,
+                reservation.revision,
+                reservation.units,
+                units,
+                reservation.reserved_at,
+            )
+        )
         if self.ingress.leases is not None:
-            self.ingress.leases.settled(one.firm)
+            self.ingress.leases.settled(reservation.firm)
 
-    def _wait(self) -> None:
-        due = self.table.next_due()
-        if due is None or self._timer is not None and self._at <= due:
+    def _schedule(self) -> None:
+        next_due = self.table.next_expiry()
+        if next_due is None or self._timer is not None and self._timer_at <= next_due:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._at = due
-        self._timer = self.loop.call_at(due, self._ended)
+        self._timer_at = next_due
+        self._timer = self.loop.call_at(next_due, self._expire_due)
 
-    def _ended(self) -> None:
+    def _expire_due(self) -> None:
         self._timer = None
-        for one in self.table.due(self.loop.clock()):
-            charged = one.kind == "granted" and self.part.charge_grants
-            self._settle(one, one.units if charged else 0.0, "expired")
-        self._wait()
-
-    # What the core asks.
+        for reservation in self.table.expire_due(self.loop.clock()):
+            charged = reservation.kind == "granted" and self.options.charge_grants
+            self._settle(reservation, reservation.units if charged else 0.0, "expired")
+        self._schedule()
 
     def pays(self, message: Message) -> float:
-        one = self.table.use(message.reservation, message.firm, self.loop.clock())
-        return one.units if one is not None else 0.0
+        """Return the units that the message's reservation holds for it, or 0."""
+        reservation = self.table.find_usable(message.reservation, message.firm, self.loop.clock())
+        return reservation.units if reservation is not None else 0.0
 
     def used(self, message: Message) -> None:
+        """End the message's reservation once the message is relayed."""
         if self.pays(message):
             self.metrics.add("reservations_used")
-            self.table.used(message.reservation, self.loop.clock())
+            self.table.mark_used(message.reservation, self.loop.clock())
 
     def granted(self, message: Message) -> bool:
-        if not self.part.grant_lifetime_seconds or len(self.table) >= self.table.most or self.table.known(message.id):
+        """Hold the units of a message that the authorization service allowed; returns whether they are held."""
+        if (
+            not self.options.grant_lifetime_seconds
+            or len(self.table) >= self.table.max_held
+            or self.table.find(message.id)
+        ):
             return False
         now = self.loop.clock()
-        self._hold(
+        self._add(
             Reservation(
                 message.id,
                 message.firm,
@@ -215,25 +240,27 @@
                 message.revision,
                 message.units,
                 now,
-                now + self.part.grant_lifetime_seconds,
+                now + self.options.grant_lifetime_seconds,
                 "granted",
             )
         )
         return True
 
     def status(self) -> dict[str, Any]:
-        return {"held": len(self.table), "units": self.table.units_held(), "most": self.table.most}
+        """Return the totals of reservations shown by the control API."""
+        return {"held": len(self.table), "units": self.table.sum_held_units(), "most": self.table.max_held}
 
 
-def row(one: Reservation, now: float) -> dict[str, Any]:
+def describe_reservation(reservation: Reservation, now: float) -> dict[str, Any]:
+    """Return a reservation as shown by the control API."""
     return {
-        "id": one.id,
-        "firm": format_firm(one.firm),
-        "plan": one.plan,
-        "revision": one.revision,
-        "units": one.units,
-        "state": one.state,
-        "kind": one.kind,
-        "charged": one.settled,
-        "endsIn": round(max(0.0, one.until - now), 3) if one.state == "held" else 0.0,
+        "id": reservation.id,
+        "firm": format_firm(reservation.firm),
+        "plan": reservation.plan,
+        "revision": reservation.revision,
+        "units": reservation.units,
+        "state": reservation.state,
+        "kind": reservation.kind,
+        "charged": reservation.charged_units,
+        "endsIn": round(max(0.0, reservation.expires_at - now), 3) if reservation.state == "held" else 0.0,
     }
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -357,7 +357,7 @@
             self.loop.call_in(0.02, self._await_in_flight)
         else:
             if self.leases is not None:
-                self.leases.give_back()
+                self.leases.return_all_leases()
             for part in (self.maintenance, self.drains):
                 if part is not None:
                     part.closed()
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -138,9 +138,9 @@
         for kind, firm, number in steps:
             core.now += 0.02
             serial += 1
-            known = core.held.table.held()
+            known = core.held.table.list_held()
             name = rng.choice(known).id if known and kind != "reserve" and rng.random() < 0.8 else f"r{serial % 50}"
-            if kind == "pay" and (held := core.held.table.known(name)) is not None:
+            if kind == "pay" and (held := core.held.table.find(name)) is not None:
                 firm = held.firm
             if kind in ("ask", "pay"):
                 message = Message(
@@ -206,7 +206,7 @@
 
 def booked(core: Core, kind: str, ident: str, firm: int, units: float) -> float:
     """Units that a call on a reservation must have charged."""
-    old = core.held.table.known(ident)
+    old = core.held.table.find(ident)
     try:
         if kind == "reserve":
             core.held.reserve(ident, firm, "school", units, 1.0 + firm)
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -6,19 +6,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenpulley.plans.reservations import KEPT, Reservation, ReservationError, Reservations
+from brackenpulley.plans.reservations import RETENTION_SECONDS, Reservation, ReservationError, ReservationTable
 
 
-def table(state: str = "held") -> Reservations:
-    t = Reservations(3, 60.0)
-    assert t.check("r", 1, 4.0, 10.0, 0.0) is None
-    t.hold(Reservation("r", 1, "school", 0, 4.0, 0.0, 10.0))
+def table(state: str = "held") -> ReservationTable:
+    t = ReservationTable(3, 60.0)
+    assert t.check_new("r", 1, 4.0, 10.0, 0.0) is None
+    t.add(Reservation("r", 1, "school", 0, 4.0, 0.0, 10.0))
     {
         "held": lambda: None,
         "committed": lambda: t.commit("r", 3.0, 1.0),
         "released": lambda: t.release("r", 1.0),
-        "expired": lambda: t.due(10.0),
-        "used": lambda: t.used("r", 1.0),
+        "expired": lambda: t.expire_due(10.0),
+        "used": lambda: t.mark_used("r", 1.0),
     }[state]()
     return t
 
@@ -56,24 +56,24 @@
     t = table("committed")
     with pytest.raises(ReservationError, match="committed with 3 units"):
         t.commit("r", 2.0, 2.0)
-    old = t.check("r", 1, 4.0, 10.0, 2.0)
+    old = t.check_new("r", 1, 4.0, 10.0, 2.0)
     assert old is not None and old.state == "committed"
     with pytest.raises(ReservationError, match="of other units or another firm"):
-        t.check("r", 2, 4.0, 10.0, 2.0)
+        t.check_new("r", 2, 4.0, 10.0, 2.0)
 
 
 def test_commit_after_its_end_is_late_even_before_the_end_is_swept() -> None:
     t = table()
     with pytest.raises(ReservationError) as error:
         t.commit("r", 3.0, 10.5)
-    assert error.value.status == 410 and [one.id for one in t.due(10.5)] == ["r"] and not t.due(11.0)
+    assert error.value.status == 410 and [one.id for one in t.expire_due(10.5)] == ["r"] and not t.expire_due(11.0)
 
 
 def test_what_is_over_is_remembered_for_a_while() -> None:
     t = table("released")
-    t.due(1.0 + KEPT)
+    t.expire_due(1.0 + RETENTION_SECONDS)
     with pytest.raises(ReservationError) as error:
-        t.release("r", 2.0 + KEPT)
+        t.release("r", 2.0 + RETENTION_SECONDS)
     assert error.value.status == 404
 
 
@@ -93,19 +93,19 @@
 )
 def test_a_wrong_argument_is_named(ident: str, units: float, life: float, field: str) -> None:
     with pytest.raises(ReservationError) as error:
-        table().check(ident, 1, units, life, 0.0)
+        table().check_new(ident, 1, units, life, 0.0)
     assert error.value.field == field and error.value.status == 400
 
 
 def test_at_most_so_many_are_held() -> None:
     t = table()
     for n in range(2):
-        t.hold(Reservation(f"x{n}", 1, "school", 0, 1.0, 0.0, 10.0))
+        t.add(Reservation(f"x{n}", 1, "school", 0, 1.0, 0.0, 10.0))
     with pytest.raises(ReservationError) as error:
-        t.check("one more", 1, 1.0, 1.0, 0.0)
+        t.check_new("one more", 1, 1.0, 1.0, 0.0)
     assert error.value.field == "id"
     with pytest.raises(ReservationError) as error:
-        t.check("more", 1, 1.0, 1.0, 0.0)
+        t.check_new("more", 1, 1.0, 1.0, 0.0)
     assert error.value.status == 503
 
 
@@ -117,23 +117,23 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=80)
 def test_each_reservation_ends_once(steps: list[tuple[str, int, int]]) -> None:
-    t, now, ended = Reservations(10, 60.0), 0.0, []
+    t, now, ended = ReservationTable(10, 60.0), 0.0, []
     for kind, which, number in steps:
         now += number / 4
         ident = f"r{which}"
         try:
             if kind == "hold":
-                if t.check(ident, which, 2.0, 1.0 + number, now) is None:
-                    t.hold(Reservation(ident, which, "p", 0, 2.0, now, now + 1.0 + number))
+                if t.check_new(ident, which, 2.0, 1.0 + number, now) is None:
+                    t.add(Reservation(ident, which, "p", 0, 2.0, now, now + 1.0 + number))
             elif kind == "due":
-                ended += [one.id for one in t.due(now)]
+                ended += [one.id for one in t.expire_due(now)]
             elif kind == "use":
-                if t.use(ident, which, now):
-                    t.used(ident, now)
+                if t.find_usable(ident, which, now):
+                    t.mark_used(ident, now)
                     ended.append(ident)
             elif (one := t.commit(ident, 1.0, now) if kind == "commit" else t.release(ident, now)) is not None:
                 ended.append(one.id)
         except ReservationError as error:
             assert error.status in (404, 409, 410)
-    ended += [one.id for one in t.due(now + 100)]
+    ended += [one.id for one in t.expire_due(now + 100)]
     assert len(ended) == len(set(ended)) and len(t) == 0
