--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -1,4 +1,4 @@
-"""The parts together: a core without sockets in the test's own time, and a daemon killed at the worst moments."""
+"""Plans, reservations and ledger together: an ingress without sockets in virtual time, and a daemon that is killed."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 PLANS = [PlanSpec("school", rate=3.0, burst=8.0), PlanSpec("county", rate=7.0, burst=32.0)]
 
 
-class Relay:
-    def __init__(self, south: Relays, message: Message, done: Any) -> None:
+class ControlledRelay:
+    def __init__(self, south: ControlledSouth, message: Message, done: Any) -> None:
         self.south, self.message, self.done = south, message, done
 
     def drop(self) -> bool:
-        """Given up after it was written whole: it may have run."""
-        self.south.out.remove(self)
+        """Abandon the relay after it was written whole, so that the server may have run it."""
+        self.south.in_flight.remove(self)
         self.south.reached.add(self.message.id)
         return True
 
@@ -55,57 +55,57 @@
         return False
 
 
-class Relays:
-    """A south side whose relays end when and as the test says, and what of it must be counted."""
+class ControlledSouth:
+    """South side whose relays end as the test decides; computes the units that must be charged."""
 
     def __init__(self) -> None:
-        self.out: list[Relay] = []
+        self.in_flight: list[ControlledRelay] = []
         self.reached: set[str] = set()
-        self.cost: dict[str, float] = {}
-        self.asked: dict[str, Message] = {}
+        self.costs: dict[str, float] = {}
+        self.pending: dict[str, Message] = {}
 
-    def start(self, message: Message, server: str, left: float, done: Any, began: Any) -> Relay:
-        self.out.append(Relay(self, message, done))
-        return self.out[-1]
+    def start(self, message: Message, server: str, left: float, done: Any, began: Any) -> ControlledRelay:
+        self.in_flight.append(ControlledRelay(self, message, done))
+        return self.in_flight[-1]
 
-    def end(self, relay: Relay, status: str, cost: float) -> None:
-        self.out.remove(relay)
+    def end(self, relay: ControlledRelay, status: str, cost: float) -> None:
+        self.in_flight.remove(relay)
         if status != "connect_failed":
             self.reached.add(relay.message.id)
         if status == "ok":
-            self.cost[relay.message.id] = cost
+            self.costs[relay.message.id] = cost
         relay.done(RelayResult(status, cost=cost if status == "ok" else 0.0))
 
-    def over(self, held: Any) -> float:
-        """Units of the messages that have left since: true cost, else the guess where a server had it whole."""
-        left = [ident for ident in self.asked if ident not in held]
+    def settle_finished(self, exchanges: Any) -> float:
+        """Return the units of messages finished since: the true cost, or the estimate if a server received it."""
+        left = [ident for ident in self.pending if ident not in exchanges]
         units = 0.0
-        for message in [self.asked.pop(ident) for ident in left]:
-            units += self.cost.get(message.id, message.units if message.id in self.reached else 0.0)
+        for message in [self.pending.pop(ident) for ident in left]:
+            units += self.costs.get(message.id, message.units if message.id in self.reached else 0.0)
         return units
 
 
 class Core:
-    """Ingress, module, book, reservations and ledger of one life, on a loop whose clock the test moves."""
+    """Ingress, decision module, plan book, reservations and ledger of one process; the test sets the clock."""
 
     def __init__(self, folder: str, now: float) -> None:
         self.now = now
         self.loop = Loop(lambda: self.now, Metrics(), Silent())
-        gateway = DecisionModule(
+        decision_module = DecisionModule(
             util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now
         )
-        self.ingress = Ingress(gateway, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
-        part = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
-        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
+        self.ingress = Ingress(decision_module, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
+        options = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
+        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), options, "n0", self.loop.metrics, Silent())
         self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, Silent())
         self.ingress.plans = self.plans
-        self.held = self.ingress.reservations = ReservationService(
+        self.reservation_service = self.ingress.reservations = ReservationService(
             self.loop, self.ingress, ReservationsOptions(100, 60.0, 3.0, True), self.loop.metrics
         )
         self.ledger.start()
         self.plans.start()
         self.ingress.update_servers(ServerList("full", [ServerEntry(f"s{n}") for n in range(4)]))
-        self.south = Relays()
+        self.south = ControlledSouth()
 
     def crash(self) -> None:
         store = self.ledger.store
@@ -131,16 +131,19 @@
 
 @given(STEPS)
 @settings(derandomize=True, deadline=None, max_examples=60)
-def test_counted_is_exported_and_still_held_through_everything(steps: list[tuple[str, int, int]]) -> None:
-    """What must be counted is added up beside it: the true cost of what was served, the guess of what a server had."""
+def test_charged_units_match_the_ledger_across_crashes(steps: list[tuple[str, int, int]]) -> None:
+    """Guards against lost or double charges across crashes.
+
+    The expected total is the true cost of served messages and the estimate of those that a server received.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        core, must, serial, rng = Core(folder, T0), 0.0, 0, random.Random(len(steps))
+        core, expected_units, serial, rng = Core(folder, T0), 0.0, 0, random.Random(len(steps))
         for kind, firm, number in steps:
             core.now += 0.02
             serial += 1
-            known = core.held.table.list_held()
+            known = core.reservation_service.table.list_held()
             name = rng.choice(known).id if known and kind != "reserve" and rng.random() < 0.8 else f"r{serial % 50}"
-            if kind == "pay" and (held := core.held.table.find(name)) is not None:
+            if kind == "pay" and (held := core.reservation_service.table.find(name)) is not None:
                 firm = held.firm
             if kind in ("ask", "pay"):
                 message = Message(
@@ -157,11 +160,11 @@
                     name if kind == "pay" else "",
                     requested_plan="school",
                 )
-                core.south.asked[message.id] = message
+                core.south.pending[message.id] = message
                 core.ingress.accept(message, lambda answer: None, core.south)
-            elif kind == "end" and core.south.out:
+            elif kind == "end" and core.south.in_flight:
                 status = ("ok", "ok", "error", "connect_failed")[number % 4]
-                core.south.end(rng.choice(core.south.out), status, float(1 + number % 5))
+                core.south.end(rng.choice(core.south.in_flight), status, float(1 + number % 5))
             elif kind == "move":
                 core.plans.change(
                     Change(
@@ -185,44 +188,44 @@
                     )
                 )
             elif kind in ("reserve", "commit", "release"):
-                must += booked(core, kind, name, firm, float(number))
+                expected_units += call_reservation(core, kind, name, firm, float(number))
             elif kind == "pass":
                 core.now += number / 2
             elif kind == "crash":
                 core.loop.run_once(0)
-                must += core.south.over(core.ingress.exchanges)
+                expected_units += core.south.settle_finished(core.ingress.exchanges)
                 core.crash()
                 core = Core(folder, core.now)
             core.loop.run_once(0)
-            must += core.south.over(core.ingress.exchanges)
+            expected_units += core.south.settle_finished(core.ingress.exchanges)
             heads, store = core.ledger.tally.heads, core.ledger.store
             closed = sum(entry.units for entry in store.entries())
-            assert heads.counted == must * MICRO
+            assert heads.counted == expected_units * MICRO
             assert heads.counted == closed + sum(e.units for e in core.ledger.made) + core.ledger.tally.open_units()
             assert faults(store) == [] and core.loop.metrics.counts["faults"] == 0
         core.ledger.stop()
         core.loop.close()
 
 
-def booked(core: Core, kind: str, ident: str, firm: int, units: float) -> float:
-    """Units that a call on a reservation must have charged."""
-    old = core.held.table.find(ident)
+def call_reservation(core: Core, kind: str, ident: str, firm: int, units: float) -> float:
+    """Make a call on a reservation and return the units that it must charge."""
+    existing = core.reservation_service.table.find(ident)
     try:
         if kind == "reserve":
-            core.held.reserve(ident, firm, "school", units, 1.0 + firm)
+            core.reservation_service.reserve(ident, firm, "school", units, 1.0 + firm)
         elif kind == "release":
-            core.held.release(ident)
+            core.reservation_service.release(ident)
         else:
-            fresh = old is not None and old.state == "held"
-            core.held.commit(ident, units)
-            return units * fresh
+            is_held = existing is not None and existing.state == "held"
+            core.reservation_service.commit(ident, units)
+            return units * is_held
     except ReservationError as error:
         assert error.status in (404, 409, 410)
     return 0.0
 
 
 @pytest.mark.parametrize("end", ["committed", "released", "expired"])
-def test_a_grant_holds_its_units_until_its_end_is_told_or_its_time_is_over(tmp_path: Path, end: str) -> None:
+def test_grant_holds_its_units_until_it_ends_or_expires(tmp_path: Path, end: str) -> None:
     told = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
     with rig(operator=told) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
@@ -240,9 +243,9 @@
             assert r.daemon.ingress.decision_module.firms[7].level >= level + 3.0
 
 
-def test_a_daemon_killed_between_upload_and_acknowledgement_sends_the_same_again(tmp_path: Path) -> None:
-    """A real process; billing takes the batch and says nothing, the process dies, the next one sends the same ids."""
-    store, t = filled(tmp_path / "ledger", 8)
+def test_daemon_killed_before_the_acknowledgement_uploads_the_same_batch_again(tmp_path: Path) -> None:
+    """Guards against double billing: a process is killed after billing took a batch, and the next one resends it."""
+    store, tally = filled(tmp_path / "ledger", 8)
     store.end()
     outside = Loop(time.time, Metrics(), Silent())
     servers = [SimServer(outside, "s-0", random.Random(1))]
@@ -274,7 +277,7 @@
     second.process.terminate()
     until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
-    assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == t.heads.counted
+    assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == tally.heads.counted
     last = Store(str(tmp_path / "ledger"))
     assert last.heads().acked == 24 and faults(last) == []
     last.end()
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Explicit reservations: the table of states, repeats, ends."""
+"""Explicit reservations: state transitions, repeated calls and expiry."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from brackenpulley.plans.reservations import RETENTION_SECONDS, Reservation, ReservationError, ReservationTable
 
 
-def table(state: str = "held") -> ReservationTable:
-    t = ReservationTable(3, 60.0)
-    assert t.check_new("r", 1, 4.0, 10.0, 0.0) is None
-    t.add(Reservation("r", 1, "school", 0, 4.0, 0.0, 10.0))
+def make_table(state: str = "held") -> ReservationTable:
+    table = ReservationTable(3, 60.0)
+    assert table.check_new("r", 1, 4.0, 10.0, 0.0) is None
+    table.add(Reservation("r", 1, "school", 0, 4.0, 0.0, 10.0))
     {
         "held": lambda: None,
-        "committed": lambda: t.commit("r", 3.0, 1.0),
-        "released": lambda: t.release("r", 1.0),
-        "expired": lambda: t.expire_due(10.0),
-        "used": lambda: t.mark_used("r", 1.0),
+        "committed": lambda: table.commit("r", 3.0, 1.0),
+        "released": lambda: table.release("r", 1.0),
+        "expired": lambda: table.expire_due(10.0),
+        "used": lambda: table.mark_used("r", 1.0),
     }[state]()
-    return t
+    return table
 
 
 @pytest.mark.parametrize(
@@ -38,42 +38,48 @@
         ("used", "release", 409),
     ],
 )
-def test_every_call_in_every_state_has_a_stated_answer(state: str, call: str, answer: object) -> None:
-    t = table(state)
+def test_result_of_each_call_in_each_state(state: str, call: str, answer: object) -> None:
+    table = make_table(state)
 
-    def go() -> Reservation | None:
-        return t.commit("r", 3.0, 11.0 if state == "expired" else 2.0) if call == "commit" else t.release("r", 2.0)
+    def make_call() -> Reservation | None:
+        return (
+            table.commit("r", 3.0, 11.0 if state == "expired" else 2.0) if call == "commit" else table.release("r", 2.0)
+        )
 
     if isinstance(answer, int):
         with pytest.raises(ReservationError) as error:
-            go()
+            make_call()
         assert error.value.status == answer
     else:
-        assert (go() is not None) is (answer == "settled")
+        assert (make_call() is not None) is (answer == "settled")
 
 
-def test_a_second_commit_with_other_units_is_refused_and_a_repeat_of_the_reserve_is_answered_alike() -> None:
-    t = table("committed")
+def test_second_commit_with_other_units_is_rejected_and_repeated_reserve_returns_the_existing_one() -> None:
+    table = make_table("committed")
     with pytest.raises(ReservationError, match="committed with 3 units"):
-        t.commit("r", 2.0, 2.0)
-    old = t.check_new("r", 1, 4.0, 10.0, 2.0)
-    assert old is not None and old.state == "committed"
+        table.commit("r", 2.0, 2.0)
+    existing = table.check_new("r", 1, 4.0, 10.0, 2.0)
+    assert existing is not None and existing.state == "committed"
     with pytest.raises(ReservationError, match="of other units or another firm"):
-        t.check_new("r", 2, 4.0, 10.0, 2.0)
+        table.check_new("r", 2, 4.0, 10.0, 2.0)
 
 
-def test_commit_after_its_end_is_late_even_before_the_end_is_swept() -> None:
-    t = table()
+def test_commit_after_expiry_fails_before_the_expiry_is_processed() -> None:
+    table = make_table()
     with pytest.raises(ReservationError) as error:
-        t.commit("r", 3.0, 10.5)
-    assert error.value.status == 410 and [one.id for one in t.expire_due(10.5)] == ["r"] and not t.expire_due(11.0)
+        table.commit("r", 3.0, 10.5)
+    assert (
+        error.value.status == 410
+        and [reservation.id for reservation in table.expire_due(10.5)] == ["r"]
+        and not table.expire_due(11.0)
+    )
 
 
-def test_what_is_over_is_remembered_for_a_while() -> None:
-    t = table("released")
-    t.expire_due(1.0 + RETENTION_SECONDS)
+def test_ended_reservation_is_forgotten_after_the_retention() -> None:
+    table = make_table("released")
+    table.expire_due(1.0 + RETENTION_SECONDS)
     with pytest.raises(ReservationError) as error:
-        t.release("r", 2.0 + RETENTION_SECONDS)
+        table.release("r", 2.0 + RETENTION_SECONDS)
     assert error.value.status == 404
 
 
@@ -91,21 +97,21 @@
         ("a", 1.0, float("inf"), "lifetime"),
     ],
 )
-def test_a_wrong_argument_is_named(ident: str, units: float, life: float, field: str) -> None:
+def test_invalid_argument_is_named(ident: str, units: float, life: float, field: str) -> None:
     with pytest.raises(ReservationError) as error:
-        table().check_new(ident, 1, units, life, 0.0)
+        make_table().check_new(ident, 1, units, life, 0.0)
     assert error.value.field == field and error.value.status == 400
 
 
-def test_at_most_so_many_are_held() -> None:
-    t = table()
+def test_number_of_held_reservations_is_limited() -> None:
+    table = make_table()
     for n in range(2):
-        t.add(Reservation(f"x{n}", 1, "school", 0, 1.0, 0.0, 10.0))
+        table.add(Reservation(f"x{n}", 1, "school", 0, 1.0, 0.0, 10.0))
     with pytest.raises(ReservationError) as error:
-        t.check_new("one more", 1, 1.0, 1.0, 0.0)
+        table.check_new("one more", 1, 1.0, 1.0, 0.0)
     assert error.value.field == "id"
     with pytest.raises(ReservationError) as error:
-        t.check_new("more", 1, 1.0, 1.0, 0.0)
+        table.check_new("more", 1, 1.0, 1.0, 0.0)
     assert error.value.status == 503
 
 
@@ -117,23 +123,25 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=80)
 def test_each_reservation_ends_once(steps: list[tuple[str, int, int]]) -> None:
-    t, now, ended = ReservationTable(10, 60.0), 0.0, []
-    for kind, which, number in steps:
+    table, now, ended = ReservationTable(10, 60.0), 0.0, []
+    for step, firm, number in steps:
         now += number / 4
-        ident = f"r{which}"
+        ident = f"r{firm}"
         try:
-            if kind == "hold":
-                if t.check_new(ident, which, 2.0, 1.0 + number, now) is None:
-                    t.add(Reservation(ident, which, "p", 0, 2.0, now, now + 1.0 + number))
-            elif kind == "due":
-                ended += [one.id for one in t.expire_due(now)]
-            elif kind == "use":
-                if t.find_usable(ident, which, now):
-                    t.mark_used(ident, now)
+            if step == "hold":
+                if table.check_new(ident, firm, 2.0, 1.0 + number, now) is None:
+                    table.add(Reservation(ident, firm, "p", 0, 2.0, now, now + 1.0 + number))
+            elif step == "due":
+                ended += [reservation.id for reservation in table.expire_due(now)]
+            elif step == "use":
+                if table.find_usable(ident, firm, now):
+                    table.mark_used(ident, now)
                     ended.append(ident)
-            elif (one := t.commit(ident, 1.0, now) if kind == "commit" else t.release(ident, now)) is not None:
-                ended.append(one.id)
+            elif (
+                reservation := table.commit(ident, 1.0, now) if step == "commit" else table.release(ident, now)
+            ) is not None:
+                ended.append(reservation.id)
         except ReservationError as error:
             assert error.status in (404, 409, 410)
-    ended += [one.id for one in t.expire_due(now + 100)]
-    assert len(ended) == len(set(ended)) and len(t) == 0
+    ended += [reservation.id for reservation in table.expire_due(now + 100)]
+    assert len(ended) == len(set(ended)) and len(table) == 0
