--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -125,7 +125,7 @@
 def test_leases_stay_within_the_quota_and_use_most_of_it(ingresses: int, rate: float) -> None:
     simulation = Simulation(ingresses, ingresses)
     load(simulation, 70.0, rate)  # across three epoch boundaries
-    used, offered, allowed = sum(u for _, u in simulation.used), rate * 1.75 * 70, RATE * 70 + BURST
+    used, offered, allowed = sum(units for _, units in simulation.used), rate * 1.75 * 70, RATE * 70 + BURST
     assert simulation.find_peak_excess() <= 0.5
     assert used >= 0.8 * min(offered, allowed)
 
@@ -178,4 +178,4 @@
     for n in range(100):
         simulation.call_in(n / 100, lambda: simulation.request(0, 1.0))
     simulation.run(begin + 1.1)
-    assert sum(u for _, u in simulation.used[used:]) + 9.0 <= BURST + RATE * 2.2
+    assert sum(units for _, units in simulation.used[used:]) + 9.0 <= BURST + RATE * 2.2
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -226,8 +226,8 @@
 
 @pytest.mark.parametrize("end", ["committed", "released", "expired"])
 def test_grant_holds_its_units_until_it_ends_or_expires(tmp_path: Path, end: str) -> None:
-    told = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
-    with rig(operator=told) as r, asker(r) as stub:
+    operator_settings = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
+    with rig(operator=operator_settings) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
         level = r.daemon.ingress.decision_module.firms[7].level
@@ -247,35 +247,35 @@
     """Guards against double billing: a process is killed after billing took a batch, and the next one resends it."""
     store, tally = filled(tmp_path / "ledger", 8)
     store.end()
-    outside = Loop(time.time, Metrics(), Silent())
-    servers = [SimServer(outside, "s-0", random.Random(1))]
-    discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
-    told = (
+    loop = Loop(time.time, Metrics(), Silent())
+    servers = [SimServer(loop, "s-0", random.Random(1))]
+    discovery, counter, billing = Discovery(loop, servers), Counter(loop), Billing(loop)
+    operator_text = (
         f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.text}/use"\n'
         "batch = 10\ntimeout_s = 30.0\n"
     )
 
-    def start() -> Process:
-        return Process(tmp_path, "n0", free_ports(1)[0], discovery.listener.text, counter.listener.text, told)
+    def start_process() -> Process:
+        return Process(tmp_path, "n0", free_ports(1)[0], discovery.listener.text, counter.listener.text, operator_text)
 
-    def until(done: Any) -> None:
+    def run_until(done: Any) -> None:
         end = time.monotonic() + 20
         while not done():
             assert time.monotonic() < end, (tmp_path / "n0.log").read_text()
-            outside.run_once(0.02)
+            loop.run_once(0.02)
 
     billing.mode = "taken silently"
-    first = start()
-    until(lambda: len(billing.events) == 10)
+    first = start_process()
+    run_until(lambda: len(billing.events) == 10)
     first.process.kill()
     first.process.wait()
     before = dict(billing.events)
     billing.mode = "takes"
-    second = start()
-    until(lambda: len(billing.events) == 24)
-    until(lambda: billing.answers["takes"] >= 3)
+    second = start_process()
+    run_until(lambda: len(billing.events) == 24)
+    run_until(lambda: billing.answers["takes"] >= 3)
     second.process.terminate()
-    until(lambda: second.process.poll() is not None)
+    run_until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
     assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == tally.heads.counted
     last = Store(str(tmp_path / "ledger"))
@@ -283,4 +283,4 @@
     last.end()
     for listener in (discovery.listener, counter.listener, billing.listener, servers[0].listener):
         listener.stop()
-    outside.close()
+    loop.close()
