--- a/brackenpulley/configuration/rules.py
+++ b/brackenpulley/configuration/rules.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from ..address import ConfigError, parse_address
-from ..plans.book import FIRM_MOST, BookError, Figures, firm_text, spec_of
+from ..plans.book import FIRM_LIMIT, Figures, PlanChangeError, build_plan_spec, format_firm
 
 ADDRESS_NAMES = ("counter", "discovery")
 MAX_NAME_CHARS = 64
@@ -174,8 +174,8 @@
         raise ChangeError("plans", f"{name[:MAX_NAME_CHARS]!r} is no plan's name")
     if figures is not None:
         try:
-            spec_of(name, figures)
-        except BookError as error:
+            build_plan_spec(name, figures)
+        except PlanChangeError as error:
             raise ChangeError(
                 f"plans.{name}.{error.field.removeprefix('figures').lstrip('.') or 'figures'}", error.text
             ) from None
@@ -194,7 +194,7 @@
     """Check that each firm's plan exists and that no firm is on a plan that is removed."""
     count_changes = Counter[str]()
     for firm, plan in change.firms.items():
-        if not 0 <= firm < FIRM_MOST:
+        if not 0 <= firm < FIRM_LIMIT:
             raise ChangeError("firms", f"{firm} is no firm: a number under 2^33")
         if (old := content.firms.get(firm)) is not None:
             count_changes[old] -= 1
@@ -202,7 +202,7 @@
             continue
         count_changes[plan] += 1
         if change.plans.get(plan, content.plans.get(plan)) is None or change.plans.get(plan, "") is None:
-            raise ChangeError(f"firms.{firm_text(firm)}", f"no plan {plan[:MAX_NAME_CHARS]!r} in that revision")
+            raise ChangeError(f"firms.{format_firm(firm)}", f"no plan {plan[:MAX_NAME_CHARS]!r} in that revision")
     for name, figures in change.plans.items():
         if figures is None and (left := content.firm_counts[name] + count_changes[name]) > 0:
             raise ChangeError(f"plans.{name}", f"{left} firms are on it")
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -18,7 +18,7 @@
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
 from ..operator import ConfigurationOptions
-from ..plans.book import firm_of, firm_text, spec_of
+from ..plans.book import build_plan_spec, format_firm, parse_firm
 from ..policy import interface as i
 from . import store
 from .active import ActiveRevision, ChangedEntries, log_state
@@ -154,7 +154,7 @@
         plans = []
         for name in changed.plans:
             figures = content.plans.get(name)
-            plan = self._file_plans.get(name) if figures is None else spec_of(name, figures)
+            plan = self._file_plans.get(name) if figures is None else build_plan_spec(name, figures)
             (self._removed_plans.add if plan is None else self._removed_plans.discard)(name)
             if plan is not None:
                 plans.append(plan)
@@ -282,9 +282,9 @@
 
     def firm_status(self, text: str) -> dict[str, Any]:
         """Return the plan of a firm, given in hexadecimal, in the active revision. Raises BookError."""
-        number = firm_of(text)
+        number = parse_firm(text)
         return {
-            "firm": firm_text(number),
+            "firm": format_firm(number),
             "plan": self.active.content.firms.get(number),
             "revision": self.active.number,
         }
