--- a/benchmarks/capacity/kinds/shares.py
+++ b/benchmarks/capacity/kinds/shares.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from brackenpulley.drains.holder import AGAIN, Holder
-from brackenpulley.drains.limits import Enter, Limit, Limits, Want, encode
+from brackenpulley.drains.holder import TICK_INTERVAL_SECONDS, Holder
+from brackenpulley.drains.limits import Demand, Enter, Limits, SetLimits, encode
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
 
@@ -22,22 +22,22 @@
     def __init__(self, servers: dict[str, int]) -> None:
         self._servers = servers
 
-    def open(self, server: str) -> int:
+    def count_open(self, server: str) -> int:
         return 1
 
-    def busy(self, server: str) -> int:
+    def count_in_use(self, server: str) -> int:
         return 0
 
-    def refused(self, server: str) -> int:
+    def take_rejections(self, server: str) -> int:
         return 0
 
-    def shrink(self, server: str, most: int) -> None:
+    def close_unused(self, server: str, most: int) -> None:
         return None
 
-    def caps(self, caps: dict[str, int]) -> None:
+    def set_limits(self, limits: dict[str, int]) -> None:
         return None
 
-    def servers(self) -> dict[str, int]:
+    def list_limits(self) -> dict[str, int]:
         return dict(self._servers)
 
 
@@ -58,12 +58,12 @@
     """Each ingress holds a connection at each server, as `Holder` asks from the first turn on."""
     made, listed = Limits(0.1), names(servers)
     for begin in range(0, servers, 1000):
-        made.apply(0.0, encode(Limit(dict.fromkeys(listed[begin : begin + 1000], LIMIT))))
+        made.apply(0.0, encode(SetLimits(dict.fromkeys(listed[begin : begin + 1000], LIMIT))))
     for n in range(ingresses):
         life = f"ingress-{n}@1764651600{n:03d}"
         made.apply(0.0, encode(Enter(life, f"10.0.{n >> 8}.{n & 255}:9300")))
         for serial, begin in enumerate(range(0, servers, 1000)):
-            made.apply(0.0, encode(Want(life, serial + 1, dict.fromkeys(listed[begin : begin + 1000], 1))))
+            made.apply(0.0, encode(Demand(life, serial + 1, dict.fromkeys(listed[begin : begin + 1000], 1))))
     return made
 
 
@@ -100,7 +100,7 @@
             {
                 "memory": kept / 1e6 / servers,
                 "look": look * 1000,
-                "rest": look / AGAIN * 100,
+                "rest": look / TICK_INTERVAL_SECONDS * 100,
                 "bytes": len(data) / servers,
                 "dump": cpu(made.dump, 4) * 1000 / servers,
                 "load": cpu(loaded, 4) * 1000 / servers,
@@ -117,7 +117,7 @@
 
     by = "ingresses"
     wants = [
-        (n, [float(len(encode(Want("ingress-0@1764651600000", 1, dict.fromkeys(names(n), 1)))))] * REPEATS)
+        (n, [float(len(encode(Demand("ingress-0@1764651600000", 1, dict.fromkeys(names(n), 1)))))] * REPEATS)
         for n in WANTS
     ]
     return [
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from benchmarks.work_order import Fleet, Process
-from brackenpulley.drains.schedule import Ingress, Rules, lasts, waves
+from brackenpulley.drains.schedule import Ingress, Rules, plan_waves, total_seconds
 from brackenpulley.standins.wire import Listener
 
 RATE, MEAN, SERVERS = 60.0, 0.05, 3
@@ -147,7 +147,7 @@
         fleet.turn(calm)
         served = share(since)
         rules = Rules(at_once, at_once, 2, size)
-        found = [[one.place for one in wave] for wave in waves([Ingress(n) for n in range(size)], rules)]
+        found = [[one.place for one in wave] for wave in plan_waves([Ingress(n) for n in range(size)], rules)]
         took: list[float] = []
         shares: list[float] = []
         for number in range(rolls):
@@ -218,7 +218,7 @@
     for n in range(count):
         add({n * count + w: 1.0 for w in range(count)}, 1.0, 1.0)
         for w in range(count):
-            add({count * count + w: 1.0, n * count + w: -rows[n].takes}, 0.0, np.inf)
+            add({count * count + w: 1.0, n * count + w: -rows[n].duration}, 0.0, np.inf)
     spread = min(rules.spread, rules.places)
     for w in range(count):
         add({n * count + w: 1.0 for n in range(count)}, 0.0, rules.most)
@@ -232,7 +232,7 @@
     whole = np.ones(size)
     whole[count * count :] = 0
     upper = np.ones(size)
-    upper[count * count :] = max(one.takes for one in rows)
+    upper[count * count :] = max(one.duration for one in rows)
     found = milp(
         cost,
         constraints=LinearConstraint(np.array(parts), least, most),
@@ -249,7 +249,7 @@
         count = rng.randrange(4, 8)
         rows = [Ingress(n, rng.choice("abc"), rng.choice((1.0, 1.0, 2.0, 5.0))) for n in range(count)]
         rules = Rules(rng.randrange(1, 4), rng.randrange(1, 3), rng.randrange(2, 4), count)
-        ratios.append(lasts(waves(rows, rules)) / optimum(rows, rules))
+        ratios.append(total_seconds(plan_waves(rows, rules)) / optimum(rows, rules))
     return {
         "cases": cases,
         "optimal": sum(ratio < 1.001 for ratio in ratios),
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -483,7 +483,7 @@
 
     def ended(request: Request) -> Any:
         told = decode(request.body, EndedCall)
-        return once_agreed(lambda done: service.ended(told.name, told.life, done, PATIENCE))
+        return once_agreed(lambda done: service.remove_ended(told.name, told.life, done, PATIENCE))
 
     routes.add("POST", "/v1/work-ingresses/ended", ended)
     routes.add("GET", "/v1/work-plan", lambda request: {"plan": service.plan()})
@@ -516,11 +516,11 @@
 
     def ended(request: Request) -> Any:
         life = decode(request.body, EndedCall).life
-        return once_agreed(lambda done: service.ended(life, done, PATIENCE))
+        return once_agreed(lambda done: service.remove_ended(life, done, PATIENCE))
 
     routes.add("POST", "/v1/limits/ended", ended)
     routes.add("GET", "/v1/limits", lambda request: service.status())
-    routes.add("GET", "/v1/limits/waves", lambda request: service.waves())
+    routes.add("GET", "/v1/limits/waves", lambda request: service.plan_rolling_restart())
 
 
 class ConfigurationCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/brackenpulley/drains/__init__.py
+++ b/brackenpulley/drains/__init__.py
@@ -1,4 +1,4 @@
-"""Connections at each server while ingresses are drained and replaced: their sum stays under its limit.
+"""Limits on connections to each sim server while ingresses are drained and replaced.
 
-`limits` is the agreed state, `holder` one ingress's side of it, `schedule` which ingresses go together. None has I/O;
-`service` puts them into a daemon."""
+`limits` is the replicated state, `holder` maintains one ingress's share of it, and `schedule` plans which ingresses are
+replaced together; none of them does any I/O. `service` connects them to a running daemon."""
--- a/brackenpulley/drains/holder.py
+++ b/brackenpulley/drains/holder.py
@@ -1,9 +1,10 @@
-"""One ingress's side of the limits: how many connections it may have at each server now, and what it asks for. No I/O.
+"""One ingress's share of the connection limits: what it may open at each server, and what it asks for. No I/O.
 
-What it may have is the least of what the log says and of what it has said itself since: a narrower part that was
-proposed holds from then on, whether or not it was ever agreed; a wider one only once it is seen in the log. It asks for
-more when an attempt found no room, or would have with one more; it gives back slowly, after `KEEP` s without use, or at
-once where others are short (connections that stand unused are closed first)."""
+The effective limit is the lower of the share in the log and of any smaller share that this ingress has proposed itself:
+a reduction holds from the moment it is proposed, whether or not it is ever committed, an increase only once it is seen
+in the log. An ingress asks for more when a relay was rejected for lack of a connection or when it uses its whole share.
+It gives connections back after `SHRINK_DELAY_SECONDS` without use, or at once where other ingresses are short of them;
+idle connections are closed first."""
 
 from __future__ import annotations
 
@@ -12,134 +13,148 @@
 
 from ..consensus.agreement import Agreement
 from ..consensus.machine import Outcome
-from .limits import Command, Enter, Leave, Limit, Limits, Want, encode
+from .limits import Command, Demand, Enter, Leave, Limits, SetLimits, encode
 
-PART = "limits"  # of the machine
-AGAIN, PATIENCE = 0.25, 5.0  # s between looks, and for a proposal
-KEEP = 10.0  # s
-SPARE = 1  # connections beyond those in use that are asked for
+MACHINE_PART = "limits"  # name of this part of the replicated state machine
+TICK_INTERVAL_SECONDS = 0.25
+PROPOSAL_TIMEOUT_SECONDS = 5.0
+SHRINK_DELAY_SECONDS = 10.0  # how long demand must stay below its recent peak before the share shrinks
+SPARE_CONNECTIONS = 1  # requested beyond those in use
 
 
-class Port(Protocol):
-    """What a holder asks of its ingress."""
+class ConnectionPool(Protocol):
+    """Connections of this ingress to the sim servers."""
 
-    def open(self, server: str) -> int:
-        """Connections that it has there, those that are coming up too."""
+    def count_open(self, server: str) -> int:
+        """Return the number of connections to the server, including those still being established."""
 
-    def busy(self, server: str) -> int:
-        """Of these, with an attempt on them."""
+    def count_in_use(self, server: str) -> int:
+        """Return the number of open connections that carry a relay."""
 
-    def refused(self, server: str) -> int:
-        """Attempts that found no room there, since the last time it was asked."""
+    def take_rejections(self, server: str) -> int:
+        """Return how many relays found no connection since the last call."""
 
-    def shrink(self, server: str, most: int) -> None:
-        """Close unused connections there until there are no more than that, as far as that goes."""
+    def close_unused(self, server: str, most: int) -> None:
+        """Close idle connections until at most `most` remain or none is idle."""
 
-    def caps(self, caps: dict[str, int]) -> None:
-        """From now on at most so many."""
+    def set_limits(self, limits: dict[str, int]) -> None:
+        """Set the maximum number of connections to each server."""
 
-    def servers(self) -> dict[str, int]:
-        """Those that are listed, and their limits."""
+    def list_limits(self) -> dict[str, int]:
+        """Return the limit of each server in the inventory."""
 
 
 class Holder:
+    """Requests, applies and gives back one ingress's share of the connection limits."""
+
     def __init__(
-        self, address: str, agreement: Agreement, limits: Callable[[], Limits], port: Port, now: float
+        self, address: str, agreement: Agreement, limits: Callable[[], Limits], pool: ConnectionPool, now: float
     ) -> None:
-        self.address, self.agreement, self._limits, self.port = address, agreement, limits, port
-        self.entered = self.leaving = False
-        self._said: dict[str, int] = {}  # narrower parts that were proposed and are not seen in the log yet
-        self._used: dict[str, tuple[int, float]] = {}  # the most in use of late, and since when it is less
-        self._caps: dict[str, int] = {}
-        self._busy: set[str] = set()
-        self._serial = 0
-        self._look_at = now
+        self.address, self.agreement, self._limits, self.pool = address, agreement, limits, pool
+        self.has_entered = self.is_leaving = False
+        self._proposed_shares: dict[str, int] = {}  # reductions that were proposed and are not in the log yet
+        self._peak_demand: dict[str, tuple[int, float]] = {}  # server: recent peak, time since which demand is lower
+        self._applied_limits: dict[str, int] = {}
+        self._pending_proposals: set[str] = set()
+        self._demand_serial = 0
+        self._next_tick = now
 
     @property
     def limits(self) -> Limits:
+        """The replicated limits as applied by this process."""
         return self._limits()
 
-    def cap(self, server: str) -> int:
-        part = self.limits.part(server, self.agreement.id)
-        return min(part, self._said.get(server, part))
+    def get_limit(self, server: str) -> int:
+        """Return how many connections this ingress may have to the server now."""
+        share = self.limits.get_share(server, self.agreement.id)
+        return min(share, self._proposed_shares.get(server, share))
 
     def tick(self, now: float) -> None:
-        if now < self._look_at or self.leaving:
+        """Apply the current limits and propose changed demand, at most once per `TICK_INTERVAL_SECONDS`."""
+        if now < self._next_tick or self.is_leaving:
             return
-        self._look_at = now + AGAIN
-        limits, life = self.limits, self.agreement.id
-        self.entered = limits.lives.get(life) == self.address
-        if not self.entered:
-            self._once(now, "enter", Enter(life, self.address))
-        listed = self.port.servers()
+        self._next_tick = now + TICK_INTERVAL_SECONDS
+        limits, incarnation = self.limits, self.agreement.id
+        self.has_entered = limits.addresses.get(incarnation) == self.address
+        if not self.has_entered:
+            self._propose_once(now, "enter", Enter(incarnation, self.address))
+        listed = self.pool.list_limits()
         if self.agreement.leads:
-            self._tell(now, listed)
-        wants: dict[str, int] = {}
+            self._propose_limits(now, listed)
+        demands: dict[str, int] = {}
         for server in listed:
-            cap = self.cap(server)
-            want = self._wanted(now, server, cap)
-            back = limits.asked_back(server, life)
-            if back < cap:
-                want = min(want, back)
-            if want < cap:
-                self.port.shrink(server, want)
-                want = max(want, self.port.open(server))  # what is in use can't be given back yet
-            if want != cap and self.entered and server in limits.limits:
-                wants[server] = want
-        if wants and "want" not in self._busy:
-            for server, want in wants.items():
-                if want < self.cap(server):
-                    self._said[server] = want
-            self._bound(listed)  # before it is said
-            self._serial += 1
-            self._propose(now, "want", Want(life, self._serial, wants), lambda answer: self._answered(wants, answer))
-        self._bound(listed)
-
-    def _bound(self, listed: dict[str, int]) -> None:
-        caps = {server: self.cap(server) for server in listed}
-        if caps != self._caps:
-            self._caps = caps
-            self.port.caps(caps)
-
-    def _wanted(self, now: float, server: str, cap: int) -> int:
-        """In use and one more; what was in use stays wanted for a while."""
-        busy, refused = self.port.busy(server), self.port.refused(server)
-        wish = max(1, busy + SPARE) + min(refused, 2 + cap // 4)  # not in great steps: others want as well
-        most, since = self._used.get(server, (0, now))
-        if wish >= most or now - since > KEEP:
-            self._used[server] = (wish, now)
-            return wish
-        return most
-
-    def _answered(self, wants: dict[str, int], answer: Any) -> None:
-        """Agreed or refused: either way what the log says holds again. Without an answer it may still come."""
+            current = self.get_limit(server)
+            demand = self._compute_demand(now, server, current)
+            target = limits.target_share(server, incarnation)
+            if target < current:
+                demand = min(demand, target)
+            if demand < current:
+                self.pool.close_unused(server, demand)
+                demand = max(demand, self.pool.count_open(server))  # connections in use cannot be given back yet
+            if demand != current and self.has_entered and server in limits.limits:
+                demands[server] = demand
+        if demands and "want" not in self._pending_proposals:
+            for server, demand in demands.items():
+                if demand < self.get_limit(server):
+                    self._proposed_shares[server] = demand
+            self._apply_limits(listed)  # a reduction must hold before it is proposed
+            self._demand_serial += 1
+            self._propose(
+                now,
+                "want",
+                Demand(incarnation, self._demand_serial, demands),
+                lambda answer: self._on_demand_answer(demands, answer),
+            )
+        self._apply_limits(listed)
+
+    def _apply_limits(self, listed: dict[str, int]) -> None:
+        current_limits = {server: self.get_limit(server) for server in listed}
+        if current_limits != self._applied_limits:
+            self._applied_limits = current_limits
+            self.pool.set_limits(current_limits)
+
+    def _compute_demand(self, now: float, server: str, current: int) -> int:
+        """Return the connections in use plus spare ones; a recent peak stays in demand for `SHRINK_DELAY_SECONDS`."""
+        in_use, rejections = self.pool.count_in_use(server), self.pool.take_rejections(server)
+        # Growth per request is bounded, so that other ingresses get connections as well.
+        demand = max(1, in_use + SPARE_CONNECTIONS) + min(rejections, 2 + current // 4)
+        peak, since = self._peak_demand.get(server, (0, now))
+        if demand >= peak or now - since > SHRINK_DELAY_SECONDS:
+            self._peak_demand[server] = (demand, now)
+            return demand
+        return peak
+
+    def _on_demand_answer(self, demands: dict[str, int], answer: Any) -> None:
+        """Drop proposed reductions once answered: committed or refused, the shares in the log hold again.
+
+        A proposal without an answer may still be committed later, so its reductions stay in force."""
         if answer is not None:
-            for server in wants:
-                self._said.pop(server, None)
+            for server in demands:
+                self._proposed_shares.pop(server, None)
 
-    def _tell(self, now: float, listed: dict[str, int]) -> None:
+    def _propose_limits(self, now: float, listed: dict[str, int]) -> None:
         known = self.limits.limits
         changed = {server: limit for server, limit in listed.items() if known.get(server) != limit}
-        gone = sorted(known.keys() - listed.keys())
-        if changed or gone and listed:
-            self._once(now, "limit", Limit(changed, gone))
+        removed = sorted(known.keys() - listed.keys())
+        if changed or removed and listed:
+            self._propose_once(now, "limit", SetLimits(changed, removed))
 
     def leave(self, now: float) -> None:
-        """All its connections are closed, or it is about to end: nothing new is opened."""
-        self.leaving = True
-        self.port.caps({server: 0 for server in self._caps})
-        self._once(now, "leave", Leave(self.agreement.id))
+        """Open no more connections and release all shares; called when all are closed or the process is ending."""
+        self.is_leaving = True
+        self.pool.set_limits({server: 0 for server in self._applied_limits})
+        self._propose_once(now, "leave", Leave(self.agreement.id))
 
-    def _once(self, now: float, name: str, command: Command) -> None:
-        if name not in self._busy:
+    def _propose_once(self, now: float, name: str, command: Command) -> None:
+        if name not in self._pending_proposals:
             self._propose(now, name, command, lambda answer: None)
 
-    def _propose(self, now: float, name: str, command: Command, done: Callable[[Any], None]) -> None:
-        self._busy.add(name)
+    def _propose(self, now: float, name: str, command: Command, on_answer: Callable[[Any], None]) -> None:
+        self._pending_proposals.add(name)
 
-        def over(outcome: Outcome | None) -> None:
-            self._busy.discard(name)
-            done(None if outcome is None else outcome.answer)
+        def on_outcome(outcome: Outcome | None) -> None:
+            self._pending_proposals.discard(name)
+            on_answer(None if outcome is None else outcome.answer)
 
-        if not self.agreement.propose(now, PART, encode(command), PATIENCE, over):
-            self._busy.discard(name)
+        if not self.agreement.propose(now, MACHINE_PART, encode(command), PROPOSAL_TIMEOUT_SECONDS, on_outcome):
+            self._pending_proposals.discard(name)
--- a/brackenpulley/drains/limits.py
+++ b/brackenpulley/drains/limits.py
@@ -1,23 +1,25 @@
-"""How many connections each process may hold at each server; the sum never passes the server's limit. No I/O.
+"""Replicated shares of the connection limits: how many connections each process may hold to each server. No I/O.
 
-A part of consensus/machine: commands in log order, the same on every process.
+The shares granted at a server never add up to more than its limit. `Limits` is a part of the state machine in
+consensus/machine: commands are applied in log order, with the same result on every process.
 
-    command            | does
+    command            | effect
     -------------------+----------------------------------------------------------------------------------------
-    enter              | a life begins; one at the address of an older life proves that one over, whose parts are free
-    leave              | a life is over by its own word, or of who saw it end: its parts are free
-    want n >= what it  | widened to n as far as there is room: the limit, less what all hold, less the reserve
-    holds              | for those that start, which only a life that holds nothing there may use
-    want n < what it   | narrowed to n at once: whoever says so holds no more than n from before it says it
-    holds              |
-    limit              | told anew; lowered below what is held nothing is widened until enough was given back; of a
-                       | server that is gone nothing is held any more
-
-Silence frees nothing. A process that is killed keeps its parts until its next life enters or somebody says that it
-ended: its connections may still stand at the server. Words may be late: a want older than the last one of its life,
-and the entering of a life older than the one at its address, change nothing.
-
-`fair` is what each may have where all want more than there is: those above it are asked to give back."""
+    enter              | an incarnation starts; an older one at the same address is known to have ended by that, and its
+                       | shares are freed
+    leave              | an incarnation ends, as announced by itself or by whoever saw it end: its shares are freed
+    want n >= share    | the share grows towards n as far as connections are free: the limit less all shares, less the
+                       | startup reserve, which only an incarnation without a share at the server may use
+    want n < share     | the share shrinks to n at once: the sender holds at most n connections before it sends this
+    limit              | limits are set anew; after one falls below the total held, no share grows until enough is
+                       | given back; all shares at a removed server are dropped
+
+A timeout frees nothing. A process that was killed keeps its shares until its next incarnation enters or somebody
+reports that it ended, because its connections may still be open at the server. Commands may arrive late: a want older
+than the last one of its incarnation, and an enter of an incarnation older than the one at its address, change nothing.
+
+The fair share is what each incarnation may have when total demand exceeds the limit; those above it are asked to give
+connections back."""
 
 from __future__ import annotations
 
@@ -25,173 +27,193 @@
 
 import msgspec
 
-MOST = 100_000  # connections of one part
-SERVERS = 2000  # of one command
+MAX_CONNECTIONS = 100_000  # in one share or limit
+MAX_SERVERS = 2000  # named in one command
 
 
 class Enter(msgspec.Struct, frozen=True, array_like=True, tag="enter"):
-    life: str
-    address: str  # where its membership listens: no two processes at once
+    """Registers an incarnation of a process."""
+
+    incarnation: str
+    address: str  # of its membership listener; two processes cannot use one address at the same time
 
 
 class Leave(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
-    life: str
+    """Removes an incarnation and frees its shares."""
+
+    incarnation: str
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag="want"):
-    """`serial` grows with each of a life."""
+class Demand(msgspec.Struct, frozen=True, array_like=True, tag="want"):
+    """Asks for shares of the given sizes. `serial` grows with each demand of an incarnation."""
 
-    life: str
+    incarnation: str
     serial: int
-    parts: dict[str, int]
+    shares: dict[str, int]
 
 
-class Limit(msgspec.Struct, frozen=True, array_like=True, tag="limit"):
-    """By whoever leads: servers that are new or have another limit, and those that are gone."""
+class SetLimits(msgspec.Struct, frozen=True, array_like=True, tag="limit"):
+    """Sent by the leader: limits of servers that are new or changed, and servers that were removed."""
 
     limits: dict[str, int]
-    gone: list[str] = []
+    removed: list[str] = []
 
 
-Command = Enter | Leave | Want | Limit
+Command = Enter | Leave | Demand | SetLimits
 
 
-class Dumped(msgspec.Struct, array_like=True):
+class LimitsSnapshot(msgspec.Struct, array_like=True):
+    """The state of `Limits` as stored in snapshots."""
+
     reserve: float
     limits: dict[str, int] = {}
-    lives: dict[str, str] = {}
-    parts: dict[str, dict[str, int]] = {}
+    addresses: dict[str, str] = {}
+    shares: dict[str, dict[str, int]] = {}
     short: dict[str, list[str]] = {}
     serials: dict[str, int] = {}
 
 
 _decode = msgspec.msgpack.Decoder(Command).decode
 _encode = msgspec.msgpack.Encoder().encode
-_dumped = msgspec.msgpack.Decoder(Dumped)
+_snapshot_decoder = msgspec.msgpack.Decoder(LimitsSnapshot)
 
 
-def age(life: str) -> int:
-    """A life's id ends in the ms of its start."""
-    digits = life.rpartition("@")[2]
+def parse_start_ms(incarnation: str) -> int:
+    """Return the start time in milliseconds at the end of an incarnation's id, or 0 if there is none."""
+    digits = incarnation.rpartition("@")[2]
     return int(digits) if digits.isdigit() else 0
 
 
 def encode(command: Command) -> bytes:
+    """Encode a command for the log."""
     return _encode(command)
 
 
 class Limits:
-    """`reserve`: part of each limit that is kept for those that start; the same on all processes."""
+    """Connection limits and shares. `reserve` is the part of each limit kept for processes that start.
+
+    `reserve` must be the same on all processes."""
 
     def __init__(self, reserve: float = 0.1) -> None:
         self.reserve = reserve
         self.limits: dict[str, int] = {}
-        self.lives: dict[str, str] = {}  # life: address
-        self.parts: dict[str, dict[str, int]] = {}  # server: life: connections
-        self.short: dict[str, set[str]] = {}  # server: lives that wanted more than they got
-        self.serials: dict[str, int] = {}  # of the last want of each life
+        self.addresses: dict[str, str] = {}  # incarnation: address
+        self.shares: dict[str, dict[str, int]] = {}  # server: incarnation: connections
+        self.short: dict[str, set[str]] = {}  # server: incarnations that got less than they asked for
+        self.serials: dict[str, int] = {}  # incarnation: serial of its last demand
 
-    # What it is.
+    # Queries.
 
-    def held(self, server: str) -> int:
-        return sum(self.parts.get(server, {}).values())
+    def count_held(self, server: str) -> int:
+        """Return the total of all shares at a server."""
+        return sum(self.shares.get(server, {}).values())
 
-    def part(self, server: str, life: str) -> int:
-        return self.parts.get(server, {}).get(life, 0)
+    def get_share(self, server: str, incarnation: str) -> int:
+        """Return the share of an incarnation at a server."""
+        return self.shares.get(server, {}).get(incarnation, 0)
 
-    def kept(self, server: str) -> int:
-        """For those that start: one connection at least, where the limit is more than one."""
+    def startup_reserve(self, server: str) -> int:
+        """Return the connections kept for processes that start: at least one where the limit is more than one."""
         limit = self.limits.get(server, 0)
         return min(limit - 1, max(1, int(limit * self.reserve))) if limit > 1 else 0
 
-    def fair(self, server: str) -> int:
-        """Of each, where all want more than there is."""
-        return max(1, (self.limits.get(server, 0) - self.kept(server)) // max(1, len(self.lives)))
+    def fair_share(self, server: str) -> int:
+        """Return the share of each incarnation when total demand exceeds the limit."""
+        return max(1, (self.limits.get(server, 0) - self.startup_reserve(server)) // max(1, len(self.addresses)))
 
-    def asked_back(self, server: str, life: str) -> int:
-        """To how many this life is asked to narrow; what it holds where nobody is short."""
-        part = self.part(server, life)
-        over = self.held(server) > self.limits.get(server, 0)
-        others = self.short.get(server, set()) - {life}
-        return min(part, self.fair(server)) if over or others else part
+    def target_share(self, server: str, incarnation: str) -> int:
+        """Return the share to which an incarnation is asked to shrink; its present one where no other is short."""
+        share = self.get_share(server, incarnation)
+        is_over_limit = self.count_held(server) > self.limits.get(server, 0)
+        others = self.short.get(server, set()) - {incarnation}
+        return min(share, self.fair_share(server)) if is_over_limit or others else share
 
     # Commands.
 
     def apply(self, at: float, body: bytes) -> Any:
-        """Raises ValueError for what cannot be read."""
+        """Apply an encoded command and return its answer. Raises ValueError if the command cannot be decoded.
+
+        Answers are part of the snapshots of the state machine, so every process must give the same text."""
         command = _decode(body)
         if isinstance(command, Enter):
-            before = [life for life, address in self.lives.items() if address == command.address]
-            if any(age(life) > age(command.life) for life in before):
-                return {"error": f"{command.life} is over", "field": "life"}
-            for life in before:
-                if life != command.life:
-                    self._over(life)
-            self.lives[command.life] = command.address
-            return {"entered": command.life}
+            before = [incarnation for incarnation, address in self.addresses.items() if address == command.address]
+            if any(parse_start_ms(incarnation) > parse_start_ms(command.incarnation) for incarnation in before):
+                return {"error": f"{command.incarnation} is over", "field": "life"}
+            for incarnation in before:
+                if incarnation != command.incarnation:
+                    self._remove(incarnation)
+            self.addresses[command.incarnation] = command.address
+            return {"entered": command.incarnation}
         if isinstance(command, Leave):
-            self._over(command.life)
-            return {"left": command.life}
-        if isinstance(command, Limit):
-            for server in command.gone:
+            self._remove(command.incarnation)
+            return {"left": command.incarnation}
+        if isinstance(command, SetLimits):
+            for server in command.removed:
                 self.limits.pop(server, None)
-                self.parts.pop(server, None)
+                self.shares.pop(server, None)
                 self.short.pop(server, None)
             for server, limit in command.limits.items():
-                self.limits[server] = max(0, min(MOST, limit))
+                self.limits[server] = max(0, min(MAX_CONNECTIONS, limit))
             return {"servers": len(self.limits)}
-        if command.life not in self.lives:
-            return {"error": f"{command.life} has not entered", "field": "life"}
-        if command.serial <= self.serials.get(command.life, 0):
+        if command.incarnation not in self.addresses:
+            return {"error": f"{command.incarnation} has not entered", "field": "life"}
+        if command.serial <= self.serials.get(command.incarnation, 0):
             return {"error": f"{command.serial}: a later want was heard", "field": "serial"}
-        self.serials[command.life] = command.serial
-        if len(command.parts) > SERVERS:
-            return {"error": f"{SERVERS} servers at most", "field": "parts"}
+        self.serials[command.incarnation] = command.serial
+        if len(command.shares) > MAX_SERVERS:
+            return {"error": f"{MAX_SERVERS} servers at most", "field": "parts"}
         return {
             "parts": {
-                server: self._want(server, command.life, max(0, min(MOST, want)))
-                for server, want in command.parts.items()
+                server: self._set_share(server, command.incarnation, max(0, min(MAX_CONNECTIONS, demand)))
+                for server, demand in command.shares.items()
                 if server in self.limits
             }
         }
 
-    def _want(self, server: str, life: str, want: int) -> int:
-        parts = self.parts.setdefault(server, {})
-        now, short = parts.get(life, 0), self.short.setdefault(server, set())
-        free = self.limits[server] - self.held(server) - (self.kept(server) if now else 0)
-        fair = self.fair(server)
-        if short - {life} and now >= fair:
-            free = 0  # others wait: what comes back is theirs
-        got = want if want <= now else max(now, min(want, now + max(0, free)))
-        if not now and got > self.kept(server) and short - {life}:
-            got = max(1, min(got, fair))
-        if got:
-            parts[life] = got
+    def _set_share(self, server: str, incarnation: str, demand: int) -> int:
+        shares = self.shares.setdefault(server, {})
+        current, short = shares.get(incarnation, 0), self.short.setdefault(server, set())
+        free = self.limits[server] - self.count_held(server) - (self.startup_reserve(server) if current else 0)
+        fair = self.fair_share(server)
+        if short - {incarnation} and current >= fair:
+            free = 0  # connections given back go to those that are short
+        granted = demand if demand <= current else max(current, min(demand, current + max(0, free)))
+        if not current and granted > self.startup_reserve(server) and short - {incarnation}:
+            granted = max(1, min(granted, fair))
+        if granted:
+            shares[incarnation] = granted
         else:
-            parts.pop(life, None)
-        if got < min(want, fair):
-            short.add(life)
+            shares.pop(incarnation, None)
+        if granted < min(demand, fair):
+            short.add(incarnation)
         else:
-            short.discard(life)
-        return got
+            short.discard(incarnation)
+        return granted
 
-    def _over(self, life: str) -> None:
-        self.lives.pop(life, None)
-        self.serials.pop(life, None)
-        for server, parts in self.parts.items():
-            parts.pop(life, None)
-            self.short.get(server, set()).discard(life)
+    def _remove(self, incarnation: str) -> None:
+        self.addresses.pop(incarnation, None)
+        self.serials.pop(incarnation, None)
+        for server, shares in self.shares.items():
+            shares.pop(incarnation, None)
+            self.short.get(server, set()).discard(incarnation)
 
-    # Kept in snapshots.
+    # Snapshots.
 
     def dump(self) -> Any:
-        short = {server: sorted(lives) for server, lives in self.short.items() if lives}
+        """Return the state as plain values for a snapshot."""
+        short = {server: sorted(incarnations) for server, incarnations in self.short.items() if incarnations}
         return msgspec.msgpack.decode(
-            _encode(Dumped(self.reserve, self.limits, self.lives, self.parts, short, self.serials))
+            _encode(LimitsSnapshot(self.reserve, self.limits, self.addresses, self.shares, short, self.serials))
         )
 
     def load(self, dumped: Any) -> None:
-        told = _dumped.decode(_encode(dumped)) if dumped else Dumped(self.reserve)
-        self.reserve, self.limits, self.lives, self.parts = told.reserve, told.limits, told.lives, told.parts
-        self.serials = told.serials
-        self.short = {server: set(lives) for server, lives in told.short.items()}
+        """Replace the state by that of a snapshot; by an empty state if `dumped` is empty."""
+        snapshot = _snapshot_decoder.decode(_encode(dumped)) if dumped else LimitsSnapshot(self.reserve)
+        self.reserve, self.limits, self.addresses, self.shares = (
+            snapshot.reserve,
+            snapshot.limits,
+            snapshot.addresses,
+            snapshot.shares,
+        )
+        self.serials = snapshot.serials
+        self.short = {server: set(incarnations) for server, incarnations in snapshot.short.items()}
--- a/brackenpulley/drains/service.py
+++ b/brackenpulley/drains/service.py
@@ -1,4 +1,4 @@
-"""Connection limits as a part of a daemon: its holder, and the ingress that the holder speaks to."""
+"""Runs the connection limits in a daemon: connects the holder to the south side and answers the control API."""
 
 from __future__ import annotations
 
@@ -8,130 +8,144 @@
 from ..consensus.service import AgreementService
 from ..operator import DrainsOptions
 from ..policy import interface as i
-from .holder import PART, Holder
+from .holder import MACHINE_PART, Holder
 from .limits import Leave, Limits, encode
-from .schedule import Ingress, Rules, lasts, left_out, waves
+from .schedule import Ingress, Rules, find_unschedulable, plan_waves, total_seconds
 
 if TYPE_CHECKING:
     from ..serve import Daemon
 
-LOOK = 0.1  # s between looks of the holder
+TICK_INTERVAL_SECONDS = 0.1  # of the holder, which limits its own rate further
 
 
-class SouthPort:
-    def __init__(self, daemon: Daemon, told: DrainsOptions) -> None:
-        self.daemon, self.told = daemon, told
-        daemon.south.connection_limits = {}  # nothing is opened before something is held
+class SouthConnectionPool:
+    """The daemon's connections to the sim servers, as used by the holder."""
 
-    def open(self, server: str) -> int:
+    def __init__(self, daemon: Daemon, options: DrainsOptions) -> None:
+        self.daemon, self.options = daemon, options
+        daemon.south.connection_limits = {}  # no connection is opened before a share is granted
+
+    def count_open(self, server: str) -> int:
+        """Return the number of connections to the server, including those still being established."""
         return self.daemon.south.open_connections.get(server, 0)
 
-    def busy(self, server: str) -> int:
+    def count_in_use(self, server: str) -> int:
+        """Return the number of open connections that carry a relay."""
         return self.daemon.south.count_busy(server)
 
-    def refused(self, server: str) -> int:
+    def take_rejections(self, server: str) -> int:
+        """Return how many relays found no connection since the last call."""
         return self.daemon.south.limit_rejections.pop(server, 0)
 
-    def shrink(self, server: str, most: int) -> None:
+    def close_unused(self, server: str, most: int) -> None:
+        """Close idle connections until at most `most` remain or none is idle."""
         self.daemon.south.close_idle(server, most)
 
-    def caps(self, caps: dict[str, int]) -> None:
-        self.daemon.south.connection_limits = caps
-        self.daemon.ingress.notify(i.RelayLimitsChanged(caps))
+    def set_limits(self, limits: dict[str, int]) -> None:
+        """Set the maximum number of connections to each server, on the south side and in the decision module."""
+        self.daemon.south.connection_limits = limits
+        self.daemon.ingress.notify(i.RelayLimitsChanged(limits))
 
-    def servers(self) -> dict[str, int]:
-        return {entry.server: self.told.connection_limit for entry in self.daemon.inventory.list_entries()}
+    def list_limits(self) -> dict[str, int]:
+        """Return the configured limit for each server in the inventory."""
+        return {entry.server: self.options.connection_limit for entry in self.daemon.inventory.list_entries()}
 
 
 class DrainsService:
-    def __init__(self, daemon: Daemon, told: DrainsOptions, agreement: AgreementService) -> None:
-        self.daemon, self.told, self.agreement = daemon, told, agreement
-        self.loop, self.port = daemon.loop, SouthPort(daemon, told)
+    """Runs the holder of this ingress and answers operators about connection limits and waves."""
+
+    def __init__(self, daemon: Daemon, options: DrainsOptions, agreement: AgreementService) -> None:
+        self.daemon, self.options, self.agreement = daemon, options, agreement
+        self.loop, self.pool = daemon.loop, SouthConnectionPool(daemon, options)
         self.holder: Holder | None = None
-        self._ended = False
-        agreement.parts[PART] = lambda: Limits(told.startup_reserve)
+        self._is_leaving = False
+        agreement.parts[MACHINE_PART] = lambda: Limits(options.startup_reserve)
 
     @property
     def limits(self) -> Limits:
+        """The replicated limits as applied by this process."""
         assert self.agreement.agreement is not None
-        part = self.agreement.agreement.machine.parts[PART]
-        assert isinstance(part, Limits)
-        return part
+        limits = self.agreement.agreement.machine.parts[MACHINE_PART]
+        assert isinstance(limits, Limits)
+        return limits
 
     def start(self) -> None:
+        """Start the holder; the agreement must be running."""
         agreement, station = self.agreement.agreement, self.agreement.members.service.station
         assert agreement is not None and station is not None
-        self.holder = Holder(station.address, agreement, lambda: self.limits, self.port, self.loop.clock())
-        self._look()
+        self.holder = Holder(station.address, agreement, lambda: self.limits, self.pool, self.loop.clock())
+        self._tick()
 
-    def _look(self) -> None:
+    def _tick(self) -> None:
         if self.holder is None or self.agreement.agreement is None:
             return
         self.holder.tick(self.loop.clock())
         self.agreement.said()
-        self.loop.call_in(LOOK, self._look)
+        self.loop.call_in(TICK_INTERVAL_SECONDS, self._tick)
 
     def knows(self) -> bool:
-        """It may open a connection somewhere: before that it can serve nobody."""
-        return self.holder is not None and any(self.holder.cap(server) for server in self.port.servers())
-
-    def waves(self, takes: float = 1.0) -> dict[str, Any]:
-        """How a roll of all ingresses would go."""
-        told, places = self.told, self.daemon.config.settings.places
-        rules = Rules(told.max_ingresses_away, told.max_ingresses_away, told.min_spread, places)
-        rows = [Ingress(place, takes=takes) for place in range(places)]
-        found = waves(rows, rules)
+        """Return whether a connection to any server may be opened; before that no message can be served."""
+        return self.holder is not None and any(self.holder.get_limit(server) for server in self.pool.list_limits())
+
+    def plan_rolling_restart(self, duration: float = 1.0) -> dict[str, Any]:
+        """Return the waves of a rolling restart of all ingresses, each of which takes `duration` seconds."""
+        options, places = self.options, self.daemon.config.settings.places
+        rules = Rules(options.max_ingresses_away, options.max_ingresses_away, options.min_spread, places)
+        ingresses = [Ingress(place, duration=duration) for place in range(places)]
+        waves = plan_waves(ingresses, rules)
         return {
-            "waves": [sorted(one.place for one in wave) for wave in found],
-            "lasts": lasts(found),
-            "leftOut": [one.place for one in left_out(rows, rules)],
+            "waves": [sorted(ingress.place for ingress in wave) for wave in waves],
+            "lasts": total_seconds(waves),
+            "leftOut": [ingress.place for ingress in find_unschedulable(ingresses, rules)],
         }
 
     def status(self) -> dict[str, Any]:
+        """Return the limits and shares at each server, for the control API."""
         if self.holder is None or self.agreement.agreement is None:
             return {"entered": False}
         limits = self.limits
-        life = self.agreement.agreement.id
+        incarnation = self.agreement.agreement.id
         return {
-            "entered": self.holder.entered,
-            "processes": len(limits.lives),
+            "entered": self.holder.has_entered,
+            "processes": len(limits.addresses),
             "servers": {
                 server: {
                     "limit": limit,
-                    "held": limits.held(server),
-                    "mine": self.holder.cap(server),
-                    "open": self.port.open(server),
-                    "askedBack": limits.asked_back(server, life),
+                    "held": limits.count_held(server),
+                    "mine": self.holder.get_limit(server),
+                    "open": self.pool.count_open(server),
+                    "askedBack": limits.target_share(server, incarnation),
                 }
                 for server, limit in limits.limits.items()
             },
         }
 
-    def closed(self) -> None:
-        """The last message is answered: its connections go, and their parts by its word."""
-        if self.holder is not None and not self._ended:
-            self._ended = True
+    def leave(self) -> None:
+        """Close all connections and release the shares, once the last message is answered."""
+        if self.holder is not None and not self._is_leaving:
+            self._is_leaving = True
             for server in list(self.daemon.south.open_connections):
                 self.daemon.south.close_idle(server, 0)
             self.holder.leave(self.loop.clock())
             self.agreement.said()
 
-    def gone(self) -> bool:
-        """It is agreed that it has left."""
+    def has_left(self) -> bool:
+        """Return whether it is agreed that this process has left."""
         agreement = self.agreement.agreement
-        return agreement is None or agreement.id not in self.limits.lives
+        return agreement is None or agreement.id not in self.limits.addresses
 
-    def ended(self, life: str, done: Callable[[Any], None], patience: float) -> None:
-        """An operator saw that process end: its parts are free."""
+    def remove_ended(self, incarnation: str, on_answer: Callable[[Any], None], timeout: float) -> None:
+        """Free the shares of a process that an operator saw end."""
         if self.agreement.agreement is None or not self.agreement.agreement.propose(
             self.loop.clock(),
-            PART,
-            encode(Leave(life)),
-            patience,
-            lambda outcome: done(None if outcome is None else outcome.answer),
+            MACHINE_PART,
+            encode(Leave(incarnation)),
+            timeout,
+            lambda outcome: on_answer(None if outcome is None else outcome.answer),
         ):
-            done(None)
+            on_answer(None)
         self.agreement.said()
 
     def stop(self) -> None:
+        """Stop the holder."""
         self.holder = None
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -243,19 +243,19 @@
     def knows(self) -> bool:
         return self.clerk is not None and self.clerk.knows(self.loop.clock())
 
-    def closed(self) -> None:
+    def leave(self) -> None:
         """The last message is answered: this process has nothing at any machine, and nobody need wait for it. Not
         before: what it has out when SIGTERM comes runs on."""
         if self.clerk is not None and not self.clerk.leaving:
             self.clerk.leave(self.loop.clock())
             self.agreement.said()
 
-    def gone(self) -> bool:
+    def has_left(self) -> bool:
         """It is agreed that it has left."""
         agreement = self.agreement.agreement
         return agreement is None or agreement.id not in self.permits.roster.values()
 
-    def ended(self, name: str, life: str, done: Callable[[Any], None], patience: float) -> None:
+    def remove_ended(self, name: str, life: str, done: Callable[[Any], None], patience: float) -> None:
         """An operator saw that process end."""
         self.propose(Leave(name, life), done, patience)
 
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -360,7 +360,7 @@
                 self.leases.give_back()
             for part in (self.maintenance, self.drains):
                 if part is not None:
-                    part.closed()
+                    part.leave()
             self._await_release_agreement(self.clock() + RELEASE_AGREEMENT_SECONDS)
 
     def _await_release_agreement(self, deadline: float) -> None:
@@ -368,7 +368,7 @@
 
         Without that agreement they would wait until a next process of this name reports.
         """
-        is_waiting = any(part is not None and not part.gone() for part in (self.maintenance, self.drains))
+        is_waiting = any(part is not None and not part.has_left() for part in (self.maintenance, self.drains))
         if is_waiting and self.clock() < deadline:
             self.loop.call_in(LEASE_RETURN_SECONDS, lambda: self._await_release_agreement(deadline))
         elif self.leases is not None:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -12,9 +12,9 @@
 
 from brackenpulley.consensus.agreement import KIND, Agreement
 from brackenpulley.consensus.machine import Machine
-from brackenpulley.drains.holder import PART, Holder
-from brackenpulley.drains.limits import Command, Enter, Leave, Limit, Limits, Want, encode
-from brackenpulley.drains.schedule import Ingress, Rules, fits, lasts, left_out, waves
+from brackenpulley.drains.holder import MACHINE_PART, Holder
+from brackenpulley.drains.limits import Command, Demand, Enter, Leave, Limits, SetLimits, encode
+from brackenpulley.drains.schedule import Ingress, Rules, find_unschedulable, fits, plan_waves, total_seconds
 from brackenpulley.policy.interface import Refuse, RelayLimitsChanged, Send
 from brackenpulley.simulation.faults import Faults
 from brackenpulley.simulation.links import Link, Links
@@ -30,14 +30,14 @@
         self.limits, self.serial = Limits(), 0
         for n in range(lives):
             self.do(Enter(f"n{n}@1", f"a{n}"))
-        self.do(Limit({"s": limit}))
+        self.do(SetLimits({"s": limit}))
 
     def do(self, command: Command) -> Any:
         return self.limits.apply(0.0, encode(command))
 
     def want(self, life: str, many: int) -> int:
         self.serial += 1
-        answer = self.do(Want(life, self.serial, {"s": many}))
+        answer = self.do(Demand(life, self.serial, {"s": many}))
         return int(answer["parts"]["s"]) if "parts" in answer else -1
 
 
@@ -46,46 +46,46 @@
     assert log.want("n0@1", 4) == 4 and log.want("n0@1", 8) == 8
     assert log.want("n0@1", 20) == 9  # the reserve is not for one that holds something
     assert log.want("n1@1", 5) == 1  # it starts: with the reserve
-    assert log.limits.asked_back("s", "n0@1") == 4 and log.limits.asked_back("s", "n1@1") == 1  # n1 is short
+    assert log.limits.target_share("s", "n0@1") == 4 and log.limits.target_share("s", "n1@1") == 1  # n1 is short
     assert log.want("n0@1", 20) == 9  # nothing more while others wait
     assert log.want("n0@1", 4) == 4 and log.want("n1@1", 5) == 5
-    assert log.limits.short["s"] == set() and log.limits.asked_back("s", "n0@1") == 4
+    assert log.limits.short["s"] == set() and log.limits.target_share("s", "n0@1") == 4
 
 
 def test_silence_frees_nothing_a_next_life_and_a_word_do() -> None:
     log = Log()
     assert log.want("n0@1", 9) == 9
     assert log.do(Enter("n0@0", "a0"))["field"] == "life"  # of an older life, late
-    assert log.limits.part("s", "n0@1") == 9
+    assert log.limits.get_share("s", "n0@1") == 9
     log.do(Enter("n0@2", "a0"))  # the same address: the old process is over
-    assert log.limits.part("s", "n0@1") == 0 and log.want("n0@2", 3) == 3
+    assert log.limits.get_share("s", "n0@1") == 0 and log.want("n0@2", 3) == 3
     assert log.want("n0@1", 3) == -1
     log.do(Enter("other@9", "a9"))  # beside it, at another address: both hold
-    assert log.limits.part("s", "n0@2") == 3
+    assert log.limits.get_share("s", "n0@2") == 3
     log.do(Leave("n0@2"))
-    assert log.limits.held("s") == 0
+    assert log.limits.count_held("s") == 0
 
 
 def test_a_late_want_changes_nothing() -> None:
     """A narrower part that was proposed and given up may be agreed after a wider one: what is open would pass it."""
     log = Log()
-    log.do(Want("n0@1", 5, {"s": 6}))
-    assert log.do(Want("n0@1", 4, {"s": 2}))["field"] == "serial" and log.limits.part("s", "n0@1") == 6
+    log.do(Demand("n0@1", 5, {"s": 6}))
+    assert log.do(Demand("n0@1", 4, {"s": 2}))["field"] == "serial" and log.limits.get_share("s", "n0@1") == 6
 
 
 def test_a_limit_lowered_a_server_gone_and_a_snapshot() -> None:
     log = Log()
     log.want("n0@1", 6)
     log.want("n1@1", 3)
-    log.do(Limit({"s": 4}))
-    assert log.want("n1@1", 5) == 3 and log.limits.asked_back("s", "n0@1") == 1
+    log.do(SetLimits({"s": 4}))
+    assert log.want("n1@1", 5) == 3 and log.limits.target_share("s", "n0@1") == 1
     log.want("n0@1", 1)
-    assert log.limits.held("s") == 4
+    assert log.limits.count_held("s") == 4
     other = Limits()
     other.load(log.limits.dump())
     assert other.dump() == log.limits.dump()
-    log.do(Limit({}, ["s"]))
-    assert log.limits.held("s") == 0 and log.do(Want("n0@1", 99, {"s": 3})) == {"parts": {}}
+    log.do(SetLimits({}, ["s"]))
+    assert log.limits.count_held("s") == 0 and log.do(Demand("n0@1", 99, {"s": 3})) == {"parts": {}}
     other.load(None)
     assert other.limits == {}
 
@@ -100,7 +100,7 @@
 def test_no_order_of_words_passes_a_limit(rows: list[tuple[str, int, int]]) -> None:
     log, lives = Log(12, 0), {n: 1 for n in range(5)}
     for what, n, many in rows:
-        life, before = f"n{n}@{lives[n]}", log.limits.held("s")
+        life, before = f"n{n}@{lives[n]}", log.limits.count_held("s")
         if what == "want":
             log.want(life, many)
         elif what == "leave":
@@ -109,9 +109,9 @@
             lives[n] += many % 2
             log.do(Enter(f"n{n}@{lives[n]}", f"a{n}"))
         else:
-            log.do(Limit({"s": many}))
-        assert log.limits.held("s") <= max(log.limits.limits["s"], before)
-        assert all(part > 0 for part in log.limits.parts.get("s", {}).values())
+            log.do(SetLimits({"s": many}))
+        assert log.limits.count_held("s") <= max(log.limits.limits["s"], before)
+        assert all(part > 0 for part in log.limits.shares.get("s", {}).values())
 
 
 # Fleets in virtual time.
@@ -130,23 +130,23 @@
         self.now_busy = dict.fromkeys(SERVERS, 0)
         self.blocked = dict.fromkeys(SERVERS, 0)
 
-    def open(self, server: str) -> int:
+    def count_open(self, server: str) -> int:
         return self.now_open[server]
 
-    def busy(self, server: str) -> int:
+    def count_in_use(self, server: str) -> int:
         return self.now_busy[server]
 
-    def refused(self, server: str) -> int:
+    def take_rejections(self, server: str) -> int:
         found, self.blocked[server] = self.blocked[server], 0
         return found
 
-    def shrink(self, server: str, most: int) -> None:
+    def close_unused(self, server: str, most: int) -> None:
         self.now_open[server] = max(self.now_busy[server], min(self.now_open[server], most))
 
-    def caps(self, caps: dict[str, int]) -> None:
-        self.most = caps
+    def set_limits(self, limits: dict[str, int]) -> None:
+        self.most = limits
 
-    def servers(self) -> dict[str, int]:
+    def list_limits(self) -> dict[str, int]:
         return dict.fromkeys(SERVERS, LIMIT)
 
     def attempt(self) -> None:
@@ -191,14 +191,14 @@
             f"{host.name}@{host.life}",
             host.name,
             self.seats,
-            lambda: Machine({PART: Limits()}),
+            lambda: Machine({MACHINE_PART: Limits()}),
             random.Random(self.rng.random()),
             self.world.now,
             host.disk if host.name in self.seats else None,
         )
         port = self.ports[host.name] = South(self, host)
         holder = self.holders[host.name] = Holder(
-            host.address, part, lambda: part.machine.parts[PART], port, self.world.now
+            host.address, part, lambda: part.machine.parts[MACHINE_PART], port, self.world.now
         )  # type: ignore
         life = host.life
 
@@ -244,7 +244,7 @@
         elif host.stopped:
             world.go_on(host)
     served = fleet.served
-    assert world.until(lambda: all(h.entered and h.cap("s0") > 0 for h in fleet.holders.values()), 25.0)
+    assert world.until(lambda: all(h.has_entered and h.get_limit("s0") > 0 for h in fleet.holders.values()), 25.0)
     world.run(world.now + 5.0)
     assert fleet.served > served and not fleet.wrong
 
@@ -261,7 +261,7 @@
         world.kill(host)
         world.run(world.now + 0.2)
         world.start(host)
-        assert world.until(lambda name=name: fleet.holders[name].cap("s0") > 0, 8.0), name  # type: ignore[misc]
+        assert world.until(lambda name=name: fleet.holders[name].get_limit("s0") > 0, 8.0), name  # type: ignore[misc]
         world.run(world.now + 1.0)
     assert not fleet.wrong and fleet.most >= LIMIT - 1
 
@@ -271,7 +271,7 @@
     fleet.world.run(fleet.world.now + 6.0)
     fleet.rate = 40.0
     fleet.world.run(fleet.world.now + 15.0)
-    parts = [fleet.holders[name].cap("s1") for name in fleet.names]
+    parts = [fleet.holders[name].get_limit("s1") for name in fleet.names]
     assert sum(parts) <= LIMIT and min(parts) >= 1 and not fleet.wrong
 
 
@@ -315,17 +315,17 @@
     [([], 0, True), ([0], 1, False), ([0], 2, True), ([0, 2], 4, False), ([1], 0, False), ([5], 0, False)],
 )
 def test_each_rule_of_a_wave(wave: list[int], place: int, good: bool) -> None:
-    rules = Rules(most=2, zone=2, spread=2, places=6)
+    rules = Rules(max_away=2, max_away_in_zone=2, set_size=2, place_count=6)
     assert fits([Ingress(n) for n in wave], Ingress(place), rules) == good
     assert not fits([Ingress(3, "z"), Ingress(5, "z")], Ingress(1, "z"), Rules(9, 2, 2, 6))
 
 
 def test_waves_take_all_and_a_set_of_one_is_left_out() -> None:
-    rules = Rules(most=3, zone=9, spread=2, places=12)
-    rows = [Ingress(n, takes=1.0 + n % 3) for n in range(12)]
-    found = waves(rows, rules)
+    rules = Rules(max_away=3, max_away_in_zone=9, set_size=2, place_count=12)
+    rows = [Ingress(n, duration=1.0 + n % 3) for n in range(12)]
+    found = plan_waves(rows, rules)
     assert sorted(one.place for wave in found for one in wave) == list(range(12))
-    assert lasts(found) <= 9.0 and not left_out(rows, rules)
-    assert len(left_out(rows, Rules(3, 9, 1, 12))) == 12 and waves(rows, Rules(3, 9, 1, 12)) == []
+    assert total_seconds(found) <= 9.0 and not find_unschedulable(rows, rules)
+    assert len(find_unschedulable(rows, Rules(3, 9, 1, 12))) == 12 and plan_waves(rows, Rules(3, 9, 1, 12)) == []
     for wave in found:
         assert all((a.place - b.place) % 12 not in (1, 11) for a, b in itertools.combinations(wave, 2))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -174,10 +174,10 @@
         calls: list[str] = []
 
         class Gone:
-            def closed(self) -> None:
+            def leave(self) -> None:
                 calls.append("closed")
 
-            def gone(self) -> bool:
+            def has_left(self) -> bool:
                 return len(calls) > 3 or bool(calls.append("asked"))
 
             def knows(self) -> bool:
