--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -27,17 +27,17 @@
 from brackenpulley.consensus.machine import Machine
 from brackenpulley.consensus.raft import FOLLOWER, LEADER, Kept, Node, Store
 from brackenpulley.consensus.wire import Between, Config, Entry, Snapshot, decode, encode
-from brackenpulley.maintenance.order import Bounds, Facts, Server
+from brackenpulley.maintenance.order import Bounds, FleetState, Server
 from brackenpulley.maintenance.permits import (
     Ask,
     Begin,
+    Cleared,
     Command,
     Enter,
     Finish,
     Leave,
     Override,
     Permits,
-    Said,
     Step,
     Withdraw,
 )
@@ -472,7 +472,7 @@
     """Every order of commands, doubles and older tokens too: two machines of one zone, one may be out; two ingresses,
     one of which may be started anew. Time stands, so that nothing is late."""
     server = Server("a", "m", 1.0, True)
-    facts, bounds = Facts({f"s{n}": server for n in range(3)}, 0.0, [True, True], 1), Bounds(1, 1)
+    facts, bounds = FleetState({f"s{n}": server for n in range(3)}, 0.0, [True, True], 1), Bounds(1, 1)
     lives = ("x@1", "y@1", "y@2")
     fixed: list[Command] = [
         Ask("p", "o", ["s0"], zone="a"),
@@ -496,7 +496,7 @@
                     commands += [
                         Begin(name, token),
                         Finish(name, token),
-                        *(Said(name, token, life[0], life) for life in lives),
+                        *(Cleared(name, token, life[0], life) for life in lives),
                     ]
             for command in commands:
                 made = Permits()
@@ -513,8 +513,8 @@
 
 def permits_wrong(old: Permits, new: Permits, command: Command) -> str:
     """What must hold over each command; "" where it does."""
-    if len(new.out()) > 1:
-        return f"out at once: {[job.id for job in new.out()]}"
+    if len(new.list_out()) > 1:
+        return f"out at once: {[job.id for job in new.list_out()]}"
     for job in new.jobs.values():
         before = old.jobs.get(job.id)
         if before is None or before.state in ("done", "withdrawn"):
@@ -523,7 +523,7 @@
             return f"{job.id}: token {job.token} after {before.token} of {old.token}"
         if job.state == "at work" and before.state not in ("clear", "at work"):
             return f"{job.id} is worked on and was {before.state}"
-        missing = [life for life in new.roster.values() if life not in job.said]
+        missing = [life for life in new.incarnations.values() if life not in job.cleared_by]
         if (
             job.state == "clear"
             and before.state == "clearing"
@@ -531,7 +531,7 @@
             and len(job.overrides) == len(before.overrides)
         ):
             return f"{job.id} is clear without the word of {missing}"
-        shown = isinstance(command, Begin | Finish | Said) and command.id == job.id
+        shown = isinstance(command, Begin | Finish | Cleared) and command.id == job.id
         if shown and command.token != before.token and job != before:  # type: ignore[union-attr]
             return f"{command} moved {job.id}, whose token is {before.token}"
     return ""
@@ -540,9 +540,10 @@
 def pack_state(permits: Permits) -> bytes:
     """What tells states apart: not how often one was passed over."""
     rows = [
-        (job.id, job.state, job.token, sorted(job.said), job.was, len(job.overrides)) for job in permits.jobs.values()
+        (job.id, job.state, job.token, sorted(job.cleared_by), job.stuck_from, len(job.overrides))
+        for job in permits.jobs.values()
     ]
-    return msgspec.msgpack.encode((permits.token, rows, sorted(permits.roster.items())))
+    return msgspec.msgpack.encode((permits.token, rows, sorted(permits.incarnations.items())))
 
 
 def figure_8() -> str:
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -116,7 +116,8 @@
         members = [one.members for one in self.there.values()] or [0]
         indexes = [one.index for one in self.there.values()] or [0]
         entered = [
-            one.daemon.maintenance is None or bool(one.daemon.maintenance.clerk.entered) for one in self.there.values()
+            one.daemon.maintenance is None or bool(one.daemon.maintenance.agent.has_entered)
+            for one in self.there.values()
         ]
         return {
             "there": len(members),
--- a/brackenpulley/configuration/force.py
+++ b/brackenpulley/configuration/force.py
@@ -22,7 +22,7 @@
 
 BACK = 10.0  # s
 LED = 3.0  # s that a follower's word of a leader is good for: some questions to a voter
-BLIND = 8.0  # s after which a process serves with what it has though nothing was heard, as maintenance/clerk
+BLIND = 8.0  # s after which a process serves with what it has though nothing was heard, as maintenance/agent
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenpulley/configuration/service.py
+++ b/brackenpulley/configuration/service.py
@@ -216,7 +216,7 @@
     # Operators.
 
     def propose(self, change: Change, done: Callable[[Any], None], patience: float) -> None:
-        """Raises ChangeError where it is wrong as far as can be seen here; `done` as maintenance/clerk's."""
+        """Raises ChangeError where it is wrong as far as can be seen here; `done` as maintenance/agent's."""
         agreement = self.agreement.agreement
         if agreement is None:
             done(None)
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -460,7 +460,7 @@
         told = decode(request.body, WorkCall)
         if bool(told.servers) + bool(told.whole) + bool(told.ingress) != 1 or bool(told.ingress) == (told.place < 0):
             raise ApiError(400, "servers", "either servers, a whole zone or cell, or an ingress and its place")
-        servers = told.servers or (service.port.group(told.whole) if told.whole else [])
+        servers = told.servers or (service.adapter.list_group(told.whole) if told.whole else [])
         if told.whole and not servers:
             raise ApiError(404, "whole", f"no server of {told.whole} is listed here")
         return agreed(Ask(told.id, told.by, servers, told.ingress, told.place, told.zone, told.urgency, told.deadline))
@@ -469,14 +469,14 @@
         job = service.permits.jobs.get(request.parts[0])
         if job is None:
             raise ApiError(404, "id", f"no machine {request.parts[0][:100]}")
-        return service.permits.row(job)
+        return service.permits.describe(job)
 
     routes.add(
         "GET",
         "/v1/work",
         lambda request: {
-            "machines": [service.permits.row(job) for job in service.permits.jobs.values()],
-            "ingresses": service.permits.roster,
+            "machines": [service.permits.describe(job) for job in service.permits.jobs.values()],
+            "ingresses": service.permits.incarnations,
             "index": service.index,
         },
     )
--- a/brackenpulley/maintenance/__init__.py
+++ b/brackenpulley/maintenance/__init__.py
@@ -1,4 +1,5 @@
-"""Machines taken out for work, in an order that the ingresses settle among themselves and keep, whoever dies.
+"""Maintenance of machines: takes servers and ingresses out of service, in an order that the ingresses agree on.
 
-`permits` is the agreed state, applied from the log by every process alike; `order` says who may go; `clerk` is one
-ingress's side. None has I/O. `service` puts them into a daemon; operators speak to it over the control API."""
+The order holds whichever process fails. `permits` is the replicated state, applied from the log by every process;
+`order` decides which machine may be taken out; `agent` is the part of one ingress. None of them does any I/O. `service`
+connects them to a running daemon; operators use it over the control API."""
--- a/brackenpulley/maintenance/service.py
+++ b/brackenpulley/maintenance/service.py
@@ -1,4 +1,4 @@
-"""Work on machines as a part of a daemon: its clerk, the ingress that the clerk speaks to, and what operators ask."""
+"""Runs maintenance in a daemon: connects the agent to the ingress and answers the control API."""
 
 from __future__ import annotations
 
@@ -10,123 +10,146 @@
 from ..consensus.service import AgreementService
 from ..members.records import RECORDS, VALUE, Table
 from ..operator import MaintenanceOptions
-from .clerk import PART, Clerk
-from .order import Bounds, Facts, Server, Wanted, plan
+from .agent import MACHINE_PART, MaintenanceAgent
+from .order import Bounds, Candidate, FleetState, Server, plan
 from .permits import WAITING, Command, Leave, Permits
 
 if TYPE_CHECKING:
     from ..serve import Daemon
 
-LOOK, TOLD = 0.2, 2.0  # s between looks of the clerk, and between two records of what this ingress holds
-SHORT = 10  # one of so many servers set aside at once is chance; more are a fleet that is short
-KIND, AWAY = "ingress", "away"  # of records
+TICK_INTERVAL_SECONDS = 0.2  # of the agent
+RECORD_INTERVAL_SECONDS = 2.0  # between updates of the records that this ingress publishes
+SHORTAGE_DIVISOR = 10  # one in ten servers ejected at once is chance; more mean that the fleet is short of servers
+STATUS_RECORD = "ingress"  # kind of record: an IngressStatus
+CORDON_RECORD = "away"  # kind of record: names of servers out of service
 
 
-class Holds(msgspec.Struct, frozen=True, array_like=True):
-    """What an ingress tells of itself by record."""
+class IngressStatus(msgspec.Struct, frozen=True, array_like=True):
+    """What an ingress publishes about itself in a record."""
 
     name: str
     place: int
-    ready: bool
-    attempts: float
-    served: int  # messages taken since its start
+    is_ready: bool
+    relays: float  # in flight, moving average
+    accepted: int  # messages since its start
 
 
-_holds = msgspec.msgpack.Decoder(Holds).decode
+_decode_status = msgspec.msgpack.Decoder(IngressStatus).decode
 
 
-class IngressPort:
-    """What the clerk asks, answered from the daemon."""
+class DaemonAdapter:
+    """Gives the agent access to the ingress of a daemon."""
 
-    def __init__(self, daemon: Daemon, told: MaintenanceOptions) -> None:
-        self.daemon, self.told = daemon, told
-        self.smoothed = 0.0
+    def __init__(self, daemon: Daemon, options: MaintenanceOptions) -> None:
+        self.daemon, self.options = daemon, options
+        self.average_relays = 0.0
 
-    def away(self, servers: frozenset[str]) -> None:
+    def set_cordoned(self, servers: frozenset[str]) -> None:
+        """Give no new work to these servers; all others may get work."""
         self.daemon.inventory.set_cordoned(servers)
-        self.daemon.log.info("maintenance", away=",".join(sorted(servers)) or "none")
+        self.daemon.log.info("maintenance: servers out of service changed", away=",".join(sorted(servers)) or "none")
 
-    def attempts(self, servers: list[str]) -> int:
+    def count_relays(self, servers: list[str]) -> int:
+        """Return the number of relays in flight to these servers."""
         known = self.daemon.ingress.decision_module.servers
         return sum(len(known[name].relays) for name in servers if name in known)
 
-    def drain(self, on: bool) -> None:
+    def set_draining(self, on: bool) -> None:
+        """Take the ingress itself out of service, or back into service."""
         self.daemon.drain.out_for_maintenance = on
         if on:
             self.daemon.north.close_idle()
-        self.daemon.log.info("maintenance", drains=on)
+        self.daemon.log.info("maintenance: draining of this ingress changed", drains=on)
 
-    def held(self) -> int:
+    def count_messages(self) -> int:
+        """Return the number of messages that the ingress has not answered yet."""
         return len(self.daemon.ingress.exchanges)
 
-    def look(self) -> None:
-        busy = sum(len(server.relays) for server in self.daemon.ingress.decision_module.servers.with_relays.values())
-        self.smoothed += 0.2 * (busy - self.smoothed)
+    def update_average(self) -> None:
+        """Update the moving average of relays in flight."""
+        in_flight = sum(
+            len(server.relays) for server in self.daemon.ingress.decision_module.servers.with_relays.values()
+        )
+        self.average_relays += 0.2 * (in_flight - self.average_relays)
 
-    def holds(self) -> Holds:
+    def make_status(self) -> IngressStatus:
+        """Return the status that this ingress publishes."""
         daemon = self.daemon
-        return Holds(
+        return IngressStatus(
             daemon.config.name,
             daemon.config.settings.me,
             daemon.drain.is_ready(daemon.is_ready()),
-            round(self.smoothed, 1),
+            round(self.average_relays, 1),
             daemon.metrics.counts["messages"],
         )
 
-    def others(self) -> list[Holds]:
+    def list_statuses(self) -> list[IngressStatus]:
+        """Return the published statuses of all ingresses; records that cannot be decoded are skipped."""
         station = self.daemon.members.service.station
-        found = [] if station is None else list(station.records.of(KIND))
-        rows = []
-        for record in found:
+        records = [] if station is None else list(station.records.of(STATUS_RECORD))
+        statuses = []
+        for record in records:
             try:
-                rows.append(_holds(record.value))
+                statuses.append(_decode_status(record.value))
             except msgspec.MsgspecError:
                 continue
-        return rows
+        return statuses
 
-    def rumoured(self) -> frozenset[str]:
+    def list_published_cordons(self) -> frozenset[str]:
+        """Return the servers that other ingresses publish as out of service."""
         station = self.daemon.members.service.station
-        found: set[str] = set()
-        for record in station.records.of(AWAY) if station is not None else ():
-            found.update(record.value.decode("utf-8", "replace").split())
-        return frozenset(found)
-
-    def facts(self) -> Facts:
-        daemon, apart = self.daemon, self.daemon.ingress.decision_module.servers.ejected
+        servers: set[str] = set()
+        for record in station.records.of(CORDON_RECORD) if station is not None else ():
+            servers.update(record.value.decode("utf-8", "replace").split())
+        return frozenset(servers)
+
+    def observe_fleet(self) -> FleetState:
+        """Return the state of the fleet as this ingress sees it."""
+        daemon, ejected = self.daemon, self.daemon.ingress.decision_module.servers.ejected
         entries = daemon.inventory.list_entries()
-        away = daemon.inventory.cordoned
-        servers = {e.server: Server(e.zone, e.kind, e.size, e.state == "up" and e.server not in apart) for e in entries}
+        cordoned = daemon.inventory.cordoned
+        servers = {
+            entry.server: Server(
+                entry.zone, entry.kind, entry.size, entry.state == "up" and entry.server not in ejected
+            )
+            for entry in entries
+        }
         zones: dict[str, list[bool]] = {}
-        for e in entries:
-            if e.state == "up" and e.server not in away:
-                zones.setdefault(e.zone, []).append(e.server in apart)
-        lost = [zone for zone, bad in zones.items() if zone and len(bad) > 1 and sum(bad) * 2 > len(bad)]
-        missing = sum(sum(bad) for bad in zones.values())
-        rows = self.others()
-        places = [False] * max([daemon.config.settings.places, *(row.place + 1 for row in rows)])
-        for row in rows:
-            places[row.place] = places[row.place] or row.ready
-        return Facts(
+        for entry in entries:
+            if entry.state == "up" and entry.server not in cordoned:
+                zones.setdefault(entry.zone, []).append(entry.server in ejected)
+        lost_zones = [
+            zone
+            for zone, is_ejected in zones.items()
+            if zone and len(is_ejected) > 1 and sum(is_ejected) * 2 > len(is_ejected)
+        ]
+        missing_servers = sum(sum(is_ejected) for is_ejected in zones.values())
+        statuses = self.list_statuses()
+        serving = [False] * max([daemon.config.settings.places, *(status.place + 1 for status in statuses)])
+        for status in statuses:
+            serving[status.place] = serving[status.place] or status.is_ready
+        return FleetState(
             servers,
-            sum(row.attempts for row in rows),
-            places,
-            self.told.min_spread,
-            lost,
-            missing if missing > 1 and missing * SHORT > len(servers) else 0,
+            sum(status.relays for status in statuses),
+            serving,
+            self.options.min_spread,
+            lost_zones,
+            missing_servers if missing_servers > 1 and missing_servers * SHORTAGE_DIVISOR > len(servers) else 0,
         )
 
-    def group(self, whole: str) -> list[str]:
-        """Servers of "zone:NAME" or "cell:NUMBER", as listed here now."""
-        kind, _, name = whole.partition(":")
+    def list_group(self, group: str) -> list[str]:
+        """Return the servers of "zone:NAME" or "cell:NUMBER" in the inventory."""
+        kind, _, name = group.partition(":")
         return [
-            e.server
-            for e in self.daemon.inventory.list_entries()
-            if (e.zone if kind == "zone" else str(e.cell)) == name
+            entry.server
+            for entry in self.daemon.inventory.list_entries()
+            if (entry.zone if kind == "zone" else str(entry.cell)) == name
         ]
 
-    def carries(self, servers: list[str], ingress: str) -> bool:
+    def is_carrying_load(self, servers: list[str], ingress: str) -> bool:
+        """Return whether all of these servers, or that ingress, carry load."""
         if ingress:
-            return any(row.name == ingress and row.ready for row in self.others())
+            return any(status.name == ingress and status.is_ready for status in self.list_statuses())
         known = self.daemon.ingress.decision_module.servers
         return all(
             self.daemon.inventory.is_usable(name) and name in known and not known[name].is_ejected for name in servers
@@ -134,98 +157,119 @@
 
 
 class MaintenanceService:
-    def __init__(self, daemon: Daemon, told: MaintenanceOptions, agreement: AgreementService) -> None:
-        self.daemon, self.told, self.agreement = daemon, told, agreement
+    """Runs the agent of this ingress, publishes its records and answers operators about maintenance."""
+
+    def __init__(self, daemon: Daemon, options: MaintenanceOptions, agreement: AgreementService) -> None:
+        self.daemon, self.options, self.agreement = daemon, options, agreement
         self.loop, self.metrics = daemon.loop, daemon.metrics
-        self.port = IngressPort(daemon, told)
-        self.clerk: Clerk | None = None
-        self._told_at = 0.0
-        self._parts = 0
-        agreement.parts[PART] = Permits
+        self.adapter = DaemonAdapter(daemon, options)
+        self.agent: MaintenanceAgent | None = None
+        self._next_record = 0.0
+        self._record_count = 0
+        agreement.parts[MACHINE_PART] = Permits
 
     @property
     def permits(self) -> Permits:
+        """The replicated permits as applied by this process."""
         assert self.agreement.agreement is not None
-        part = self.agreement.agreement.machine.parts[PART]
-        assert isinstance(part, Permits)
-        return part
+        permits = self.agreement.agreement.machine.parts[MACHINE_PART]
+        assert isinstance(permits, Permits)
+        return permits
 
     @property
     def index(self) -> int:
-        """Of the log, up to which this process has applied it."""
+        """The log index up to which this process has applied the log."""
         assert self.agreement.agreement is not None
         return self.agreement.agreement.machine.index
 
     def start(self) -> None:
-        told, agreement = self.told, self.agreement.agreement
+        """Start the agent; the agreement must be running."""
+        options, agreement = self.options, self.agreement.agreement
         assert agreement is not None
         bounds = Bounds(
-            told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server
+            options.max_machines_out,
+            options.max_machines_out_per_zone,
+            options.load_reserve,
+            options.attempts_per_server,
         )
-        self.clerk = Clerk(
+        self.agent = MaintenanceAgent(
             self.daemon.config.name,
             agreement,
             lambda: self.permits,
-            self.port,
+            self.adapter,
             bounds,
-            told.settle_seconds,
-            told.stuck_after_seconds,
+            options.settle_seconds,
+            options.stuck_after_seconds,
             self.loop.clock(),
         )
-        agreement.advanced = self.clerk.heard
-        self._look()
+        agreement.advanced = self.agent.on_applied
+        self._tick()
 
-    def _look(self) -> None:
-        if self.clerk is None or self.agreement.agreement is None:
+    def _tick(self) -> None:
+        if self.agent is None or self.agreement.agreement is None:
             return
         now = self.loop.clock()
-        self.port.look()
-        if now >= self._told_at:
-            self._told_at = now + TOLD
+        self.adapter.update_average()
+        if now >= self._next_record:
+            self._next_record = now + RECORD_INTERVAL_SECONDS
             station = self.daemon.members.service.station
             if station is not None:
-                station.records.publish(KIND, "", msgspec.msgpack.encode(self.port.holds()))
-                self._tell_away(station.records)
-        self.clerk.tick(now)
+                station.records.publish(STATUS_RECORD, "", msgspec.msgpack.encode(self.adapter.make_status()))
+                self._publish_cordoned(station.records)
+        self.agent.tick(now)
         self.agreement.said()
-        self.loop.call_in(LOOK, self._look)
+        self.loop.call_in(TICK_INTERVAL_SECONDS, self._tick)
 
-    def _tell_away(self, records: Table) -> None:
-        """For those that start while nothing can be agreed: as many names as a record holds, a record each part."""
-        names, parts = sorted(self.permits.away()), list[str]()
+    def _publish_cordoned(self, records: Table) -> None:
+        """Publish the servers out of service, for ingresses that start while there is no quorum.
+
+        Each record holds as many names as fit."""
+        names, chunks = sorted(self.permits.list_cordoned()), list[str]()
         for name in names:
-            if not parts or len(parts[-1].encode()) + len(name.encode()) + 1 > VALUE:
-                parts.append(name)
+            if not chunks or len(chunks[-1].encode()) + len(name.encode()) + 1 > VALUE:
+                chunks.append(name)
             else:
-                parts[-1] += f" {name}"
-        for number in range(max(len(parts), self._parts)):
-            if number < len(parts) and number < RECORDS // 2:
-                records.publish(AWAY, str(number), parts[number].encode())
+                chunks[-1] += f" {name}"
+        for number in range(max(len(chunks), self._record_count)):
+            if number < len(chunks) and number < RECORDS // 2:
+                records.publish(CORDON_RECORD, str(number), chunks[number].encode())
             else:
-                records.withdraw(AWAY, str(number))
-        self._parts = len(parts)
+                records.withdraw(CORDON_RECORD, str(number))
+        self._record_count = len(chunks)
 
-    def propose(self, command: Command, done: Callable[[Any], None], patience: float) -> None:
-        if self.clerk is None:
-            done(None)
+    def propose(self, command: Command, on_answer: Callable[[Any], None], timeout: float) -> None:
+        """Propose a command; `on_answer` gets its answer, or None if nothing was agreed within `timeout` seconds."""
+        if self.agent is None:
+            on_answer(None)
             return
-        self.clerk.propose(self.loop.clock(), command, done, patience)
+        self.agent.propose(self.loop.clock(), command, on_answer, timeout)
         self.agreement.said()
 
     def plan(self) -> list[dict[str, Any]]:
-        """What goes when, and why each waits, as this process sees the fleet."""
-        permits, told = self.permits, self.told
-        waiting: list[Wanted] = [job.wanted() for job in permits.jobs.values() if job.state in ("asked", WAITING)]
-        out = [job.wanted() for job in permits.out()]
-        rows = plan(
+        """Return the order in which machines will be taken out and why each waits, as this process sees the fleet."""
+        permits, options = self.permits, self.options
+        waiting: list[Candidate] = [
+            job.to_candidate() for job in permits.jobs.values() if job.state in ("asked", WAITING)
+        ]
+        out = [job.to_candidate() for job in permits.list_out()]
+        planned = plan(
             waiting,
             out,
-            self.port.facts(),
-            Bounds(told.max_machines_out, told.max_machines_out_per_zone, told.load_reserve, told.attempts_per_server),
+            self.adapter.observe_fleet(),
+            Bounds(
+                options.max_machines_out,
+                options.max_machines_out_per_zone,
+                options.load_reserve,
+                options.attempts_per_server,
+            ),
         )
-        return [{"id": one.id, "state": permits.jobs[one.id].state, "why": why or "goes next"} for one, why in rows]
+        return [
+            {"id": candidate.id, "state": permits.jobs[candidate.id].state, "why": reason or "goes next"}
+            for candidate, reason in planned
+        ]
 
     def status(self) -> dict[str, Any]:
+        """Return counts of jobs by state and whom they wait for, for the control API."""
         if self.agreement.agreement is None:
             return {"entered": False}
         permits = self.permits
@@ -233,31 +277,36 @@
         for job in permits.jobs.values():
             states[job.state] = states.get(job.state, 0) + 1
         return {
-            "entered": self.clerk is not None and self.clerk.entered,
+            "entered": self.agent is not None and self.agent.has_entered,
             "states": states,
-            "away": permits.away(),
-            "ingresses": len(permits.roster),
-            "waitsFor": {job.id: missing for job in permits.out() if (missing := permits.missing(job))},
+            "away": permits.list_cordoned(),
+            "ingresses": len(permits.incarnations),
+            "waitsFor": {
+                job.id: unconfirmed for job in permits.list_out() if (unconfirmed := permits.list_unconfirmed(job))
+            },
         }
 
     def knows(self) -> bool:
-        return self.clerk is not None and self.clerk.knows(self.loop.clock())
+        """Return whether this ingress may serve: it knows the servers out of service, or has waited long enough."""
+        return self.agent is not None and self.agent.may_serve(self.loop.clock())
 
     def leave(self) -> None:
-        """The last message is answered: this process has nothing at any machine, and nobody need wait for it. Not
-        before: what it has out when SIGTERM comes runs on."""
-        if self.clerk is not None and not self.clerk.leaving:
-            self.clerk.leave(self.loop.clock())
+        """Leave once the last message is answered, so that no confirmation of this process is awaited any more.
+
+        Not at SIGTERM: relays in flight at that time go on, and work on a machine must not begin under them."""
+        if self.agent is not None and not self.agent.is_leaving:
+            self.agent.leave(self.loop.clock())
             self.agreement.said()
 
     def has_left(self) -> bool:
-        """It is agreed that it has left."""
+        """Return whether it is agreed that this process has left."""
         agreement = self.agreement.agreement
-        return agreement is None or agreement.id not in self.permits.roster.values()
+        return agreement is None or agreement.id not in self.permits.incarnations.values()
 
-    def remove_ended(self, name: str, life: str, done: Callable[[Any], None], patience: float) -> None:
-        """An operator saw that process end."""
-        self.propose(Leave(name, life), done, patience)
+    def remove_ended(self, name: str, incarnation: str, on_answer: Callable[[Any], None], timeout: float) -> None:
+        """Remove an ingress whose process an operator saw end."""
+        self.propose(Leave(name, incarnation), on_answer, timeout)
 
     def stop(self) -> None:
-        self.clerk = None
+        """Stop the agent."""
+        self.agent = None
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -13,7 +13,7 @@
 from syrupy.location import PyTestLocation
 
 from brackenpulley.control.api import Later, Routes, work_routes
-from brackenpulley.maintenance.permits import Enter, Permits, Said, Step, encode
+from brackenpulley.maintenance.permits import Cleared, Enter, Permits, Step, encode
 from brackenpulley.members.protocol import Timing
 from brackenpulley.members.station import Station
 from brackenpulley.net.counter import encode_add as counter_call
@@ -197,11 +197,11 @@
     call("GET", "/v1/work/host-9")
     told.title("granted; one ingress has cleared it, the other has not")
     step(1.0, [])
-    desk.permits.apply(desk.now, encode(Said("host-7", 1, "x", "x@1")))
+    desk.permits.apply(desk.now, encode(Cleared("host-7", 1, "x", "x@1")))
     call("GET", "/v1/work/host-7")
     call("POST", "/v1/work/host-7/begin", {"token": 1})
     told.title("cleared by all: work begins, with its token alone")
-    desk.permits.apply(desk.now, encode(Said("host-7", 1, "y", "y@1")))
+    desk.permits.apply(desk.now, encode(Cleared("host-7", 1, "y", "y@1")))
     call("POST", "/v1/work/host-7/begin", {"token": 0})
     call("POST", "/v1/work/host-7/begin", {"token": 1})
     call("POST", "/v1/work/host-7/withdraw", {"by": "ann"})
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,18 +13,18 @@
 
 from brackenpulley.consensus.agreement import KIND, Agreement
 from brackenpulley.consensus.machine import Machine
-from brackenpulley.maintenance.clerk import PART, Clerk
-from brackenpulley.maintenance.order import PASSES, Bounds, Facts, Server, Wanted, plan, why_not
+from brackenpulley.maintenance.agent import MACHINE_PART, MaintenanceAgent
+from brackenpulley.maintenance.order import MAX_TIMES_PASSED, Bounds, Candidate, FleetState, Server, find_obstacle, plan
 from brackenpulley.maintenance.permits import (
     Ask,
     Begin,
+    Cleared,
     Command,
     Enter,
     Finish,
     Leave,
     Override,
     Permits,
-    Said,
     Step,
     Withdraw,
     encode,
@@ -37,8 +37,8 @@
 from .rig import rig
 
 SERVERS = {f"s{n}": Server("ab"[n % 2], "m1" if n < 4 else "m2", 1.0, True) for n in range(6)}
-FACTS = Facts(SERVERS, 4.0, [True] * 4, 2)
-BOUNDS = Bounds(out=2, zone=1, reserve=0.25, bears=2.0)
+FACTS = FleetState(SERVERS, 4.0, [True] * 4, 2)
+BOUNDS = Bounds(max_out=2, max_out_in_zone=1, load_reserve=0.25, relays_per_size=2.0)
 
 
 class Log:
@@ -53,13 +53,13 @@
         self.now += after
         return self.permits.apply(self.now, encode(command))
 
-    def step(self, after: float = 1.0, facts: Facts = FACTS, carried: list[str] = []) -> Any:  # noqa: B006
+    def step(self, after: float = 1.0, facts: FleetState = FACTS, carried: list[str] = []) -> Any:  # noqa: B006
         return self.do(Step(facts, BOUNDS, 5.0, 30.0, carried), after)
 
     def say(self, name: str = "h", lives: tuple[str, ...] = ("x@1", "y@1")) -> Any:
         job = self.permits.jobs[name]
         for life in lives:
-            answer = self.do(Said(name, job.token, life[0], life))
+            answer = self.do(Cleared(name, job.token, life[0], life))
         return answer
 
     def to(self, state: str) -> Log:
@@ -68,7 +68,7 @@
         steps = {"asked": 0, "waiting": 1, "clearing": 2, "clear": 3, "at work": 4, "returning": 5, "done": 6}
         many = steps.get(state, 2 if state == "stuck" else 0)
         calls = [
-            lambda: self.step(facts=FACTS if many != 1 else Facts(SERVERS, lost=["b"])),
+            lambda: self.step(facts=FACTS if many != 1 else FleetState(SERVERS, lost_zones=["b"])),
             lambda: None,
             self.say,
             lambda: self.do(Begin("h", self.permits.jobs["h"].token)),
@@ -122,13 +122,16 @@
 
 def test_a_machine_goes_out_and_comes_back() -> None:
     log = Log().to("clearing")
-    assert log.permits.away() == {"s0": 1} and log.permits.missing(log.permits.jobs["h"]) == ["x", "y"]
+    assert log.permits.list_cordoned() == {"s0": 1} and log.permits.list_unconfirmed(log.permits.jobs["h"]) == [
+        "x",
+        "y",
+    ]
     log.say(lives=("x@1",))
-    assert log.permits.missing(log.permits.jobs["h"]) == ["y"]
+    assert log.permits.list_unconfirmed(log.permits.jobs["h"]) == ["y"]
     assert log.say(lives=("y@1",))["state"] == "clear"
     log.do(Begin("h", 1))
     log.do(Finish("h", 1))
-    assert log.permits.away() == {}  # it gets work again, and is out until it has carried load for a while
+    assert log.permits.list_cordoned() == {}  # it gets work again, and is out until it has carried load for a while
     log.step(2.0, carried=["h"])
     assert log.permits.jobs["h"].state == "returning"
     log.step(9.0)
@@ -144,7 +147,7 @@
     log.do(Ask("h", "ann", ["s0"], zone="a"))
     log.step()
     assert log.permits.jobs["h"].token == 2
-    for command in (Begin("h", 1), Finish("h", 1), Said("h", 1, "x", "x@1")):
+    for command in (Begin("h", 1), Finish("h", 1), Cleared("h", 1, "x", "x@1")):
         assert log.do(command)["field"] == "token"
 
 
@@ -159,11 +162,11 @@
     log = Log().to("clearing")
     log.say(lives=("x@1",))
     log.do(Enter("y", "y@2"))  # a new life says for itself
-    assert log.permits.missing(log.permits.jobs["h"]) == ["y"]
-    assert log.do(Said("h", 1, "y", "y@1"))["state"] == "clearing"
-    assert log.do(Said("h", 1, "y", "y@2"))["state"] == "clear"
+    assert log.permits.list_unconfirmed(log.permits.jobs["h"]) == ["y"]
+    assert log.do(Cleared("h", 1, "y", "y@1"))["state"] == "clearing"
+    assert log.do(Cleared("h", 1, "y", "y@2"))["state"] == "clear"
     log = Log().to("stuck")
-    assert log.permits.jobs["h"].why == "no word of x, y" and log.permits.away() == {"s0": 1}
+    assert log.permits.jobs["h"].reason == "no word of x, y" and log.permits.list_cordoned() == {"s0": 1}
     log.do(Override("h", "bob"))
     assert log.permits.jobs["h"].overrides[0].startswith("bob at") and "x, y" in log.permits.jobs["h"].overrides[0]
 
@@ -204,7 +207,7 @@
     log = Log()
     log.do(Ask("ing", "ann", ingress="x", place=1))
     log.step()
-    assert log.permits.missing(log.permits.jobs["ing"]) == ["x"]
+    assert log.permits.list_unconfirmed(log.permits.jobs["ing"]) == ["x"]
     log.do(Leave("x", "x@1"))  # it has ended: nothing more to clear
     assert log.permits.jobs["ing"].state == "clear"
 
@@ -231,9 +234,9 @@
     assert log.do(Ask("h", "ann", ["s0"], zone="a")) == {"state": "clearing", "token": 1}
     log.do(Ask("late", "ann", ["s1"], zone="a", deadline=log.now + 2.5))  # zone a is taken
     log.step()
-    assert log.permits.jobs["late"].why == "1 machines of zone a are out, 1 at most"
+    assert log.permits.jobs["late"].reason == "1 machines of zone a are out, 1 at most"
     log.step(5.0)
-    assert (log.permits.jobs["late"].state, log.permits.jobs["late"].why) == ("withdrawn", "its deadline has passed")
+    assert (log.permits.jobs["late"].state, log.permits.jobs["late"].reason) == ("withdrawn", "its deadline has passed")
     other = Permits()
     other.load(log.permits.dump())
     assert other.dump() == log.permits.dump() and other.token == 1
@@ -243,16 +246,16 @@
 
 def want(
     name: str, *servers: str, place: int = -1, zone: str = "a", urgency: int = 0, asked: float = 0.0, passed: int = 0
-) -> Wanted:
-    return Wanted(name, frozenset(servers), place, zone, urgency, asked, passed)
+) -> Candidate:
+    return Candidate(name, frozenset(servers), place, zone, urgency, asked, passed)
 
 
 @pytest.mark.parametrize(
     ("one", "out", "facts", "why"),
     [
         (want("h", "s0"), [], FACTS, ""),
-        (want("h", "s0"), [], Facts(SERVERS, lost=["b"]), "zone b is lost"),
-        (want("h", "s0"), [], Facts(SERVERS, missing=2), "2 servers are missing"),
+        (want("h", "s0"), [], FleetState(SERVERS, lost_zones=["b"]), "zone b is lost"),
+        (want("h", "s0"), [], FleetState(SERVERS, missing_servers=2), "2 servers are missing"),
         (
             want("h", "s0"),
             [want("p", "s1", zone="b"), want("q", "s3", zone="c")],
@@ -263,7 +266,7 @@
         (want("h", "zz"), [], FACTS, "server zz is not known"),
         (want("h", "s4", "s5"), [], FACTS, "s4 is of the last of machine type m2"),
         (want("h", "s4"), [want("p", "s5", zone="b")], FACTS, "s4 is of the last of machine type m2"),
-        (want("h", "s0"), [], Facts(SERVERS, 9.0), "what is left carries 10 attempts, 11 are needed"),
+        (want("h", "s0"), [], FleetState(SERVERS, 9.0), "what is left carries 10 attempts, 11 are needed"),
         (want("h", place=1), [], FACTS, ""),
         (want("h", place=9), [], FACTS, "ingress 9 is not known"),
         (want("h", place=1), [want("p", place=2, zone="b")], FACTS, "all ingresses of a set from 1 would be away"),
@@ -271,13 +274,13 @@
         (
             want("h", place=1),
             [],
-            Facts(places=[True, True, False, True], spread=2),
+            FleetState(serving=[True, True, False, True], set_size=2),
             "all ingresses of a set from 1 would be away",
         ),
     ],
 )
-def test_each_bound_holds_a_machine_back(one: Wanted, out: list[Wanted], facts: Facts, why: str) -> None:
-    assert why_not(one, out, facts, BOUNDS) == why
+def test_each_bound_holds_a_machine_back(one: Candidate, out: list[Candidate], facts: FleetState, why: str) -> None:
+    assert find_obstacle(one, out, facts, BOUNDS) == why
 
 
 def test_the_order_is_by_urgency_then_age_and_nobody_is_passed_over_for_ever() -> None:
@@ -294,52 +297,52 @@
     taken = [want("p", "s3", zone="a")]
     rows = [want("old", "s0", asked=1.0), want("new", "s1", zone="b", asked=2.0)]
     assert [one.id for one, why in plan(rows, taken, FACTS, BOUNDS) if not why] == ["new"]
-    rows[0] = want("old", "s0", asked=1.0, passed=PASSES)
+    rows[0] = want("old", "s0", asked=1.0, passed=MAX_TIMES_PASSED)
     assert [why for _, why in plan(rows, taken, FACTS, BOUNDS)][1] == (
-        f"old was passed over {PASSES} times and goes first"
+        f"old was passed over {MAX_TIMES_PASSED} times and goes first"
     )
     log = Log().to("clearing")
     log.do(Ask("held", "ann", ["s2"], zone="a"))
-    for n in range(PASSES + 2):
+    for n in range(MAX_TIMES_PASSED + 2):
         log.do(Ask(f"n{n}", "ann", ["s1"], zone="b"))
         log.step()
         log.do(Withdraw(f"n{n}", "ann"))
         log.step(9.0, carried=[f"n{n}"])
         log.do(Withdraw(f"n{n}", "ann"))
-    assert log.permits.jobs["held"].passed == PASSES  # from then on all wait for it
-    assert log.permits.jobs[f"n{PASSES + 1}"].state == "withdrawn"
+    assert log.permits.jobs["held"].times_passed == MAX_TIMES_PASSED  # from then on all wait for it
+    assert log.permits.jobs[f"n{MAX_TIMES_PASSED + 1}"].state == "withdrawn"
 
 
 # A fleet in virtual time: what must always hold, whoever dies.
 
 
 class Ingress:
-    """Sends to servers as its clerk lets it; each attempt lasts a while."""
+    """Sends to servers as its agent lets it; each attempt lasts a while."""
 
     def __init__(self, fleet: Fleet, host: Host) -> None:
         self.fleet, self.host, self.out = fleet, host, frozenset[str]()
         self.attempts_at: dict[str, int] = {}
         self.drains = False
 
-    def away(self, servers: frozenset[str]) -> None:
+    def set_cordoned(self, servers: frozenset[str]) -> None:
         self.out = servers
 
-    def attempts(self, servers: list[str]) -> int:
+    def count_relays(self, servers: list[str]) -> int:
         return sum(self.attempts_at.get(name, 0) for name in servers)
 
-    def drain(self, on: bool) -> None:
+    def set_draining(self, on: bool) -> None:
         self.drains = on
 
-    def held(self) -> int:
+    def count_messages(self) -> int:
         return sum(self.attempts_at.values())
 
-    def rumoured(self) -> frozenset[str]:
+    def list_published_cordons(self) -> frozenset[str]:
         return frozenset()
 
-    def facts(self) -> Facts:
-        return Facts(SERVERS, 1.0, [True] * 5, 2)
+    def observe_fleet(self) -> FleetState:
+        return FleetState(SERVERS, 1.0, [True] * 5, 2)
 
-    def carries(self, servers: list[str], ingress: str) -> bool:
+    def is_carrying_load(self, servers: list[str], ingress: str) -> bool:
         return True
 
     def send(self) -> None:
@@ -349,7 +352,7 @@
         if self.host.stopped or self.host.driven is None or self.fleet.ports.get(self.host.name) is not self:
             return
         world.at(world.now + rng.expovariate(5.0), self.send)
-        if not self.fleet.clerks[self.host.name].entered:
+        if not self.fleet.agents[self.host.name].has_entered:
             return
         name = rng.choice(names)
         self.fleet.sent(self.host, name)
@@ -369,7 +372,7 @@
         self.names = [f"v{n}" for n in range(size)]
         self.seats = {name: f"a-{name}" for name in self.names[:3]}
         self.ports: dict[str, Ingress] = {}
-        self.clerks: dict[str, Clerk] = {}
+        self.agents: dict[str, MaintenanceAgent] = {}
         self.worked: dict[str, int] = {}  # servers at work, with the token: what the workers hold
         self.tokens: dict[str, int] = {}
         self.wrong: list[str] = []
@@ -384,30 +387,30 @@
             f"{host.name}@{host.life}",
             host.name,
             self.seats,
-            lambda: Machine({PART: Permits()}),
+            lambda: Machine({MACHINE_PART: Permits()}),
             random.Random(self.rng.random()),
             self.world.now,
             host.disk if host.name in self.seats else None,
         )
         port = self.ports[host.name] = Ingress(self, host)
-        clerk = self.clerks[host.name] = Clerk(
+        agent = self.agents[host.name] = MaintenanceAgent(
             host.name,
             part,
-            lambda: part.machine.parts[PART],
+            lambda: part.machine.parts[MACHINE_PART],
             port,
             Bounds(2, 1, 0.0, 0.0),
             2.0,  # type: ignore
             60.0,
             self.world.now,
         )
-        part.advanced = clerk.heard
+        part.advanced = agent.on_applied
         life = host.life
 
         def look() -> None:
             if host.life == life and host.driven is not None:
                 self.world.at(self.world.now + 0.2, look)
                 if not host.stopped:
-                    clerk.tick(self.world.now)
+                    agent.tick(self.world.now)
                     self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
 
         self.world.at(self.world.now + 0.01, look)
@@ -420,22 +423,22 @@
 
     def permits(self) -> Permits:
         """As whoever has applied most sees them."""
-        parts = [clerk.agreement for clerk in self.clerks.values()]
-        return max(parts, key=lambda part: part.machine.index).machine.parts[PART]  # type: ignore[return-value]
+        parts = [agent.agreement for agent in self.agents.values()]
+        return max(parts, key=lambda part: part.machine.index).machine.parts[MACHINE_PART]  # type: ignore[return-value]
 
     def check(self) -> None:
-        for name, clerk in self.clerks.items():
+        for name, agent in self.agents.items():
             host, reached = self.world.host(name), self.reached.get((name, self.world.host(name).life), 0)
-            if host.driven is None or not clerk.entered or clerk.agreement.machine.index < reached:
+            if host.driven is None or not agent.has_entered or agent.agreement.machine.index < reached:
                 continue  # not there, or made anew from a disk that holds less
-            self.reached[name, host.life] = clerk.agreement.machine.index
-            if left := set(clerk.permits.away()) - self.ports[name].out:
+            self.reached[name, host.life] = agent.agreement.machine.index
+            if left := set(agent.permits.list_cordoned()) - self.ports[name].out:
                 self.wrong.append(f"{self.world.now:.3f}: {name} has the word and may send to {sorted(left)}")
-        index = max(clerk.agreement.machine.index for clerk in self.clerks.values())
+        index = max(agent.agreement.machine.index for agent in self.agents.values())
         if index < self.seen:
             return  # whoever had applied most has died: what the rest knows is older
         self.seen, permits = index, self.permits()
-        out = permits.out()
+        out = permits.list_out()
         if len(out) > 2 or len({job.zone for job in out}) < len(out):
             self.wrong.append(f"out: {[job.id for job in out]}")
         for job in permits.jobs.values():
@@ -460,7 +463,7 @@
             if answer is None:
                 self.world.at(self.world.now + 0.1, lambda: self.ask(command))
 
-        self.clerks[host.name].propose(self.world.now, command, done, 3.0)
+        self.agents[host.name].propose(self.world.now, command, done, 3.0)
         self.world.at(self.world.now + 4.0, lambda: self.again(command))
         self.world.do(host, host.driven.said())  # type: ignore[union-attr]
 
@@ -473,7 +476,7 @@
         for job in list(self.permits().jobs.values()):
             if job.state == "clear":
                 self.ask(Begin(job.id, job.token))
-            elif job.state == "at work" and self.world.now - job.since > 1.0:
+            elif job.state == "at work" and self.world.now - job.state_since > 1.0:
                 self.ask(Finish(job.id, job.token))
         self.world.at(self.world.now + 0.7, self.work)
 
@@ -502,7 +505,7 @@
             world.go_on(host)
     done = world.until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["done"] * len(JOBS), 90.0)
     assert not fleet.wrong, fleet.wrong[:3]
-    assert done, [fleet.permits().row(job) for job in fleet.permits().jobs.values()]
+    assert done, [fleet.permits().describe(job) for job in fleet.permits().jobs.values()]
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -519,12 +522,12 @@
         backlog = [name for name in SERVERS if name not in fleet.ports[host.name].out]
         for name in backlog:
             fleet.sent(host, name)
-            if name in fleet.clerks[host.name].permits.away():
+            if name in fleet.agents[host.name].permits.list_cordoned():
                 fleet.wrong.append(f"{host.name} goes on with {name}, which is away")
 
     def stop() -> None:
-        for name, clerk in fleet.clerks.items():
-            if name not in stopped and clerk.permits.away():
+        for name, agent in fleet.agents.items():
+            if name not in stopped and agent.permits.list_cordoned():
                 stopped.add(name)
                 world.stop(world.host(name))
                 world.at(world.now + 4.0, lambda name=name: go_on(name))  # type: ignore[misc]
@@ -552,16 +555,16 @@
     port, agreement = fleet.ports["v0"], Follows()
     newer, older = Log().to("clearing").permits, Log().permits
     held = [newer]
-    clerk = Clerk("x", agreement, lambda: held[0], port, Bounds(), 2.0, 60.0, 0.0)  # type: ignore[arg-type]
+    agent = MaintenanceAgent("x", agreement, lambda: held[0], port, Bounds(), 2.0, 60.0, 0.0)  # type: ignore[arg-type]
     agreement.machine.index = 9
-    clerk.tick(0.0)
-    assert port.out == {"s0"} and clerk.entered
+    agent.tick(0.0)
+    assert port.out == {"s0"} and agent.has_entered
     held[0], agreement.machine.index = older, 3
-    clerk.heard()
-    clerk.tick(1.0)
-    assert port.out == {"s0"} and clerk.entered
+    agent.on_applied()
+    agent.tick(1.0)
+    assert port.out == {"s0"} and agent.has_entered
     agreement.machine.index = 10
-    clerk.tick(2.0)
+    agent.tick(2.0)
     assert port.out == frozenset()
 
 
@@ -578,9 +581,9 @@
     }
     with rig(2, operator=operator) as r:
         service = r.daemon.maintenance
-        r.run_until(lambda: bool(service.clerk.entered))
+        r.run_until(lambda: bool(service.agent.has_entered))
         service.propose(Ask("h", "ann", ["s-0"], zone="z"), lambda answer: None, 5.0)
-        r.run_until(lambda: "s-0" in service.permits.away())
+        r.run_until(lambda: "s-0" in service.permits.list_cordoned())
         assert not r.daemon.inventory.is_usable("s-0") and r.daemon.inventory.is_usable("s-1")
 
 
@@ -593,7 +596,7 @@
     fleet.ask(JOBS[0])
     world.run(world.now + 20.0)
     job = fleet.permits().jobs["h0"]
-    assert job.state == "clearing" and fleet.permits().missing(job) == ["v4"]
+    assert job.state == "clearing" and fleet.permits().list_unconfirmed(job) == ["v4"]
     fleet.ask(Override("h0", "bob"))
     assert world.until(lambda: fleet.permits().jobs["h0"].state == "clear", 10.0)
     assert "bob" in fleet.permits().jobs["h0"].overrides[0] and "v4" in fleet.permits().jobs["h0"].overrides[0]
@@ -605,19 +608,19 @@
     world.run(world.now + 4.0)
     Faults(world, parse("0 part v0,v3 v1,v2,v4"))
     world.run(world.now + 0.1)
-    fleet.clerks["v3"].propose(world.now, JOBS[0], lambda answer: None, 60.0)
+    fleet.agents["v3"].propose(world.now, JOBS[0], lambda answer: None, 60.0)
     world.do(world.host("v3"), world.host("v3").driven.said())  # type: ignore[union-attr]
-    fleet.clerks["v4"].propose(world.now, JOBS[1], lambda answer: None, 60.0)
+    fleet.agents["v4"].propose(world.now, JOBS[1], lambda answer: None, 60.0)
     world.do(world.host("v4"), world.host("v4").driven.said())  # type: ignore[union-attr]
     world.run(world.now + 15.0)
-    sides = {name: set(fleet.clerks[name].permits.jobs) for name in fleet.names}
+    sides = {name: set(fleet.agents[name].permits.jobs) for name in fleet.names}
     assert sides["v0"] == sides["v3"] == set() and sides["v1"] == sides["v4"] == {"h1"}
     assert fleet.permits().jobs["h1"].state == "clearing"  # the other side was not heard
     world.links.heal()
     assert world.until(
         lambda: all(
-            set(c.permits.jobs) == {"h0", "h1"} and not c.permits.missing(c.permits.jobs["h1"])
-            for c in fleet.clerks.values()
+            set(c.permits.jobs) == {"h0", "h1"} and not c.permits.list_unconfirmed(c.permits.jobs["h1"])
+            for c in fleet.agents.values()
         ),
         60.0,
     )
