--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -219,13 +219,13 @@
         add({n * count + w: 1.0 for w in range(count)}, 1.0, 1.0)
         for w in range(count):
             add({count * count + w: 1.0, n * count + w: -rows[n].duration}, 0.0, np.inf)
-    spread = min(rules.spread, rules.places)
+    spread = min(rules.set_size, rules.place_count)
     for w in range(count):
-        add({n * count + w: 1.0 for n in range(count)}, 0.0, rules.most)
+        add({n * count + w: 1.0 for n in range(count)}, 0.0, rules.max_away)
         for zone in {one.zone for one in rows}:
-            add({n * count + w: 1.0 for n in range(count) if rows[n].zone == zone}, 0.0, rules.zone)
-        for first in range(rules.places):
-            firm = {(first + step) % rules.places for step in range(spread)}
+            add({n * count + w: 1.0 for n in range(count) if rows[n].zone == zone}, 0.0, rules.max_away_in_zone)
+        for first in range(rules.place_count):
+            firm = {(first + step) % rules.place_count for step in range(spread)}
             members = [n for n in range(count) if rows[n].place in firm]
             if len(members) == spread:
                 add({n * count + w: 1.0 for n in members}, 0.0, spread - 1)
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -22,7 +22,7 @@
 from brackenpulley.simulation.world import START, Host, World
 
 from .rig import Peer, Rig, rig
-from .test_maintenance import BOUNDS, FACTS
+from .test_maintenance import BOUNDS, FLEET
 from .test_platform import chunk
 from .transcripts import Transcript
 
@@ -184,7 +184,7 @@
 
     def step(after: float, carried: list[str]) -> None:
         desk.now += after
-        answer = desk.permits.apply(desk.now, encode(Step(FACTS, BOUNDS, 5.0, 30.0, carried)))
+        answer = desk.permits.apply(desk.now, encode(Step(FLEET, BOUNDS, 5.0, 30.0, carried)))
         told.say(f"-- {after:g} s later whoever leads steps: {json.dumps(answer)}")
 
     told.title("asked for, and what makes no sense")
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Connection limits: the table of commands, fleets in virtual time whose sum never passes a limit, waves of a roll."""
+"""Connection limits: commands of the replicated state, simulated fleets in virtual time, waves of a rolling restart."""
 
 from __future__ import annotations
 
@@ -26,66 +26,69 @@
 
 
 class Log:
-    def __init__(self, limit: int = 10, lives: int = 2) -> None:
+    """Applies commands to `Limits` in order."""
+
+    def __init__(self, limit: int = 10, incarnations: int = 2) -> None:
         self.limits, self.serial = Limits(), 0
-        for n in range(lives):
-            self.do(Enter(f"n{n}@1", f"a{n}"))
-        self.do(SetLimits({"s": limit}))
+        for n in range(incarnations):
+            self.apply(Enter(f"n{n}@1", f"a{n}"))
+        self.apply(SetLimits({"s": limit}))
 
-    def do(self, command: Command) -> Any:
+    def apply(self, command: Command) -> Any:
         return self.limits.apply(0.0, encode(command))
 
-    def want(self, life: str, many: int) -> int:
+    def demand(self, incarnation: str, connections: int) -> int:
         self.serial += 1
-        answer = self.do(Demand(life, self.serial, {"s": many}))
+        answer = self.apply(Demand(incarnation, self.serial, {"s": connections}))
         return int(answer["parts"]["s"]) if "parts" in answer else -1
 
 
-def test_widened_as_far_as_there_is_room_and_narrowed_at_once() -> None:
-    log = Log()  # 10, of which one is kept for those that start
-    assert log.want("n0@1", 4) == 4 and log.want("n0@1", 8) == 8
-    assert log.want("n0@1", 20) == 9  # the reserve is not for one that holds something
-    assert log.want("n1@1", 5) == 1  # it starts: with the reserve
-    assert log.limits.target_share("s", "n0@1") == 4 and log.limits.target_share("s", "n1@1") == 1  # n1 is short
-    assert log.want("n0@1", 20) == 9  # nothing more while others wait
-    assert log.want("n0@1", 4) == 4 and log.want("n1@1", 5) == 5
+def test_share_grows_while_connections_are_free_and_shrinks_at_once() -> None:
+    log = Log()  # limit 10, of which one connection is the startup reserve
+    assert log.demand("n0@1", 4) == 4 and log.demand("n0@1", 8) == 8
+    assert log.demand("n0@1", 20) == 9  # an incarnation with a share cannot use the startup reserve
+    assert log.demand("n1@1", 5) == 1  # its first share comes from the startup reserve
+    # n1 got less than it wants, so n0 is asked to shrink to the fair share.
+    assert log.limits.target_share("s", "n0@1") == 4 and log.limits.target_share("s", "n1@1") == 1
+    assert log.demand("n0@1", 20) == 9  # no share grows while others are short
+    assert log.demand("n0@1", 4) == 4 and log.demand("n1@1", 5) == 5
     assert log.limits.short["s"] == set() and log.limits.target_share("s", "n0@1") == 4
 
 
-def test_silence_frees_nothing_a_next_life_and_a_word_do() -> None:
+def test_only_a_new_incarnation_or_a_leave_frees_shares() -> None:
     log = Log()
-    assert log.want("n0@1", 9) == 9
-    assert log.do(Enter("n0@0", "a0"))["field"] == "life"  # of an older life, late
+    assert log.demand("n0@1", 9) == 9
+    assert log.apply(Enter("n0@0", "a0"))["field"] == "life"  # from an older incarnation, delivered late
     assert log.limits.get_share("s", "n0@1") == 9
-    log.do(Enter("n0@2", "a0"))  # the same address: the old process is over
-    assert log.limits.get_share("s", "n0@1") == 0 and log.want("n0@2", 3) == 3
-    assert log.want("n0@1", 3) == -1
-    log.do(Enter("other@9", "a9"))  # beside it, at another address: both hold
+    log.apply(Enter("n0@2", "a0"))  # the same address: the old process has ended
+    assert log.limits.get_share("s", "n0@1") == 0 and log.demand("n0@2", 3) == 3
+    assert log.demand("n0@1", 3) == -1
+    log.apply(Enter("other@9", "a9"))  # at another address: the shares of both stay
     assert log.limits.get_share("s", "n0@2") == 3
-    log.do(Leave("n0@2"))
+    log.apply(Leave("n0@2"))
     assert log.limits.count_held("s") == 0
 
 
-def test_a_late_want_changes_nothing() -> None:
-    """A narrower part that was proposed and given up may be agreed after a wider one: what is open would pass it."""
+def test_a_late_demand_changes_nothing() -> None:
+    """A smaller share whose proposal timed out may be committed after a larger one, which is in use by then."""
     log = Log()
-    log.do(Demand("n0@1", 5, {"s": 6}))
-    assert log.do(Demand("n0@1", 4, {"s": 2}))["field"] == "serial" and log.limits.get_share("s", "n0@1") == 6
+    log.apply(Demand("n0@1", 5, {"s": 6}))
+    assert log.apply(Demand("n0@1", 4, {"s": 2}))["field"] == "serial" and log.limits.get_share("s", "n0@1") == 6
 
 
-def test_a_limit_lowered_a_server_gone_and_a_snapshot() -> None:
+def test_lowered_limit_removed_server_and_snapshot() -> None:
     log = Log()
-    log.want("n0@1", 6)
-    log.want("n1@1", 3)
-    log.do(SetLimits({"s": 4}))
-    assert log.want("n1@1", 5) == 3 and log.limits.target_share("s", "n0@1") == 1
-    log.want("n0@1", 1)
+    log.demand("n0@1", 6)
+    log.demand("n1@1", 3)
+    log.apply(SetLimits({"s": 4}))
+    assert log.demand("n1@1", 5) == 3 and log.limits.target_share("s", "n0@1") == 1
+    log.demand("n0@1", 1)
     assert log.limits.count_held("s") == 4
     other = Limits()
     other.load(log.limits.dump())
     assert other.dump() == log.limits.dump()
-    log.do(SetLimits({}, ["s"]))
-    assert log.limits.count_held("s") == 0 and log.do(Demand("n0@1", 99, {"s": 3})) == {"parts": {}}
+    log.apply(SetLimits({}, ["s"]))
+    assert log.limits.count_held("s") == 0 and log.apply(Demand("n0@1", 99, {"s": 3})) == {"parts": {}}
     other.load(None)
     assert other.limits == {}
 
@@ -97,134 +100,139 @@
     )
 )
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_no_order_of_words_passes_a_limit(rows: list[tuple[str, int, int]]) -> None:
-    log, lives = Log(12, 0), {n: 1 for n in range(5)}
-    for what, n, many in rows:
-        life, before = f"n{n}@{lives[n]}", log.limits.count_held("s")
-        if what == "want":
-            log.want(life, many)
-        elif what == "leave":
-            log.do(Leave(life))
-        elif what == "enter":
-            lives[n] += many % 2
-            log.do(Enter(f"n{n}@{lives[n]}", f"a{n}"))
+def test_no_order_of_commands_exceeds_a_limit(steps: list[tuple[str, int, int]]) -> None:
+    log, incarnations = Log(12, 0), {n: 1 for n in range(5)}
+    for kind, n, count in steps:
+        incarnation, before = f"n{n}@{incarnations[n]}", log.limits.count_held("s")
+        if kind == "want":
+            log.demand(incarnation, count)
+        elif kind == "leave":
+            log.apply(Leave(incarnation))
+        elif kind == "enter":
+            incarnations[n] += count % 2
+            log.apply(Enter(f"n{n}@{incarnations[n]}", f"a{n}"))
         else:
-            log.do(SetLimits({"s": many}))
+            log.apply(SetLimits({"s": count}))
         assert log.limits.count_held("s") <= max(log.limits.limits["s"], before)
-        assert all(part > 0 for part in log.limits.shares.get("s", {}).values())
+        assert all(share > 0 for share in log.limits.shares.get("s", {}).values())
 
 
-# Fleets in virtual time.
+# Simulated fleets in virtual time.
 
 SERVERS = ("s0", "s1", "s2")
 LIMIT = 12
 
 
-class South:
-    """Connections that open and close with a demand that wanders."""
+class SimulatedConnections:
+    """Simulated connections of one ingress, opened and closed at random times."""
 
     def __init__(self, fleet: Fleet, host: Host) -> None:
         self.fleet, self.host = fleet, host
-        self.most: dict[str, int] = {}
-        self.now_open = dict.fromkeys(SERVERS, 0)
-        self.now_busy = dict.fromkeys(SERVERS, 0)
-        self.blocked = dict.fromkeys(SERVERS, 0)
+        self.limits: dict[str, int] = {}
+        self.open_count = dict.fromkeys(SERVERS, 0)
+        self.busy_count = dict.fromkeys(SERVERS, 0)
+        self.rejected = dict.fromkeys(SERVERS, 0)
 
     def count_open(self, server: str) -> int:
-        return self.now_open[server]
+        return self.open_count[server]
 
     def count_in_use(self, server: str) -> int:
-        return self.now_busy[server]
+        return self.busy_count[server]
 
     def take_rejections(self, server: str) -> int:
-        found, self.blocked[server] = self.blocked[server], 0
+        found, self.rejected[server] = self.rejected[server], 0
         return found
 
     def close_unused(self, server: str, most: int) -> None:
-        self.now_open[server] = max(self.now_busy[server], min(self.now_open[server], most))
+        self.open_count[server] = max(self.busy_count[server], min(self.open_count[server], most))
 
     def set_limits(self, limits: dict[str, int]) -> None:
-        self.most = limits
+        self.limits = limits
 
     def list_limits(self) -> dict[str, int]:
         return dict.fromkeys(SERVERS, LIMIT)
 
-    def attempt(self) -> None:
+    def send_relay(self) -> None:
         world, rng = self.fleet.world, self.fleet.rng
-        if self.fleet.ports.get(self.host.name) is not self or self.host.driven is None:
+        if self.fleet.pools.get(self.host.name) is not self or self.host.driven is None:
             return
-        world.at(world.now + rng.expovariate(self.fleet.rate), self.attempt)
+        world.at(world.now + rng.expovariate(self.fleet.rate), self.send_relay)
         if self.host.stopped:
             return
         server = rng.choice(SERVERS)
-        if self.now_busy[server] == self.now_open[server]:
-            if self.now_open[server] >= self.most.get(server, 0):
-                self.blocked[server] += 1
+        if self.busy_count[server] == self.open_count[server]:
+            if self.open_count[server] >= self.limits.get(server, 0):
+                self.rejected[server] += 1
                 return
-            self.now_open[server] += 1
-        self.now_busy[server] += 1
+            self.open_count[server] += 1
+        self.busy_count[server] += 1
         self.fleet.served += 1
         life = self.host.life
 
-        def over() -> None:
-            if self.host.life == life and self.fleet.ports.get(self.host.name) is self:
-                self.now_busy[server] -= 1
+        def end_relay() -> None:
+            if self.host.life == life and self.fleet.pools.get(self.host.name) is self:
+                self.busy_count[server] -= 1
 
-        world.at(world.now + rng.expovariate(2.0), over)
+        world.at(world.now + rng.expovariate(2.0), end_relay)
 
 
 class Fleet:
+    """Simulated ingresses that share the limits; records each time when the sum at a server exceeds its limit."""
+
     def __init__(self, seed: int, size: int = 6, rate: float = 10.0) -> None:
         self.world, self.rng = World(seed, Links(Link(spread=0.003, loss=0.02, double=0.02))), random.Random(seed)
         self.names, self.rate, self.served = [f"v{n}" for n in range(size)], rate, 0
-        self.seats = {name: f"a-{name}" for name in self.names[:3]}
-        self.ports: dict[str, South] = {}
+        self.voters = {name: f"a-{name}" for name in self.names[:3]}
+        self.pools: dict[str, SimulatedConnections] = {}
         self.holders: dict[str, Holder] = {}
-        self.wrong: list[str] = []
-        self.most = 0
+        self.violations: list[str] = []
+        self.max_total = 0
         for name in self.names:
-            self.world.add(name, f"a-{name}", self.make)
+            self.world.add(name, f"a-{name}", self.make_agreement)
         self.world.checks.append(self.check)
 
-    def make(self, host: Host) -> Bare:
-        part = Agreement(
+    def make_agreement(self, host: Host) -> Bare:
+        agreement = Agreement(
             f"{host.name}@{host.life}",
             host.name,
-            self.seats,
+            self.voters,
             lambda: Machine({MACHINE_PART: Limits()}),
             random.Random(self.rng.random()),
             self.world.now,
-            host.disk if host.name in self.seats else None,
+            host.disk if host.name in self.voters else None,
         )
-        port = self.ports[host.name] = South(self, host)
+        pool = self.pools[host.name] = SimulatedConnections(self, host)
         holder = self.holders[host.name] = Holder(
-            host.address, part, lambda: part.machine.parts[MACHINE_PART], port, self.world.now
+            host.address, agreement, lambda: agreement.machine.parts[MACHINE_PART], pool, self.world.now
         )  # type: ignore
         life = host.life
 
-        def look() -> None:
+        def tick() -> None:
             if host.life == life and host.driven is not None:
-                self.world.at(self.world.now + 0.1, look)
+                self.world.at(self.world.now + 0.1, tick)
                 if not host.stopped:
                     holder.tick(self.world.now)
                     self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
 
-        self.world.at(self.world.now + 0.01, look)
-        self.world.at(self.world.now + 0.5, port.attempt)
-        return Bare(host.address, {KIND: part})
+        self.world.at(self.world.now + 0.01, tick)
+        self.world.at(self.world.now + 0.5, pool.send_relay)
+        return Bare(host.address, {KIND: agreement})
 
     def check(self) -> None:
         for server in SERVERS:
+            # Connections of a stopped process stay open, those of a killed one are closed.
             total = sum(
-                self.ports[host.name].now_open[server] for host in self.world.hosts.values() if host.driven is not None
-            )  # a stopped one's stand; a killed one's are gone with it
-            self.most = max(self.most, total)
+                self.pools[host.name].open_count[server]
+                for host in self.world.hosts.values()
+                if host.driven is not None
+            )
+            self.max_total = max(self.max_total, total)
             if total > LIMIT:
-                self.wrong.append(f"{self.world.now:.2f}: {total} at {server}")
+                self.violations.append(f"{self.world.now:.2f}: {total} at {server}")
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_sum_of_all_connections_never_passes_a_limit_whatever_fails(seed: int) -> None:
+def test_connections_of_all_never_exceed_a_limit_under_faults(seed: int) -> None:
     fleet = Fleet(seed)
     world = fleet.world
     Faults(
@@ -236,8 +244,8 @@
         ],
     )
     world.run(world.now + 30.0)
-    assert not fleet.wrong, fleet.wrong[:3]
-    assert fleet.most >= LIMIT - 3 and fleet.served > 200  # the limit was wanted, and used
+    assert not fleet.violations, fleet.violations[:3]
+    assert fleet.max_total >= LIMIT - 3 and fleet.served > 200  # the test is void unless the limit was nearly reached
     for host in world.hosts.values():
         if host.driven is None:
             world.start(host)
@@ -246,10 +254,10 @@
     served = fleet.served
     assert world.until(lambda: all(h.has_entered and h.get_limit("s0") > 0 for h in fleet.holders.values()), 25.0)
     world.run(world.now + 5.0)
-    assert fleet.served > served and not fleet.wrong
+    assert fleet.served > served and not fleet.violations
 
 
-def test_a_roll_of_all_ingresses_stays_under_the_limit_and_a_new_one_gets_room() -> None:
+def test_rolling_restart_stays_under_the_limit_and_new_processes_get_connections() -> None:
     fleet = Fleet(3, rate=20.0)
     world = fleet.world
     world.run(world.now + 8.0)
@@ -263,22 +271,22 @@
         world.start(host)
         assert world.until(lambda name=name: fleet.holders[name].get_limit("s0") > 0, 8.0), name  # type: ignore[misc]
         world.run(world.now + 1.0)
-    assert not fleet.wrong and fleet.most >= LIMIT - 1
+    assert not fleet.violations and fleet.max_total >= LIMIT - 1
 
 
-def test_shares_follow_demand_slowly_and_none_starves() -> None:
+def test_shares_follow_demand_and_no_ingress_starves() -> None:
     fleet = Fleet(5, rate=3.0)
     fleet.world.run(fleet.world.now + 6.0)
     fleet.rate = 40.0
     fleet.world.run(fleet.world.now + 15.0)
-    parts = [fleet.holders[name].get_limit("s1") for name in fleet.names]
-    assert sum(parts) <= LIMIT and min(parts) >= 1 and not fleet.wrong
+    shares = [fleet.holders[name].get_limit("s1") for name in fleet.names]
+    assert sum(shares) <= LIMIT and min(shares) >= 1 and not fleet.violations
 
 
-# The ingress: what the module sees as room, and what the south side opens.
+# The ingress: what the decision module may send, and what the south side opens.
 
 
-def test_the_module_sends_no_more_to_a_server_than_its_share() -> None:
+def test_decision_module_sends_no_more_to_a_server_than_the_share() -> None:
     drive = Driver(2)
     drive.handle(RelayLimitsChanged({"s0": 1, "s1": 0}))
     assert [act.server for act in select(Send, drive.send_message())] == ["s0"]
@@ -290,7 +298,7 @@
     assert select(Send, drive.send_message())
 
 
-def test_nothing_is_opened_beyond_the_share_and_what_is_open_is_counted() -> None:
+def test_south_side_opens_no_connection_beyond_the_share() -> None:
     with rig() as r:
         south = r.daemon.south
         south.connection_limits = {"s-0": 1}
@@ -298,7 +306,9 @@
         _, server = r.accept_relay()
         server.read_http()
         assert south.open_connections == {"s-0": 1} and south.count_busy("s-0") == 1
-        second = r.send_request(2)  # the module knows of no share: the south side refuses, and nothing was sent
+        second = r.send_request(
+            2
+        )  # the decision module was not told of the share, so the south side rejects the relay before sending
         assert second.read_http()[0] in (429, 503) and r.count("south_over_share") >= 1
         server.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert first.read_http()[0] == 200
@@ -311,21 +321,23 @@
 
 
 @pytest.mark.parametrize(
-    ("wave", "place", "good"),
+    ("wave", "place", "is_allowed"),
     [([], 0, True), ([0], 1, False), ([0], 2, True), ([0, 2], 4, False), ([1], 0, False), ([5], 0, False)],
 )
-def test_each_rule_of_a_wave(wave: list[int], place: int, good: bool) -> None:
+def test_rules_of_a_wave(wave: list[int], place: int, is_allowed: bool) -> None:
     rules = Rules(max_away=2, max_away_in_zone=2, set_size=2, place_count=6)
-    assert fits([Ingress(n) for n in wave], Ingress(place), rules) == good
+    assert fits([Ingress(n) for n in wave], Ingress(place), rules) == is_allowed
     assert not fits([Ingress(3, "z"), Ingress(5, "z")], Ingress(1, "z"), Rules(9, 2, 2, 6))
 
 
-def test_waves_take_all_and_a_set_of_one_is_left_out() -> None:
+def test_waves_contain_every_ingress_except_sets_of_one() -> None:
     rules = Rules(max_away=3, max_away_in_zone=9, set_size=2, place_count=12)
-    rows = [Ingress(n, duration=1.0 + n % 3) for n in range(12)]
-    found = plan_waves(rows, rules)
-    assert sorted(one.place for wave in found for one in wave) == list(range(12))
-    assert total_seconds(found) <= 9.0 and not find_unschedulable(rows, rules)
-    assert len(find_unschedulable(rows, Rules(3, 9, 1, 12))) == 12 and plan_waves(rows, Rules(3, 9, 1, 12)) == []
-    for wave in found:
+    ingresses = [Ingress(n, duration=1.0 + n % 3) for n in range(12)]
+    planned = plan_waves(ingresses, rules)
+    assert sorted(ingress.place for wave in planned for ingress in wave) == list(range(12))
+    assert total_seconds(planned) <= 9.0 and not find_unschedulable(ingresses, rules)
+    assert (
+        len(find_unschedulable(ingresses, Rules(3, 9, 1, 12))) == 12 and plan_waves(ingresses, Rules(3, 9, 1, 12)) == []
+    )
+    for wave in planned:
         assert all((a.place - b.place) % 12 not in (1, 11) for a, b in itertools.combinations(wave, 2))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Machines out for work: the table of states, the bounds, the order, and a fleet in virtual time that keeps it."""
+"""Maintenance: state transitions, bounds and order of permits, and simulated fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -37,55 +37,55 @@
 from .rig import rig
 
 SERVERS = {f"s{n}": Server("ab"[n % 2], "m1" if n < 4 else "m2", 1.0, True) for n in range(6)}
-FACTS = FleetState(SERVERS, 4.0, [True] * 4, 2)
+FLEET = FleetState(SERVERS, 4.0, [True] * 4, 2)
 BOUNDS = Bounds(max_out=2, max_out_in_zone=1, load_reserve=0.25, relays_per_size=2.0)
 
 
 class Log:
-    """Commands at times that only grow."""
+    """Applies commands to `Permits` at increasing times."""
 
     def __init__(self) -> None:
         self.permits, self.now = Permits(), 100.0
         for name in ("x", "y"):
-            self.do(Enter(name, name + "@1"))
+            self.apply(Enter(name, name + "@1"))
 
-    def do(self, command: Command, after: float = 1.0) -> Any:
+    def apply(self, command: Command, after: float = 1.0) -> Any:
         self.now += after
         return self.permits.apply(self.now, encode(command))
 
-    def step(self, after: float = 1.0, facts: FleetState = FACTS, carried: list[str] = []) -> Any:  # noqa: B006
-        return self.do(Step(facts, BOUNDS, 5.0, 30.0, carried), after)
+    def step(self, after: float = 1.0, fleet: FleetState = FLEET, carried: list[str] = []) -> Any:  # noqa: B006
+        return self.apply(Step(fleet, BOUNDS, 5.0, 30.0, carried), after)
 
-    def say(self, name: str = "h", lives: tuple[str, ...] = ("x@1", "y@1")) -> Any:
+    def confirm(self, name: str = "h", incarnations: tuple[str, ...] = ("x@1", "y@1")) -> Any:
         job = self.permits.jobs[name]
-        for life in lives:
-            answer = self.do(Cleared(name, job.token, life[0], life))
+        for incarnation in incarnations:
+            answer = self.apply(Cleared(name, job.token, incarnation[0], incarnation))
         return answer
 
-    def to(self, state: str) -> Log:
-        """A machine `h` in that state."""
-        self.do(Ask("h", "ann", ["s0"], zone="a"))
+    def bring_to(self, state: str) -> Log:
+        """Add a machine `h` and bring it into the given state."""
+        self.apply(Ask("h", "ann", ["s0"], zone="a"))
         steps = {"asked": 0, "waiting": 1, "clearing": 2, "clear": 3, "at work": 4, "returning": 5, "done": 6}
-        many = steps.get(state, 2 if state == "stuck" else 0)
+        call_count = steps.get(state, 2 if state == "stuck" else 0)
         calls = [
-            lambda: self.step(facts=FACTS if many != 1 else FleetState(SERVERS, lost_zones=["b"])),
+            lambda: self.step(fleet=FLEET if call_count != 1 else FleetState(SERVERS, lost_zones=["b"])),
             lambda: None,
-            self.say,
-            lambda: self.do(Begin("h", self.permits.jobs["h"].token)),
-            lambda: self.do(Finish("h", self.permits.jobs["h"].token)),
+            self.confirm,
+            lambda: self.apply(Begin("h", self.permits.jobs["h"].token)),
+            lambda: self.apply(Finish("h", self.permits.jobs["h"].token)),
             lambda: self.step(9.0, carried=["h"]),
         ]
-        for call in calls[:many]:
+        for call in calls[:call_count]:
             call()
         if state == "stuck":
             self.step(31.0)
         if state == "withdrawn":
-            self.do(Withdraw("h", "ann"))
+            self.apply(Withdraw("h", "ann"))
         assert self.permits.jobs["h"].state == state
         return self
 
 
-TABLE = {  # command: {state before: state after}; what is not named is refused, and changes nothing
+TABLE = {  # command: {state before: state after}; any other state refuses the command
     "withdraw": {
         "asked": "withdrawn",
         "waiting": "withdrawn",
@@ -103,8 +103,8 @@
 
 @pytest.mark.parametrize("state", STATES)
 @pytest.mark.parametrize("command", list(TABLE))
-def test_the_table_of_states(state: str, command: str) -> None:
-    log = Log().to(state)
+def test_state_transitions(state: str, command: str) -> None:
+    log = Log().bring_to(state)
     token = log.permits.jobs["h"].token
     made: dict[str, Command] = {
         "withdraw": Withdraw("h", "ann"),
@@ -112,7 +112,7 @@
         "finish": Finish("h", token),
         "override": Override("h", "bob"),
     }
-    answer = log.do(made[command])
+    answer = log.apply(made[command])
     after = TABLE[command].get(state)
     assert log.permits.jobs["h"].state == (after or state)
     assert ("error" in answer) == (after is None)
@@ -120,18 +120,18 @@
         assert answer["field"] == "state" and state in answer["error"]
 
 
-def test_a_machine_goes_out_and_comes_back() -> None:
-    log = Log().to("clearing")
+def test_machine_is_taken_out_and_returns() -> None:
+    log = Log().bring_to("clearing")
     assert log.permits.list_cordoned() == {"s0": 1} and log.permits.list_unconfirmed(log.permits.jobs["h"]) == [
         "x",
         "y",
     ]
-    log.say(lives=("x@1",))
+    log.confirm(incarnations=("x@1",))
     assert log.permits.list_unconfirmed(log.permits.jobs["h"]) == ["y"]
-    assert log.say(lives=("y@1",))["state"] == "clear"
-    log.do(Begin("h", 1))
-    log.do(Finish("h", 1))
-    assert log.permits.list_cordoned() == {}  # it gets work again, and is out until it has carried load for a while
+    assert log.confirm(incarnations=("y@1",))["state"] == "clear"
+    log.apply(Begin("h", 1))
+    log.apply(Finish("h", 1))
+    assert log.permits.list_cordoned() == {}  # gets work again; out until it has carried load for a while
     log.step(2.0, carried=["h"])
     assert log.permits.jobs["h"].state == "returning"
     log.step(9.0)
@@ -140,43 +140,43 @@
     assert log.permits.jobs["h"].state == "done"
 
 
-def test_an_older_token_is_turned_away() -> None:
-    log = Log().to("clear")
-    log.do(Withdraw("h", "ann"))
+def test_command_with_an_older_token_is_refused() -> None:
+    log = Log().bring_to("clear")
+    log.apply(Withdraw("h", "ann"))
     log.step(9.0, carried=["h"])
-    log.do(Ask("h", "ann", ["s0"], zone="a"))
+    log.apply(Ask("h", "ann", ["s0"], zone="a"))
     log.step()
     assert log.permits.jobs["h"].token == 2
     for command in (Begin("h", 1), Finish("h", 1), Cleared("h", 1, "x", "x@1")):
-        assert log.do(command)["field"] == "token"
-
-
-def test_silence_frees_nothing_and_a_word_does() -> None:
-    for word, clear in ((Leave("y", "y@1"), True), (Leave("y", "y@0"), False), (Enter("z", "z@1"), False)):
-        log = Log().to("clearing")
-        log.say(lives=("x@1",))
-        log.do(word)
-        assert (log.permits.jobs["h"].state == "clear") == clear
-    log = Log().to("clearing")
-    log.say()
-    log = Log().to("clearing")
-    log.say(lives=("x@1",))
-    log.do(Enter("y", "y@2"))  # a new life says for itself
+        assert log.apply(command)["field"] == "token"
+
+
+def test_only_confirmation_leave_or_override_clears_a_machine() -> None:
+    for command, is_clear in ((Leave("y", "y@1"), True), (Leave("y", "y@0"), False), (Enter("z", "z@1"), False)):
+        log = Log().bring_to("clearing")
+        log.confirm(incarnations=("x@1",))
+        log.apply(command)
+        assert (log.permits.jobs["h"].state == "clear") == is_clear
+    log = Log().bring_to("clearing")
+    log.confirm()
+    log = Log().bring_to("clearing")
+    log.confirm(incarnations=("x@1",))
+    log.apply(Enter("y", "y@2"))  # a new incarnation must confirm for itself
     assert log.permits.list_unconfirmed(log.permits.jobs["h"]) == ["y"]
-    assert log.do(Cleared("h", 1, "y", "y@1"))["state"] == "clearing"
-    assert log.do(Cleared("h", 1, "y", "y@2"))["state"] == "clear"
-    log = Log().to("stuck")
+    assert log.apply(Cleared("h", 1, "y", "y@1"))["state"] == "clearing"
+    assert log.apply(Cleared("h", 1, "y", "y@2"))["state"] == "clear"
+    log = Log().bring_to("stuck")
     assert log.permits.jobs["h"].reason == "no word of x, y" and log.permits.list_cordoned() == {"s0": 1}
-    log.do(Override("h", "bob"))
+    log.apply(Override("h", "bob"))
     assert log.permits.jobs["h"].overrides[0].startswith("bob at") and "x, y" in log.permits.jobs["h"].overrides[0]
 
 
-def test_one_that_ends_is_waited_for_until_its_last_message_is_answered() -> None:
-    """Its word at SIGTERM would have let work begin under what it still had out."""
+def test_stopping_ingress_leaves_only_after_its_last_message_is_answered() -> None:
+    """If it left at SIGTERM, work on a machine could begin under relays that are still in flight."""
     with rig() as r:
         calls: list[str] = []
 
-        class Gone:
+        class RecordedService:
             def leave(self) -> None:
                 calls.append("closed")
 
@@ -189,7 +189,7 @@
             def stop(self) -> None:
                 calls.append("stopped")
 
-        r.daemon.maintenance = Gone()
+        r.daemon.maintenance = RecordedService()
         client = r.send_request(1)
         _, server = r.accept_relay()
         server.read_http()
@@ -203,12 +203,12 @@
         assert calls == ["closed", "asked", "asked", "asked"]
 
 
-def test_an_ingress_clears_itself_alone() -> None:
+def test_job_for_an_ingress_awaits_only_that_ingress() -> None:
     log = Log()
-    log.do(Ask("ing", "ann", ingress="x", place=1))
+    log.apply(Ask("ing", "ann", ingress="x", place=1))
     log.step()
     assert log.permits.list_unconfirmed(log.permits.jobs["ing"]) == ["x"]
-    log.do(Leave("x", "x@1"))  # it has ended: nothing more to clear
+    log.apply(Leave("x", "x@1"))  # its process has ended, so nothing is left to clear
     assert log.permits.jobs["ing"].state == "clear"
 
 
@@ -223,16 +223,16 @@
         (Ask("h", "a", ["s3"]), "id"),
     ],
 )
-def test_an_ask_that_makes_no_sense_is_refused(ask: Ask, field: str) -> None:
-    log = Log().to("waiting")
+def test_invalid_ask_is_refused(ask: Ask, field: str) -> None:
+    log = Log().bring_to("waiting")
     before = log.permits.dump()
-    assert log.do(ask)["field"] == field and log.permits.dump() == before
+    assert log.apply(ask)["field"] == field and log.permits.dump() == before
 
 
-def test_asking_twice_a_deadline_and_a_snapshot() -> None:
-    log = Log().to("clearing")
-    assert log.do(Ask("h", "ann", ["s0"], zone="a")) == {"state": "clearing", "token": 1}
-    log.do(Ask("late", "ann", ["s1"], zone="a", deadline=log.now + 2.5))  # zone a is taken
+def test_repeated_ask_passed_deadline_and_snapshot() -> None:
+    log = Log().bring_to("clearing")
+    assert log.apply(Ask("h", "ann", ["s0"], zone="a")) == {"state": "clearing", "token": 1}
+    log.apply(Ask("late", "ann", ["s1"], zone="a", deadline=log.now + 2.5))  # zone a has a machine out
     log.step()
     assert log.permits.jobs["late"].reason == "1 machines of zone a are out, 1 at most"
     log.step(5.0)
@@ -244,97 +244,108 @@
     assert other.jobs == {} and other.token == 0
 
 
-def want(
-    name: str, *servers: str, place: int = -1, zone: str = "a", urgency: int = 0, asked: float = 0.0, passed: int = 0
+def candidate(
+    name: str,
+    *servers: str,
+    place: int = -1,
+    zone: str = "a",
+    urgency: int = 0,
+    requested_at: float = 0.0,
+    times_passed: int = 0,
 ) -> Candidate:
-    return Candidate(name, frozenset(servers), place, zone, urgency, asked, passed)
+    return Candidate(name, frozenset(servers), place, zone, urgency, requested_at, times_passed)
 
 
 @pytest.mark.parametrize(
-    ("one", "out", "facts", "why"),
+    ("machine", "out", "fleet", "reason"),
     [
-        (want("h", "s0"), [], FACTS, ""),
-        (want("h", "s0"), [], FleetState(SERVERS, lost_zones=["b"]), "zone b is lost"),
-        (want("h", "s0"), [], FleetState(SERVERS, missing_servers=2), "2 servers are missing"),
+        (candidate("h", "s0"), [], FLEET, ""),
+        (candidate("h", "s0"), [], FleetState(SERVERS, lost_zones=["b"]), "zone b is lost"),
+        (candidate("h", "s0"), [], FleetState(SERVERS, missing_servers=2), "2 servers are missing"),
         (
-            want("h", "s0"),
-            [want("p", "s1", zone="b"), want("q", "s3", zone="c")],
-            FACTS,
+            candidate("h", "s0"),
+            [candidate("p", "s1", zone="b"), candidate("q", "s3", zone="c")],
+            FLEET,
             "2 machines are out, 2 at most",
         ),
-        (want("h", "s0"), [want("p", "s2")], FACTS, "1 machines of zone a are out, 1 at most"),
-        (want("h", "zz"), [], FACTS, "server zz is not known"),
-        (want("h", "s4", "s5"), [], FACTS, "s4 is of the last of machine type m2"),
-        (want("h", "s4"), [want("p", "s5", zone="b")], FACTS, "s4 is of the last of machine type m2"),
-        (want("h", "s0"), [], FleetState(SERVERS, 9.0), "what is left carries 10 attempts, 11 are needed"),
-        (want("h", place=1), [], FACTS, ""),
-        (want("h", place=9), [], FACTS, "ingress 9 is not known"),
-        (want("h", place=1), [want("p", place=2, zone="b")], FACTS, "all ingresses of a set from 1 would be away"),
-        (want("h", place=1), [want("p", place=3, zone="b")], FACTS, ""),
+        (candidate("h", "s0"), [candidate("p", "s2")], FLEET, "1 machines of zone a are out, 1 at most"),
+        (candidate("h", "zz"), [], FLEET, "server zz is not known"),
+        (candidate("h", "s4", "s5"), [], FLEET, "s4 is of the last of machine type m2"),
+        (candidate("h", "s4"), [candidate("p", "s5", zone="b")], FLEET, "s4 is of the last of machine type m2"),
+        (candidate("h", "s0"), [], FleetState(SERVERS, 9.0), "what is left carries 10 attempts, 11 are needed"),
+        (candidate("h", place=1), [], FLEET, ""),
+        (candidate("h", place=9), [], FLEET, "ingress 9 is not known"),
         (
-            want("h", place=1),
+            candidate("h", place=1),
+            [candidate("p", place=2, zone="b")],
+            FLEET,
+            "all ingresses of a set from 1 would be away",
+        ),
+        (candidate("h", place=1), [candidate("p", place=3, zone="b")], FLEET, ""),
+        (
+            candidate("h", place=1),
             [],
             FleetState(serving=[True, True, False, True], set_size=2),
             "all ingresses of a set from 1 would be away",
         ),
     ],
 )
-def test_each_bound_holds_a_machine_back(one: Candidate, out: list[Candidate], facts: FleetState, why: str) -> None:
-    assert find_obstacle(one, out, facts, BOUNDS) == why
+def test_each_bound_delays_a_machine(machine: Candidate, out: list[Candidate], fleet: FleetState, reason: str) -> None:
+    assert find_obstacle(machine, out, fleet, BOUNDS) == reason
 
 
-def test_the_order_is_by_urgency_then_age_and_nobody_is_passed_over_for_ever() -> None:
+def test_order_is_by_urgency_then_age_and_passing_is_limited() -> None:
     rows = [
-        want("old", "s0", asked=1.0),
-        want("new", "s1", zone="b", asked=2.0),
-        want("now", "s2", zone="c", urgency=5, asked=3.0),
+        candidate("old", "s0", requested_at=1.0),
+        candidate("new", "s1", zone="b", requested_at=2.0),
+        candidate("now", "s2", zone="c", urgency=5, requested_at=3.0),
     ]
-    assert [(one.id, why) for one, why in plan(rows, [], FACTS, BOUNDS)] == [
+    assert [(planned.id, reason) for planned, reason in plan(rows, [], FLEET, BOUNDS)] == [
         ("now", ""),
         ("old", ""),
         ("new", "2 machines are out, 2 at most"),
     ]
-    taken = [want("p", "s3", zone="a")]
-    rows = [want("old", "s0", asked=1.0), want("new", "s1", zone="b", asked=2.0)]
-    assert [one.id for one, why in plan(rows, taken, FACTS, BOUNDS) if not why] == ["new"]
-    rows[0] = want("old", "s0", asked=1.0, passed=MAX_TIMES_PASSED)
-    assert [why for _, why in plan(rows, taken, FACTS, BOUNDS)][1] == (
+    taken = [candidate("p", "s3", zone="a")]
+    rows = [candidate("old", "s0", requested_at=1.0), candidate("new", "s1", zone="b", requested_at=2.0)]
+    assert [planned.id for planned, reason in plan(rows, taken, FLEET, BOUNDS) if not reason] == ["new"]
+    rows[0] = candidate("old", "s0", requested_at=1.0, times_passed=MAX_TIMES_PASSED)
+    assert [reason for _, reason in plan(rows, taken, FLEET, BOUNDS)][1] == (
         f"old was passed over {MAX_TIMES_PASSED} times and goes first"
     )
-    log = Log().to("clearing")
-    log.do(Ask("held", "ann", ["s2"], zone="a"))
+    log = Log().bring_to("clearing")
+    log.apply(Ask("held", "ann", ["s2"], zone="a"))
     for n in range(MAX_TIMES_PASSED + 2):
-        log.do(Ask(f"n{n}", "ann", ["s1"], zone="b"))
+        log.apply(Ask(f"n{n}", "ann", ["s1"], zone="b"))
         log.step()
-        log.do(Withdraw(f"n{n}", "ann"))
+        log.apply(Withdraw(f"n{n}", "ann"))
         log.step(9.0, carried=[f"n{n}"])
-        log.do(Withdraw(f"n{n}", "ann"))
-    assert log.permits.jobs["held"].times_passed == MAX_TIMES_PASSED  # from then on all wait for it
+        log.apply(Withdraw(f"n{n}", "ann"))
+    assert log.permits.jobs["held"].times_passed == MAX_TIMES_PASSED  # all others wait for it now
     assert log.permits.jobs[f"n{MAX_TIMES_PASSED + 1}"].state == "withdrawn"
 
 
-# A fleet in virtual time: what must always hold, whoever dies.
+# Simulated fleets in virtual time: invariants under faults.
 
 
 class Ingress:
-    """Sends to servers as its agent lets it; each attempt lasts a while."""
+    """Simulated ingress that sends relays to servers that are not cordoned; each relay takes a random time."""
 
     def __init__(self, fleet: Fleet, host: Host) -> None:
-        self.fleet, self.host, self.out = fleet, host, frozenset[str]()
-        self.attempts_at: dict[str, int] = {}
-        self.drains = False
+        self.fleet, self.host, self.cordoned = fleet, host, frozenset[str]()
+        self.relays_at: dict[str, int] = {}
+        self.is_draining = False
 
     def set_cordoned(self, servers: frozenset[str]) -> None:
-        self.out = servers
+        self.cordoned = servers
 
     def count_relays(self, servers: list[str]) -> int:
-        return sum(self.attempts_at.get(name, 0) for name in servers)
+        return sum(self.relays_at.get(name, 0) for name in servers)
 
     def set_draining(self, on: bool) -> None:
-        self.drains = on
+        self.is_draining = on
 
     def count_messages(self) -> int:
-        return sum(self.attempts_at.values())
+        return sum(self.relays_at.values())
 
     def list_published_cordons(self) -> frozenset[str]:
         return frozenset()
@@ -345,147 +356,151 @@
     def is_carrying_load(self, servers: list[str], ingress: str) -> bool:
         return True
 
-    def send(self) -> None:
-        """One attempt to a server that is not away, which ends after a time."""
+    def send_relay(self) -> None:
+        """Start one relay to a server that is not cordoned, and schedule its end."""
         world, rng = self.fleet.world, self.fleet.rng
-        names = [name for name in SERVERS if name not in self.out]
-        if self.host.stopped or self.host.driven is None or self.fleet.ports.get(self.host.name) is not self:
+        names = [name for name in SERVERS if name not in self.cordoned]
+        if self.host.stopped or self.host.driven is None or self.fleet.ingresses.get(self.host.name) is not self:
             return
-        world.at(world.now + rng.expovariate(5.0), self.send)
+        world.at(world.now + rng.expovariate(5.0), self.send_relay)
         if not self.fleet.agents[self.host.name].has_entered:
             return
         name = rng.choice(names)
-        self.fleet.sent(self.host, name)
-        self.attempts_at[name] = self.attempts_at.get(name, 0) + 1
+        self.fleet.check_relay(self.host, name)
+        self.relays_at[name] = self.relays_at.get(name, 0) + 1
         life = self.host.life
 
-        def ended() -> None:
+        def end_relay() -> None:
             if self.host.life == life:
-                self.attempts_at[name] -= 1
+                self.relays_at[name] -= 1
 
-        world.at(world.now + rng.expovariate(4.0), ended)
+        world.at(world.now + rng.expovariate(4.0), end_relay)
 
 
 class Fleet:
+    """Simulated ingresses with maintenance agents; records each violation of an invariant."""
+
     def __init__(self, seed: int, size: int = 5) -> None:
         self.world, self.rng = World(seed, Links(Link(spread=0.003, loss=0.02, double=0.02))), random.Random(seed)
         self.names = [f"v{n}" for n in range(size)]
-        self.seats = {name: f"a-{name}" for name in self.names[:3]}
-        self.ports: dict[str, Ingress] = {}
+        self.voters = {name: f"a-{name}" for name in self.names[:3]}
+        self.ingresses: dict[str, Ingress] = {}
         self.agents: dict[str, MaintenanceAgent] = {}
-        self.worked: dict[str, int] = {}  # servers at work, with the token: what the workers hold
+        self.worked_on: dict[str, int] = {}  # servers that are worked on, with the token of the job
         self.tokens: dict[str, int] = {}
-        self.wrong: list[str] = []
-        self.seen = 0
-        self.reached: dict[tuple[str, int], int] = {}  # by name and life: the newest state that it had
+        self.violations: list[str] = []
+        self.checked_index = 0
+        self.applied_index: dict[tuple[str, int], int] = {}  # by name and incarnation
         for name in self.names:
-            self.world.add(name, f"a-{name}", self.make)
+            self.world.add(name, f"a-{name}", self.make_agreement)
         self.world.checks.append(self.check)
 
-    def make(self, host: Host) -> Bare:
-        part = Agreement(
+    def make_agreement(self, host: Host) -> Bare:
+        agreement = Agreement(
             f"{host.name}@{host.life}",
             host.name,
-            self.seats,
+            self.voters,
             lambda: Machine({MACHINE_PART: Permits()}),
             random.Random(self.rng.random()),
             self.world.now,
-            host.disk if host.name in self.seats else None,
+            host.disk if host.name in self.voters else None,
         )
-        port = self.ports[host.name] = Ingress(self, host)
+        ingress = self.ingresses[host.name] = Ingress(self, host)
         agent = self.agents[host.name] = MaintenanceAgent(
             host.name,
-            part,
-            lambda: part.machine.parts[MACHINE_PART],
-            port,
+            agreement,
+            lambda: agreement.machine.parts[MACHINE_PART],
+            ingress,
             Bounds(2, 1, 0.0, 0.0),
             2.0,  # type: ignore
             60.0,
             self.world.now,
         )
-        part.advanced = agent.on_applied
+        agreement.advanced = agent.on_applied
         life = host.life
 
-        def look() -> None:
+        def tick() -> None:
             if host.life == life and host.driven is not None:
-                self.world.at(self.world.now + 0.2, look)
+                self.world.at(self.world.now + 0.2, tick)
                 if not host.stopped:
                     agent.tick(self.world.now)
                     self.world.do(host, host.driven.said())  # type: ignore[attr-defined]
 
-        self.world.at(self.world.now + 0.01, look)
-        self.world.at(self.world.now + 0.5, port.send)
-        return Bare(host.address, {KIND: part})
+        self.world.at(self.world.now + 0.01, tick)
+        self.world.at(self.world.now + 0.5, ingress.send_relay)
+        return Bare(host.address, {KIND: agreement})
 
-    def sent(self, host: Host, server: str) -> None:
-        if server in self.worked:
-            self.wrong.append(f"{self.world.now:.2f}: {host.name} sends to {server}, which is worked on")
+    def check_relay(self, host: Host, server: str) -> None:
+        if server in self.worked_on:
+            self.violations.append(f"{self.world.now:.2f}: {host.name} sends to {server}, which is worked on")
 
     def permits(self) -> Permits:
-        """As whoever has applied most sees them."""
-        parts = [agent.agreement for agent in self.agents.values()]
-        return max(parts, key=lambda part: part.machine.index).machine.parts[MACHINE_PART]  # type: ignore[return-value]
+        """Return the state of the process that has applied most of the log."""
+        agreements = [agent.agreement for agent in self.agents.values()]
+        return max(agreements, key=lambda agreement: agreement.machine.index).machine.parts[MACHINE_PART]  # type: ignore[return-value]
 
     def check(self) -> None:
         for name, agent in self.agents.items():
-            host, reached = self.world.host(name), self.reached.get((name, self.world.host(name).life), 0)
+            host, reached = self.world.host(name), self.applied_index.get((name, self.world.host(name).life), 0)
             if host.driven is None or not agent.has_entered or agent.agreement.machine.index < reached:
-                continue  # not there, or made anew from a disk that holds less
-            self.reached[name, host.life] = agent.agreement.machine.index
-            if left := set(agent.permits.list_cordoned()) - self.ports[name].out:
-                self.wrong.append(f"{self.world.now:.3f}: {name} has the word and may send to {sorted(left)}")
+                continue  # not running, or restored from a disk with an older state
+            self.applied_index[name, host.life] = agent.agreement.machine.index
+            if left := set(agent.permits.list_cordoned()) - self.ingresses[name].cordoned:
+                self.violations.append(
+                    f"{self.world.now:.3f}: {name} has applied the permit and may send to {sorted(left)}"
+                )
         index = max(agent.agreement.machine.index for agent in self.agents.values())
-        if index < self.seen:
-            return  # whoever had applied most has died: what the rest knows is older
-        self.seen, permits = index, self.permits()
+        if index < self.checked_index:
+            return  # the process that had applied most was killed, the others have an older state
+        self.checked_index, permits = index, self.permits()
         out = permits.list_out()
         if len(out) > 2 or len({job.zone for job in out}) < len(out):
-            self.wrong.append(f"out: {[job.id for job in out]}")
+            self.violations.append(f"out: {[job.id for job in out]}")
         for job in permits.jobs.values():
             if job.token < self.tokens.get(job.id, 0):
-                self.wrong.append(f"{job.id}: token {job.token} after {self.tokens[job.id]}")
+                self.violations.append(f"{job.id}: token {job.token} after {self.tokens[job.id]}")
             self.tokens[job.id] = job.token
             for name in job.servers:
                 if job.state == "at work":
-                    self.worked[name] = job.token
-                elif self.worked.get(name) == job.token:
-                    del self.worked[name]
-
-    def ask(self, command: Command) -> None:
-        """An operator asks any process that is there, again and again until something is agreed."""
-        there = [n for n in self.names if self.world.host(n).driven is not None and not self.world.host(n).stopped]
-        if not there:
-            self.world.at(self.world.now + 1.0, lambda: self.ask(command))
+                    self.worked_on[name] = job.token
+                elif self.worked_on.get(name) == job.token:
+                    del self.worked_on[name]
+
+    def propose(self, command: Command) -> None:
+        """Propose a command to any running process, and repeat that until it is agreed."""
+        running = [n for n in self.names if self.world.host(n).driven is not None and not self.world.host(n).stopped]
+        if not running:
+            self.world.at(self.world.now + 1.0, lambda: self.propose(command))
             return
-        host = self.world.host(self.rng.choice(there))
+        host = self.world.host(self.rng.choice(running))
 
-        def done(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             if answer is None:
-                self.world.at(self.world.now + 0.1, lambda: self.ask(command))
+                self.world.at(self.world.now + 0.1, lambda: self.propose(command))
 
-        self.agents[host.name].propose(self.world.now, command, done, 3.0)
-        self.world.at(self.world.now + 4.0, lambda: self.again(command))
+        self.agents[host.name].propose(self.world.now, command, on_answer, 3.0)
+        self.world.at(self.world.now + 4.0, lambda: self.repeat_if_lost(command))
         self.world.do(host, host.driven.said())  # type: ignore[union-attr]
 
-    def again(self, command: Command) -> None:
+    def repeat_if_lost(self, command: Command) -> None:
         if isinstance(command, Ask) and command.id not in self.permits().jobs:
-            self.ask(command)
+            self.propose(command)
 
-    def work(self) -> None:
-        """Workers begin what is clear and finish what is done."""
+    def do_work(self) -> None:
+        """Begin work on machines that are clear and finish it after a second."""
         for job in list(self.permits().jobs.values()):
             if job.state == "clear":
-                self.ask(Begin(job.id, job.token))
+                self.propose(Begin(job.id, job.token))
             elif job.state == "at work" and self.world.now - job.state_since > 1.0:
-                self.ask(Finish(job.id, job.token))
-        self.world.at(self.world.now + 0.7, self.work)
+                self.propose(Finish(job.id, job.token))
+        self.world.at(self.world.now + 0.7, self.do_work)
 
 
 JOBS = [Ask(f"h{n}", "ann", [f"s{n}"], zone="ab"[n % 2], urgency=n % 3) for n in range(5)]
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_fleet_with_faults_keeps_the_order_and_does_every_request(seed: int) -> None:
+def test_fleet_keeps_the_bounds_and_finishes_every_job_under_faults(seed: int) -> None:
     fleet = Fleet(seed)
     world = fleet.world
     lines = [
@@ -495,8 +510,8 @@
     ]
     Faults(world, lines)
     for at, job in enumerate(JOBS):
-        world.at(world.now + 3.0 + at, lambda job=job: fleet.ask(job))  # type: ignore[misc]
-    world.at(world.now + 4.0, fleet.work)
+        world.at(world.now + 3.0 + at, lambda job=job: fleet.propose(job))  # type: ignore[misc]
+    world.at(world.now + 4.0, fleet.do_work)
     world.run(world.now + 36.0)
     for host in world.hosts.values():
         if host.driven is None:
@@ -504,26 +519,26 @@
         elif host.stopped:
             world.go_on(host)
     done = world.until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["done"] * len(JOBS), 90.0)
-    assert not fleet.wrong, fleet.wrong[:3]
+    assert not fleet.violations, fleet.violations[:3]
     assert done, [fleet.permits().describe(job) for job in fleet.permits().jobs.values()]
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_that_is_stopped_right_after_a_word_sends_nothing_there_when_it_goes_on(seed: int) -> None:
-    """Each process in turn, the leader too: what has come to it meanwhile is sent before its next look."""
+def test_process_stopped_right_after_a_permit_sends_nothing_there_when_it_continues(seed: int) -> None:
+    """Each process is stopped once, the leader too; messages that arrived meanwhile are sent before its next tick."""
     fleet = Fleet(seed)
     world, stopped = fleet.world, set[str]()
     world.run(world.now + 4.0)
-    fleet.ask(JOBS[0])
+    fleet.propose(JOBS[0])
 
     def go_on(name: str) -> None:
         host = world.host(name)
         world.go_on(host)
-        backlog = [name for name in SERVERS if name not in fleet.ports[host.name].out]
+        backlog = [name for name in SERVERS if name not in fleet.ingresses[host.name].cordoned]
         for name in backlog:
-            fleet.sent(host, name)
+            fleet.check_relay(host, name)
             if name in fleet.agents[host.name].permits.list_cordoned():
-                fleet.wrong.append(f"{host.name} goes on with {name}, which is away")
+                fleet.violations.append(f"{host.name} goes on with {name}, which is away")
 
     def stop() -> None:
         for name, agent in fleet.agents.items():
@@ -534,11 +549,11 @@
 
     world.checks.append(stop)
     assert world.until(lambda: [job.state for job in fleet.permits().jobs.values()] == ["clear"], 60.0)
-    assert stopped == set(fleet.names) and not fleet.wrong, fleet.wrong[:3]
+    assert stopped == set(fleet.names) and not fleet.violations, fleet.violations[:3]
 
 
-class Follows:
-    """An agreement that holds what the test says, and takes no proposals."""
+class FakeAgreement:
+    """An agreement with a state set by the test, which answers no proposal."""
 
     id, leads = "x@1", False
 
@@ -549,27 +564,28 @@
         return True
 
 
-def test_a_state_older_than_the_one_acted_on_changes_nothing() -> None:
-    """A voter whose disk took nothing is made anew and begins with its snapshot: what is out since stays away."""
+def test_state_older_than_the_last_applied_one_changes_nothing() -> None:
+    """A voter whose disk failed restarts from an older snapshot; servers taken out since must stay cordoned."""
     fleet = Fleet(1, 1)
-    port, agreement = fleet.ports["v0"], Follows()
-    newer, older = Log().to("clearing").permits, Log().permits
+    ingress, agreement = fleet.ingresses["v0"], FakeAgreement()
+    newer, older = Log().bring_to("clearing").permits, Log().permits
     held = [newer]
-    agent = MaintenanceAgent("x", agreement, lambda: held[0], port, Bounds(), 2.0, 60.0, 0.0)  # type: ignore[arg-type]
+    agent = MaintenanceAgent("x", agreement, lambda: held[0], ingress, Bounds(), 2.0, 60.0, 0.0)  # type: ignore[arg-type]
     agreement.machine.index = 9
     agent.tick(0.0)
-    assert port.out == {"s0"} and agent.has_entered
+    assert ingress.cordoned == {"s0"} and agent.has_entered
     held[0], agreement.machine.index = older, 3
     agent.on_applied()
     agent.tick(1.0)
-    assert port.out == {"s0"} and agent.has_entered
+    assert ingress.cordoned == {"s0"} and agent.has_entered
     agreement.machine.index = 10
     agent.tick(2.0)
-    assert port.out == frozenset()
+    assert ingress.cordoned == frozenset()
 
 
-def test_a_daemon_takes_a_server_out_in_the_turn_that_brings_the_word(tmp_path: Path) -> None:
-    host = f"127.{20 + os.getpid() % 200}.{1 + os.getpid() // 200 % 250}.1"  # its own: nobody else's ports
+def test_daemon_cordons_a_server_in_the_turn_that_applies_the_permit(tmp_path: Path) -> None:
+    # An address of its own, so that no other process takes the port.
+    host = f"127.{20 + os.getpid() % 200}.{1 + os.getpid() // 200 % 250}.1"
     with socket.create_server((host, 0)) as free:
         at = f"{host}:{free.getsockname()[1]}"
     (tmp_path / "keys").write_text(base64.b64encode(b"m" * 32).decode() + "\n")
@@ -587,22 +603,22 @@
         assert not r.daemon.inventory.is_usable("s-0") and r.daemon.inventory.is_usable("s-1")
 
 
-def test_an_ingress_that_cannot_be_reached_holds_a_machine_and_is_named() -> None:
+def test_unreachable_ingress_delays_a_machine_and_is_named() -> None:
     fleet = Fleet(1)
     world = fleet.world
     world.run(world.now + 4.0)
     Faults(world, parse("0 part v4 v0,v1,v2,v3"))
     world.run(world.now + 0.1)
-    fleet.ask(JOBS[0])
+    fleet.propose(JOBS[0])
     world.run(world.now + 20.0)
     job = fleet.permits().jobs["h0"]
     assert job.state == "clearing" and fleet.permits().list_unconfirmed(job) == ["v4"]
-    fleet.ask(Override("h0", "bob"))
+    fleet.propose(Override("h0", "bob"))
     assert world.until(lambda: fleet.permits().jobs["h0"].state == "clear", 10.0)
     assert "bob" in fleet.permits().jobs["h0"].overrides[0] and "v4" in fleet.permits().jobs["h0"].overrides[0]
 
 
-def test_a_side_without_a_majority_grants_nothing() -> None:
+def test_partition_without_a_quorum_grants_no_permit() -> None:
     fleet = Fleet(2)
     world = fleet.world
     world.run(world.now + 4.0)
@@ -615,7 +631,7 @@
     world.run(world.now + 15.0)
     sides = {name: set(fleet.agents[name].permits.jobs) for name in fleet.names}
     assert sides["v0"] == sides["v3"] == set() and sides["v1"] == sides["v4"] == {"h1"}
-    assert fleet.permits().jobs["h1"].state == "clearing"  # the other side was not heard
+    assert fleet.permits().jobs["h1"].state == "clearing"  # ingresses in the other partition have not confirmed
     world.links.heal()
     assert world.until(
         lambda: all(
@@ -624,4 +640,4 @@
         ),
         60.0,
     )
-    assert not fleet.wrong
+    assert not fleet.violations
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -1,4 +1,4 @@
-"""Real processes with relays between them: machines go out for work in each phase of what may fail between them."""
+"""Maintenance and rolling restarts of real processes, with network faults injected by relays between them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.rolling_drains import schedule
-from benchmarks.rolling_drains import trial as rolls
+from benchmarks.rolling_drains import trial as run_rolling_restart
 from benchmarks.work_order import Fleet, running, trial
 from brackenpulley.address import ConfigError
 from brackenpulley.operator import decode, load
@@ -46,17 +46,17 @@
 
 
 @pytest.mark.parametrize("name", list(SCRIPTS))
-def test_machines_go_out_in_an_agreed_order_whatever_fails_between_the_processes(name: str) -> None:
+def test_machines_are_taken_out_in_the_agreed_order_under_faults(name: str) -> None:
     report = trial(5, 4, 15.0, 1, SCRIPTS[name])
     assert report["wrong"] == []
     assert report["tokens"] == 5 and report["served"] > 150
 
 
-def test_work_after_the_word_is_judged_by_when_the_return_was_agreed_not_by_when_we_saw_it() -> None:
+def test_late_relays_are_judged_by_the_agreed_time_of_return_not_by_when_it_was_observed() -> None:
     fleet = Fleet(3, 1, 1)
     try:
 
-        def seen(state: str, since: float, token: int = 4) -> None:
+        def observe(state: str, since: float, token: int = 4) -> None:
             fleet._seen(
                 fleet.processes[0],
                 9,
@@ -64,22 +64,22 @@
             )
 
         fleet.arrived = [("s-0", "h0", 4, 100.0, when) for when in (100.2, 103.14, 103.2)]
-        seen("at work", 102.0)
-        assert fleet.late()["s-0"] == pytest.approx(3.2)  # not seen to return: away for good
-        seen("done", 104.15)
-        assert fleet.late()["s-0"] == pytest.approx(3.14)  # it has carried load for 1 s by then
-        seen("returning", 103.1)
+        observe("at work", 102.0)
+        assert fleet.late()["s-0"] == pytest.approx(3.2)  # no return was observed, so every later relay counts as late
+        observe("done", 104.15)
+        assert fleet.late()["s-0"] == pytest.approx(3.14)  # it returned 1 s before it was done
+        observe("returning", 103.1)
         assert fleet.late()["s-0"] == pytest.approx(0.2)
         fleet.arrived.append(("s-0", "h0", 4, 100.0, 103.09))
         assert fleet.late()["s-0"] == pytest.approx(3.09)
-        fleet.arrived.append(("s-0", "h0", 5, 105.0, 109.0))  # another permit: that return says nothing of it
+        fleet.arrived.append(("s-0", "h0", 5, 105.0, 109.0))  # another permit, which the observed return does not end
         assert fleet.late()["s-0"] == pytest.approx(4.0)
     finally:
         fleet.close()
 
 
 @pytest.mark.parametrize(
-    ("still", "ran"),
+    ("pauses", "expected"),
     [
         ([], 4.0),
         ([(0.0, 9.0)], 4.0),
@@ -91,28 +91,29 @@
         ([(14.0, 15.0)], 4.0),
     ],
 )
-def test_a_message_has_the_time_in_which_nothing_stood_still(still: list[tuple[float, float]], ran: float) -> None:
-    assert running(10.0, 14.0, still) == pytest.approx(ran)
+def test_running_time_excludes_pauses(pauses: list[tuple[float, float]], expected: float) -> None:
+    assert running(10.0, 14.0, pauses) == pytest.approx(expected)
 
 
-def test_a_roll_with_faults_never_passes_a_servers_limit() -> None:
-    """The short form of benchmarks/rolling_drains: real ingresses, servers that count what they hold."""
-    report = rolls(6, 2, 12, 1, calm=2.0, least=0.8)
+def test_rolling_restart_with_faults_never_exceeds_a_servers_limit() -> None:
+    """A short run of benchmarks/rolling_drains: real ingresses, and servers that count their connections."""
+    report = run_rolling_restart(6, 2, 12, 1, calm=2.0, least=0.8)
     assert report["wrong"] == [] and report["beyond"] == 0 and report["lost"] == 0
     assert max(report["mostAtAServer"]) >= 6
 
 
-def test_waves_are_near_the_optimum_of_an_integer_programme() -> None:
-    found = schedule(12, 3)
-    assert found["worst"] <= 1.3 and found["optimal"] >= 9
+def test_waves_are_near_the_optimum_of_an_integer_program() -> None:
+    result = schedule(12, 3)
+    assert result["worst"] <= 1.3 and result["optimal"] >= 9
 
 
-def test_a_server_taken_out_gets_nothing_and_comes_back_whatever_the_source_says() -> None:
+def test_cordoned_server_gets_no_relay_whatever_discovery_reports() -> None:
     with rig(2) as r:
         r.daemon.inventory.set_cordoned(frozenset({"s-0"}))
         assert not r.daemon.inventory.is_usable("s-0") and r.daemon.inventory.is_usable("s-1")
         assert {e.server: e.state for e in r.daemon.inventory.list_entries()} == {"s-0": "up", "s-1": "up"}
-        r.daemon.inventory.apply_object({**r.make_listing(), "generation": 8})  # told anew as serving: it stays out
+        # Listed again as serving, it stays cordoned.
+        r.daemon.inventory.apply_object({**r.make_listing(), "generation": 8})
         assert not r.daemon.inventory.is_usable("s-0")
         for number in range(1, 4):
             client = r.send_request(number)
@@ -125,7 +126,7 @@
         r.daemon.inventory.apply_object(r.make_listing(s_0="DRAINING"))
         r.daemon.inventory.set_cordoned(frozenset({"s-0"}))
         r.daemon.inventory.set_cordoned(frozenset())
-        assert not r.daemon.inventory.is_usable("s-0")  # it drains by its own word
+        assert not r.daemon.inventory.is_usable("s-0")  # discovery lists it as draining
 
 
 MEMBERS = {"fleet": "f", "listen": "127.0.0.1:9300", "keys": "k"}
@@ -133,7 +134,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "said"),
+    ("raw", "message"),
     [
         ({"consensus": {"voters": VOTERS}}, "consensus: needs [members]"),
         ({"members": MEMBERS, "consensus": {}}, "consensus.voters: None is no table"),
@@ -160,14 +161,17 @@
         ({"members": {**MEMBERS, "advertise": "x"}}, "members.advertise: "),
     ],
 )
-def test_a_wrong_setting_is_one_line_that_names_the_field(raw: dict[str, Any], said: str) -> None:
+def test_error_of_a_wrong_setting_is_one_line_that_names_it(raw: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError) as error:
         decode(raw)
-    assert str(error.value).startswith(said) and "\n" not in str(error.value)
+    assert str(error.value).startswith(message) and "\n" not in str(error.value)
 
 
-def test_the_file_with_every_setting_can_be_read() -> None:
-    told = load(str(Path(__file__).parent.parent / "deploy/together.toml"))
-    assert told.consensus is not None and len(told.consensus.voters) == 3
-    assert told.drains is not None and told.drains.connection_limit == 64
-    assert told.maintenance is not None and (told.maintenance.max_machines_out, told.maintenance.min_spread) == (1, 2)
+def test_file_with_every_setting_is_read() -> None:
+    operator = load(str(Path(__file__).parent.parent / "deploy/together.toml"))
+    assert operator.consensus is not None and len(operator.consensus.voters) == 3
+    assert operator.drains is not None and operator.drains.connection_limit == 64
+    assert operator.maintenance is not None and (
+        operator.maintenance.max_machines_out,
+        operator.maintenance.min_spread,
+    ) == (1, 2)
