--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -13,7 +13,7 @@
 from syrupy.location import PyTestLocation
 
 from brackenpulley.control.api import Later, Routes, work_routes
-from brackenpulley.maintenance.permits import Enter, Permits, Said, Step, encode
+from brackenpulley.maintenance.permits import Cleared, Enter, Permits, Step, encode
 from brackenpulley.members.protocol import Timing
 from brackenpulley.members.station import Station
 from brackenpulley.net.counter import encode_add as counter_call
@@ -22,7 +22,7 @@
 from brackenpulley.simulation.world import START_SECONDS, Host, World
 
 from .rig import Peer, Rig, rig
-from .test_maintenance import BOUNDS, FACTS
+from .test_maintenance import BOUNDS, FLEET
 from .test_platform import chunk
 from .transcripts import Transcript
 
@@ -197,7 +197,7 @@
     def step(seconds: float, carrying_load: list[str]) -> None:
         permits_service.now += seconds
         answer = permits_service.permits.apply(
-            permits_service.now, encode(Step(FACTS, BOUNDS, 5.0, 30.0, carrying_load))
+            permits_service.now, encode(Step(FLEET, BOUNDS, 5.0, 30.0, carrying_load))
         )
         transcript.add_line(f"-- {seconds:g} s later whoever leads steps: {json.dumps(answer)}")
 
@@ -211,11 +211,11 @@
     call("GET", "/v1/work/host-9")
     transcript.add_title("granted; one ingress has cleared it, the other has not")
     step(1.0, [])
-    permits_service.permits.apply(permits_service.now, encode(Said("host-7", 1, "x", "x@1")))
+    permits_service.permits.apply(permits_service.now, encode(Cleared("host-7", 1, "x", "x@1")))
     call("GET", "/v1/work/host-7")
     call("POST", "/v1/work/host-7/begin", {"token": 1})
     transcript.add_title("cleared by all: work begins, with its token alone")
-    permits_service.permits.apply(permits_service.now, encode(Said("host-7", 1, "y", "y@1")))
+    permits_service.permits.apply(permits_service.now, encode(Cleared("host-7", 1, "y", "y@1")))
     call("POST", "/v1/work/host-7/begin", {"token": 0})
     call("POST", "/v1/work/host-7/begin", {"token": 1})
     call("POST", "/v1/work/host-7/withdraw", {"by": "ann"})
