--- a/benchmarks/capacity/sheet.py
+++ b/benchmarks/capacity/sheet.py
@@ -715,7 +715,7 @@
         5.0,
         "5 s",
         "issue",
-        "`configuration/force`, `consensus/feed`",
+        "`configuration/active`, `consensus/feed`",
         "a change is late",
         note="the slowest of three seeds, in which a hundredth restarts with each change and a region is away; slow "
         "where the log's leader is cut off with its region. The measured 890 stand among the slopes",
@@ -729,7 +729,7 @@
         14.0,
         "14 s",
         "letter",
-        "`configuration/force`, `consensus/feed`",
+        "`configuration/active`, `consensus/feed`",
         "a change is late",
         note="at all that can be reached, restarted ones too; the slowest of three seeds",
     ),
@@ -755,7 +755,7 @@
         MEMORY,
         "32 MB",
         "letter",
-        "`configuration/revisions`, `configuration/force`",
+        "`configuration/revisions`, `configuration/active`",
         "`most_entries` and `most_kb`: a change is refused",
     ),
     Row(
@@ -780,7 +780,7 @@
         TURN,
         "5 ms a turn",
         "issue",
-        "`configuration/force`, `configuration/wire`, `configuration/revisions`",
+        "`configuration/active`, `configuration/wire`, `configuration/revisions`",
         "the loop stands still: once at a start before it serves, for the own copy (`path`, may be left out), and at "
         "a voter that makes a snapshot",
         note="passed: wall time of the longest of the three",
--- a/brackenpulley/configuration/active.py
+++ b/brackenpulley/configuration/active.py
@@ -26,7 +26,7 @@
 
 ROLLBACK_DELAY_SECONDS = 10.0  # of a log with a leader, before an earlier or diverging revision is adopted
 LEADER_VALID_SECONDS = 3.0  # how long a follower trusts the last news of a leader; spans several polls of a voter
-STARTUP_WAIT_SECONDS = 8.0  # after which a process serves with what it has; the same as in maintenance/clerk
+STARTUP_WAIT_SECONDS = 8.0  # after which a process serves with what it has; the same as in maintenance/agent
 
 
 @dataclass(slots=True, frozen=True)
