--- a/brackenpulley/ledger/__init__.py
+++ b/brackenpulley/ledger/__init__.py
@@ -1,4 +1,6 @@
-"""Durable counted use and its exact export to billing.
+"""Durable usage records and their exactly-once export to billing.
 
-`tally` decides what is an entry, and `upload` what is sent again and when; neither does I/O. `store` keeps them in
-LMDB, `service` runs both on the daemon's loop, `files` writes them out; only the daemon and the commands call these."""
+`tally` decides what becomes an entry, and `upload` what is sent and when it is retried; neither does I/O. `store`
+persists entries in LMDB, `service` runs both on the daemon's event loop, and `files` exports entries to files. Only the
+daemon and the command line use this package.
+"""
--- a/brackenpulley/ledger/files.py
+++ b/brackenpulley/ledger/files.py
@@ -1,4 +1,7 @@
-"""Entries to a file, as JSON lines or CSV, and on from where an interrupted one ended."""
+"""Exports ledger entries to a JSON Lines or CSV file, and resumes an interrupted export.
+
+Used by the `ledger export` command.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,12 @@
 from .upload import decimal, event, instant
 
 COLUMNS = ("seq", "id", "kind", "firm", "plan", "revision", "from", "to", "units", "tries")
-STEP = 500  # entries between writes
-TAIL = 65536  # bytes in which the last line of a file is looked for
+ENTRIES_PER_WRITE = 500
+TAIL_BYTES = 65536  # the last line of a file is searched for in this many bytes
 
 
 def csv_row(entry: Entry) -> list[Any]:
+    """Return the values of an entry in the order of `COLUMNS`."""
     key = entry.key
     return [
         entry.seq,
@@ -36,7 +40,7 @@
     ]
 
 
-def _line(entry: Entry, kind: str) -> bytes:
+def _encode_entry(entry: Entry, kind: str) -> bytes:
     if kind == "jsonl":
         return msgspec.json.encode(event(entry)) + b"\n"
     text = io.StringIO()
@@ -44,8 +48,8 @@
     return text.getvalue().encode()
 
 
-def _last(data: bytes, kind: str, path: str) -> int:
-    """The sequence number of the last whole line; 0 where there is only a head."""
+def _read_last_sequence(data: bytes, kind: str, path: str) -> int:
+    """Return the sequence number of the last line, or 0 if there is only a header. Raises LedgerError."""
     lines = data.splitlines()
     if not lines or lines == [",".join(COLUMNS).encode()]:
         return 0
@@ -54,46 +58,49 @@
             return int(json.loads(lines[-1])["data"]["seq"])
         return int(next(csv.reader([lines[-1].decode()]))[0])
     except (ValueError, KeyError, TypeError, StopIteration, IndexError):
-        raise LedgerError(f"{path}: is no {kind} export of a ledger; name another file") from None
+        raise LedgerError(f"{path}: is no {kind} export of a ledger; choose another file") from None
 
 
-def resume(path: str, kind: str) -> int:
-    """Cut a half-written line off an earlier file; the sequence number that it ends with, 0 for none."""
+def truncate_partial_line(path: str, kind: str) -> int:
+    """Truncate a partial last line and return the last sequence number in the file, or 0. Raises LedgerError."""
     try:
         size = os.path.getsize(path)
     except OSError:
         return 0
     with open(path, "rb+") as file:
-        file.seek(max(0, size - TAIL))
+        file.seek(max(0, size - TAIL_BYTES))
         tail = file.read()
-        whole = tail[: tail.rfind(b"\n") + 1]
-        last = _last(whole, kind, path)
-        file.truncate(size - len(tail) + len(whole))
+        complete_lines = tail[: tail.rfind(b"\n") + 1]
+        last = _read_last_sequence(complete_lines, kind, path)
+        file.truncate(size - len(tail) + len(complete_lines))
     return last
 
 
 def export(store: Store, path: str, kind: str, first: int = 0) -> Iterator[int]:
-    """Write all from entry `first` on, or from where the file ends; yields how many have been written."""
-    last = resume(path, kind)
+    """Append all entries from `first` on, or from the end of an existing export; yields the number written so far.
+
+    Raises LedgerError if the file is no such export, or if entries would be missing from it.
+    """
+    last = truncate_partial_line(path, kind)
     if last and first and first > last + 1:
-        raise LedgerError(f"{path}: ends with entry {last}; from {first} on there would be a gap")
+        raise LedgerError(f"{path}: ends with entry {last}; an export from entry {first} would leave a gap")
     start = last + 1 if last else max(1, first)
     heads = store.heads()
     if start < heads.first:
-        raise LedgerError(f"from: entries before {heads.first} are no longer kept; give --from {heads.first}")
+        raise LedgerError(f"from: entries before {heads.first} have been deleted; use --from {heads.first}")
     count = 0
     with open(path, "ab") as file:
         if not last and kind == "csv" and file.tell() == 0:
             file.write((",".join(COLUMNS) + "\n").encode())
-        parts: list[bytes] = []
+        encoded_entries: list[bytes] = []
         for entry in store.entries(start):
-            parts.append(_line(entry, kind))
+            encoded_entries.append(_encode_entry(entry, kind))
             count += 1
-            if len(parts) == STEP:
-                file.write(b"".join(parts))
-                parts.clear()
+            if len(encoded_entries) == ENTRIES_PER_WRITE:
+                file.write(b"".join(encoded_entries))
+                encoded_entries.clear()
                 yield count
-        file.write(b"".join(parts))
+        file.write(b"".join(encoded_entries))
         file.flush()
         os.fsync(file.fileno())
     yield count
