--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from brackenpulley.ledger.tally import Heads, Tally
+from brackenpulley.ledger.tally import LedgerState, Tally
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.counter import encode_add
 from brackenpulley.net.loop import Loop
@@ -33,7 +33,7 @@
 
 def charged(firms: int) -> Tally:
     """A period in which each firm is charged once."""
-    made = Tally(Heads("ingress-1", "e"), 60_000, 500, 100_000)
+    made = Tally(LedgerState("ingress-1", "e"), 60_000, 500, 100_000)
     for firm in range(1, firms + 1):
         made.charge(firm, "county", 1, 1.0, 1020.0)
     return made
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -26,7 +26,7 @@
 from benchmarks.plan_changes import ROOT, free_ports
 from brackenpulley.ledger import files
 from brackenpulley.ledger.store import Store
-from brackenpulley.ledger.tally import Entry, Key, Tally
+from brackenpulley.ledger.tally import Entry, Tally, UsageKey
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.serve import wall_clock
@@ -166,7 +166,7 @@
             fill(folder, count, progress)
             began = time.perf_counter()
             store = Store(folder, "n0", 4 << 30)
-            heads, _, _, _ = store.begin()
+            heads, _, _, _ = store.recover()
             recovery = time.perf_counter() - began
             began = time.perf_counter()
             task = progress.add_task("verify", total=count)
@@ -191,27 +191,27 @@
                 "bytesPerEntry": round(store.used_bytes() / count, 1),
                 **{f"{kind}PerSecond": rate for kind, rate in rates.items()},
             }
-            store.end()
+            store.close()
     return found
 
 
 def fill(folder: str, count: int, progress: Progress) -> None:
     store = Store(folder, "n0", 4 << 30)
-    heads, _, _, _ = store.begin()
+    heads, _, _, _ = store.recover()
     tally = Tally(heads, 60_000, 0, 1 << 40)
     task = progress.add_task(f"{count} entries", total=count)
     while heads.next_seq <= count:
         first, most = heads.next_seq, min(20_000, count - heads.next_seq + 1)
         made = []
         for seq in range(first, first + most):
-            key = Key("use", seq // 500 * 60_000, (seq // 500 + 1) * 60_000, seq % 500, "school", seq // 100_000)
+            key = UsageKey("use", seq // 500 * 60_000, (seq // 500 + 1) * 60_000, seq % 500, "school", seq // 100_000)
             made.append(Entry(seq, f"n0/{heads.epoch}/{seq}", key, 1_500_000, 1))
         heads.next_seq += most
-        heads.counted += most * 1_500_000
-        heads.tries += most
-        store.fold(tally.heads, {}, made, [])
+        heads.counted_micro_units += most * 1_500_000
+        heads.charge_count += most
+        store.checkpoint(tally.state, {}, made, [])
         progress.update(task, advance=most)
-    store.end()
+    store.close()
 
 
 def main() -> int:
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -284,8 +284,8 @@
         self.load.down.add(number)
         self.down_once.add(number)
         store = Store(str(one.folder / "ledger"))
-        counted = set(store.last_turn())
-        store.end()
+        counted = set(store.read_last_turn_ids())
+        store.close()
         # What it had counted in its last turn may have left or not; what it had not counted has not left.
         self.loop.call_in(0.5, lambda: self._after_kill(number, out, counted))
 
@@ -324,10 +324,10 @@
         for one in self.ingresses:
             store = Store(str(one.folder / "ledger"))
             faults += [f"n{one.number}: {fault}" for fault, _ in store.verify() if fault]
-            for key, units in store.totals().items():
+            for key, units in store.read_totals().items():
                 counted[key] = counted.get(key, 0) + units
-            entries += store.heads().next_seq - 1
-            store.end()
+            entries += store.read_state().next_seq - 1
+            store.close()
         book = Book(decode_settings(settings(GATEWAYS)).plans)
         load(str(self.ingresses[2].folder / "plans"), book, self.clock())
         if book.revision != len(self.changes):
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -124,7 +124,7 @@
             faults.append("messages without an answer")
         if not turn_until(lambda: daemon.ledger.status()["openSums"] + daemon.ledger.status()["backlog"] == 0, 15):
             faults.append("use that was not exported")
-        counted = daemon.ledger.store.totals()
+        counted = daemon.ledger.store.read_totals()
         faults += [fault for fault, _ in daemon.ledger.store.verify() if fault]
         ran = [row for server in servers for row in server.ran]
         verdict = audit.reconcile(ran, {}, counted, billing.units())
--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -10,7 +10,7 @@
 
 from ..address import ConfigError
 from ..ledger.store import LedgerError, Store
-from ..ledger.tally import MICRO
+from ..ledger.tally import MICRO_UNITS_PER_UNIT
 from .common import AsJson, Where, call, controls, fail, show
 
 app = typer.Typer(no_args_is_help=True, help="Counted use, and its way to billing.")
@@ -24,8 +24,8 @@
             raise LedgerError("--path: not given; the ledger's folder, as in the operator's file")
         if write:
             reader = Store(path)
-            name = reader.heads().ingress
-            reader.end()
+            name = reader.read_state().ingress
+            reader.close()
             return Store(path, name)
         return Store(path)
     except LedgerError as error:
@@ -49,22 +49,22 @@
     """Where the ledger stands, from a daemon (--control) or its folder (--path)."""
     if path:
         store = _open(path)
-        heads = store.heads()
-        sums = store.sums()
+        heads = store.read_state()
+        sums = store.read_open_sums()
         found = {
             "ingress": heads.ingress,
             "epoch": heads.epoch,
-            "countedUnits": heads.counted / MICRO,
-            "tries": heads.tries,
-            "openUnits": sum(one.units for one in sums.values()) / MICRO,
+            "countedUnits": heads.counted_micro_units / MICRO_UNITS_PER_UNIT,
+            "tries": heads.charge_count,
+            "openUnits": sum(one.units for one in sums.values()) / MICRO_UNITS_PER_UNIT,
             "openSums": len(sums),
             "nextEntry": heads.next_seq,
-            "acknowledged": heads.acked,
+            "acknowledged": heads.acked_seq,
             "backlog": heads.backlog,
-            "firstKept": heads.first,
+            "firstKept": heads.first_seq,
             "bytes": store.used_bytes(),
         }
-        store.end()
+        store.close()
     else:
         found = call(controls(control)[0], "GET", "/v1/ledger")
     show(
@@ -81,12 +81,12 @@
 ) -> None:
     """Entries, from a sequence number on."""
     from ..ledger.files import COLUMNS, csv_row
-    from ..ledger.upload import event
+    from ..ledger.upload import build_event
 
     store = _open(path)
-    found = list(store.entries(first, most))
-    store.end()
-    show([event(one) for one in found], as_json, list(COLUMNS), [csv_row(one) for one in found])
+    found = list(store.read_entries(first, most))
+    store.close()
+    show([build_event(one) for one in found], as_json, list(COLUMNS), [csv_row(one) for one in found])
 
 
 @app.command()
@@ -95,8 +95,8 @@
     store = _open(path)
     seen, fault = 0, ""
     try:
-        heads = store.heads()
-        bar, task = _progress("verifying", heads.next_seq - heads.first)
+        heads = store.read_state()
+        bar, task = _progress("verifying", heads.next_seq - heads.first_seq)
         with bar:
             for found, seen in store.verify():
                 if found:
@@ -107,11 +107,21 @@
     except LedgerError as error:
         raise fail(str(error)) from None
     finally:
-        store.end()
-    result = {"entries": seen, "countedUnits": heads.counted / MICRO, "good": not fault, "fault": fault or None}
+        store.close()
+    result = {
+        "entries": seen,
+        "countedUnits": heads.counted_micro_units / MICRO_UNITS_PER_UNIT,
+        "good": not fault,
+        "fault": fault or None,
+    }
     if fault and not as_json:
         raise fail(f"ledger: {fault}", 1)
-    show(result, as_json, ["entries", "counted units", "verdict"], [[seen, heads.counted / MICRO, "good"]])
+    show(
+        result,
+        as_json,
+        ["entries", "counted units", "verdict"],
+        [[seen, heads.counted_micro_units / MICRO_UNITS_PER_UNIT, "good"]],
+    )
     if fault:
         raise typer.Exit(1)
 
@@ -132,15 +142,15 @@
     store = _open(path)
     count = 0
     try:
-        heads = store.heads()
-        bar, task = _progress("exporting", heads.next_seq - heads.first)
+        heads = store.read_state()
+        bar, task = _progress("exporting", heads.next_seq - heads.first_seq)
         with bar:
-            for count in write(store, out, kind, first or heads.first):
+            for count in write(store, out, kind, first or heads.first_seq):
                 bar.update(task, completed=count)
     except (LedgerError, OSError) as error:
         raise fail(str(error), 1) from None
     finally:
-        store.end()
+        store.close()
     show({"file": out, "entries": count}, as_json, ["file", "entries"], [[out, count]])
 
 
@@ -163,7 +173,7 @@
     store = _open(path, write=True)
     taken = 0
     try:
-        heads = store.heads()
+        heads = store.read_state()
         bar, task = _progress("sending", heads.backlog)
         with bar:
             for taken, _ in send(store, at, target, batch, patience):
@@ -171,7 +181,7 @@
     except LedgerError as error:
         raise fail(str(error), 1) from None
     finally:
-        store.end()
+        store.close()
     show({"taken": taken}, as_json, ["entries taken"], [[taken]])
 
 
@@ -186,13 +196,13 @@
     if path:
         store = _open(path, write=True)
         try:
-            heads, _, _, _ = store.begin()
+            heads, _, _, _ = store.recover()
             store.replay(heads, first)
         except LedgerError as error:
             raise fail(str(error), 1) from None
         finally:
-            store.end()
-        found: Any = {"acknowledged": heads.acked, "backlog": heads.backlog}
+            store.close()
+        found: Any = {"acknowledged": heads.acked_seq, "backlog": heads.backlog}
     else:
         found = call(controls(control)[0], "POST", "/v1/ledger/replay", {"from": first})
     show(found, as_json, ["acknowledged", "to send"], [[found["acknowledged"], found["backlog"]]])
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -298,12 +298,12 @@
 def ledger_routes(routes: Routes, service: Any) -> None:
     """`service` is a ledger.service.LedgerService."""
     from ..ledger.store import LedgerError
-    from ..ledger.upload import event
+    from ..ledger.upload import build_event
 
     def entries(request: Request) -> Any:
         first = whole(request, "from", 1, 1, 1 << 60)
         most = whole(request, "most", 100, 1, 1000)
-        return {"entries": [event(one) for one in service.store.entries(first, most)]}
+        return {"entries": [build_event(one) for one in service.store.read_entries(first, most)]}
 
     def replay(request: Request) -> Any:
         told = decode(request.body, ReplayCall)
--- a/brackenpulley/ledger/__init__.py
+++ b/brackenpulley/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""Durable usage records and their exactly-once export to billing.
+"""Durable usage records and their exact export to billing.
 
 `tally` decides what becomes an entry, and `upload` what is sent and when it is retried; neither does I/O. `store`
 persists entries in LMDB, `service` runs both on the daemon's event loop, and `files` exports entries to files. Only the
--- a/brackenpulley/ledger/files.py
+++ b/brackenpulley/ledger/files.py
@@ -16,7 +16,7 @@
 
 from .store import LedgerError, Store
 from .tally import Entry
-from .upload import decimal, event, instant
+from .upload import build_event, format_timestamp, format_units
 
 COLUMNS = ("seq", "id", "kind", "firm", "plan", "revision", "from", "to", "units", "tries")
 ENTRIES_PER_WRITE = 500
@@ -24,7 +24,7 @@
 
 
 def csv_row(entry: Entry) -> list[Any]:
-    """Return the values of an entry in the order of `COLUMNS`."""
+    """Returns the values of an entry in the order of `COLUMNS`."""
     key = entry.key
     return [
         entry.seq,
@@ -33,23 +33,23 @@
         f"{key.firm:016x}",
         key.plan,
         key.revision,
-        instant(key.start),
-        instant(key.end),
-        decimal(entry.units),
-        entry.tries,
+        format_timestamp(key.start_ms),
+        format_timestamp(key.end_ms),
+        format_units(entry.units),
+        entry.charge_count,
     ]
 
 
 def _encode_entry(entry: Entry, kind: str) -> bytes:
     if kind == "jsonl":
-        return msgspec.json.encode(event(entry)) + b"\n"
+        return msgspec.json.encode(build_event(entry)) + b"\n"
     text = io.StringIO()
     csv.writer(text, lineterminator="\n").writerow(csv_row(entry))
     return text.getvalue().encode()
 
 
 def _read_last_sequence(data: bytes, kind: str, path: str) -> int:
-    """Return the sequence number of the last line, or 0 if there is only a header. Raises LedgerError."""
+    """Returns the sequence number of the last line, or 0 if there is only a header. Raises LedgerError."""
     lines = data.splitlines()
     if not lines or lines == [",".join(COLUMNS).encode()]:
         return 0
@@ -62,7 +62,7 @@
 
 
 def truncate_partial_line(path: str, kind: str) -> int:
-    """Truncate a partial last line and return the last sequence number in the file, or 0. Raises LedgerError."""
+    """Truncates a partial last line and returns the last sequence number in the file, or 0. Raises LedgerError."""
     try:
         size = os.path.getsize(path)
     except OSError:
@@ -77,7 +77,7 @@
 
 
 def export(store: Store, path: str, kind: str, first: int = 0) -> Iterator[int]:
-    """Append all entries from `first` on, or from the end of an existing export; yields the number written so far.
+    """Appends all entries from `first` on, or from the end of an existing export; yields how many were written so far.
 
     Raises LedgerError if the file is no such export, or if entries would be missing from it.
     """
@@ -85,15 +85,15 @@
     if last and first and first > last + 1:
         raise LedgerError(f"{path}: ends with entry {last}; an export from entry {first} would leave a gap")
     start = last + 1 if last else max(1, first)
-    heads = store.heads()
-    if start < heads.first:
-        raise LedgerError(f"from: entries before {heads.first} have been deleted; use --from {heads.first}")
+    state = store.read_state()
+    if start < state.first_seq:
+        raise LedgerError(f"from: entries before {state.first_seq} have been deleted; use --from {state.first_seq}")
     count = 0
     with open(path, "ab") as file:
         if not last and kind == "csv" and file.tell() == 0:
             file.write((",".join(COLUMNS) + "\n").encode())
         encoded_entries: list[bytes] = []
-        for entry in store.entries(start):
+        for entry in store.read_entries(start):
             encoded_entries.append(_encode_entry(entry, kind))
             count += 1
             if len(encoded_entries) == ENTRIES_PER_WRITE:
--- a/brackenpulley/ledger/push.py
+++ b/brackenpulley/ledger/push.py
@@ -12,46 +12,48 @@
 
 from ..lock import FileLock
 from .store import LedgerError, Store
-from .upload import CONTENT, Rules, batch
+from .upload import CONTENT_TYPE, UploadPolicy, encode_batch
 
 TIMEOUT_SECONDS = 10.0
 
 
-def push(store: Store, at: tuple[str, int], path: str, size: int, patience: float) -> Iterator[tuple[int, str]]:
-    """Send all unacknowledged entries; yields (entries acknowledged so far, error text or empty) for each batch.
+def push(
+    store: Store, address: tuple[str, int], path: str, batch_size: int, max_stall_seconds: float
+) -> Iterator[tuple[int, str]]:
+    """Sends all unacknowledged entries; yields (entries acknowledged so far, error text or empty) for each batch.
 
-    Holds the export lock, so that a concurrent exporter fails with the name of the holder. Gives up `patience`
+    Holds the export lock, so that a concurrent exporter fails with the name of the holder. Gives up `max_stall_seconds`
     seconds after the last acknowledgement. Raises LedgerError.
     """
     lock = FileLock(store.path / "export.lock", "ledger push", LedgerError)
     try:
-        heads, _, _, _ = store.begin()
-        rules, acknowledged_count, last_progress = Rules(size, 5.0, random.Random()), 0, time.monotonic()
+        state, _, _, _ = store.recover()
+        policy, acknowledged_count, last_progress = UploadPolicy(batch_size, 5.0, random.Random()), 0, time.monotonic()
         while True:
-            entries = list(store.entries(max(heads.acked + 1, heads.first), rules.size))
-            if heads.replay > heads.acked:
-                entries = entries[: heads.replay - heads.acked]
+            entries = list(store.read_entries(max(state.acked_seq + 1, state.first_seq), policy.batch_size))
+            if state.replay_until_seq > state.acked_seq:
+                entries = entries[: state.replay_until_seq - state.acked_seq]
             if not entries:
                 return
             first, last = entries[0].seq, entries[-1].seq
-            status, retry_after, body = _post_batch(at, path, batch(entries))
-            ruling = rules.answered(first, last, status, retry_after, body)
-            if ruling.acked >= first:
-                heads.acked = ruling.acked
-                store.acknowledge(heads, first, ruling.acked, first <= heads.replay)
-                acknowledged_count, last_progress = acknowledged_count + ruling.acked - first + 1, time.monotonic()
-            yield acknowledged_count, ruling.fault
-            if ruling.fault and time.monotonic() - last_progress + ruling.wait > patience:
-                raise LedgerError(f"billing: {ruling.fault}; {heads.backlog} entries remain unacknowledged")
-            time.sleep(ruling.wait)
+            status, retry_after, body = _post_batch(address, path, encode_batch(entries))
+            outcome = policy.handle_response(first, last, status, retry_after, body)
+            if outcome.acked_seq >= first:
+                state.acked_seq = outcome.acked_seq
+                store.acknowledge(state, first, outcome.acked_seq, first <= state.replay_until_seq)
+                acknowledged_count, last_progress = acknowledged_count + outcome.acked_seq - first + 1, time.monotonic()
+            yield acknowledged_count, outcome.error
+            if outcome.error and time.monotonic() - last_progress + outcome.delay_seconds > max_stall_seconds:
+                raise LedgerError(f"billing: {outcome.error}; {state.backlog} entries remain unacknowledged")
+            time.sleep(outcome.delay_seconds)
     finally:
         lock.close()
 
 
-def _post_batch(at: tuple[str, int], path: str, body: bytes) -> tuple[int, float, bytes]:
-    connection = http.client.HTTPConnection(*at, timeout=TIMEOUT_SECONDS)
+def _post_batch(address: tuple[str, int], path: str, body: bytes) -> tuple[int, float, bytes]:
+    connection = http.client.HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
     try:
-        connection.request("POST", path, body, {"Content-Type": CONTENT})
+        connection.request("POST", path, body, {"Content-Type": CONTENT_TYPE})
         response = connection.getresponse()
         retry_after = response.getheader("Retry-After", "")
         return response.status, float(retry_after) if retry_after.isdigit() else 0.0, response.read()
--- a/brackenpulley/ledger/service.py
+++ b/brackenpulley/ledger/service.py
@@ -1,4 +1,7 @@
-"""The ledger on the daemon's loop: commits, closing of periods, uploads. Owns the store and the way to billing."""
+"""The ledger on the daemon's event loop: commits, period closing and uploads to billing.
+
+Owns the store and the connection to billing. The daemon creates the service, and the ingress charges use to it.
+"""
 
 from __future__ import annotations
 
@@ -19,275 +22,295 @@
 from ..operator import ExportOptions, LedgerOptions
 from ..policy import interface as i
 from .store import LedgerError, Store, Use
-from .tally import MICRO, Entry, Sum, Tally, ms
-from .upload import CONTENT, Rules, Ruling, batch
+from .tally import MICRO_UNITS_PER_UNIT, Entry, Tally, UsageSum, to_milliseconds
+from .upload import CONTENT_TYPE, UploadOutcome, UploadPolicy, encode_batch
 
-RETRY = 1.0  # s until a store that took nothing is tried again
-DROP_AT_ONCE = 2000  # entries that are let go in one step
-LOCK_AGAIN = 5.0  # s
-IDLE = 5.0  # s between looks for something to send
+STORE_RETRY_SECONDS = 1.0  # between checkpoints while the store fails
+MAX_ENTRIES_PER_DELETION = 2000
+LOCK_RETRY_SECONDS = 5.0  # while another process holds the export lock
+IDLE_SECONDS = 5.0  # between checks for entries to send
 
 
 class LedgerService:
-    def __init__(self, loop: Loop, pool: Pool, part: LedgerOptions, ingress: str, metrics: Metrics, log: Any) -> None:
-        """Raises LedgerError."""
-        self.loop, self.part, self.metrics, self.log = loop, part, metrics, log
-        self.failing = ""  # why the last fold or commit failed
-        self.unstored = False  # the last turn's use is in memory alone
+    """Counts use, stores it before the answers of its turn are sent, and closes periods into entries."""
+
+    def __init__(
+        self, loop: Loop, pool: Pool, options: LedgerOptions, ingress: str, metrics: Metrics, log: Any
+    ) -> None:
+        """Raises LedgerError if the store cannot be opened or recovered."""
+        self.loop, self.options, self.metrics, self.log = loop, options, metrics, log
+        self.failure = ""  # why the store fails, or empty
+        self.has_unstored_uses = False  # use of the last turn is in memory only
         self.uploader: Uploader | None = None
-        self.store = Store(part.path, ingress, part.max_store_bytes, part.sync_interval_seconds)
+        self.store = Store(options.path, ingress, options.max_store_bytes, options.sync_interval_seconds)
         try:
-            heads, sums, turns, said = self.store.begin()
-            self.tally = Tally(heads, ms(part.period_seconds), ms(part.grace_seconds), part.max_backlog, sums)
-            self.uses: list[Use] = []  # counted in this turn
-            self.last: list[str] = []  # ids of the last turn that is stored
-            self.made: list[Entry] = []  # closed, and not stored yet
+            state, sums, turns, notice = self.store.recover()
+            self.tally = Tally(
+                state,
+                to_milliseconds(options.period_seconds),
+                to_milliseconds(options.grace_seconds),
+                options.max_backlog,
+                sums,
+            )
+            self.pending_uses: list[Use] = []  # counted in this turn
+            self.last_ids: list[str] = []  # ids of the last turn counted
+            self.unstored_entries: list[Entry] = []  # closed but not stored yet
             for uses in turns:
                 for _, firm, plan, revision, units, since in uses:
                     self.tally.charge(firm, plan, revision, units, since)
-                self.last = [use[0] for use in uses]
-            heads.turn = max(heads.turn, self.store.newest)
-            self._store()
+                self.last_ids = [use[0] for use in uses]
+            state.turn = max(state.turn, self.store.newest_turn)
+            self._write_checkpoint()
         except LedgerError:
-            self.store.end()
+            self.store.close()
             raise
-        if said:
-            log.info("ledger", said=said)
-        self.answers: list[tuple[Callable[[Answer], None], Answer]] = []
-        self._turn = False
-        if part.export is not None:
-            self.uploader = Uploader(self, pool, part.export)
+        if notice:
+            log.info("ledger", said=notice)
+        self.pending_answers: list[tuple[Callable[[Answer], None], Answer]] = []
+        self._is_turn_scheduled = False
+        if options.export is not None:
+            self.uploader = Uploader(self, pool, options.export)
 
     def start(self) -> None:
-        self._closing()
-        self.loop.call_in(self.store.fold_every, self._folding)
+        """Starts the timers for checkpoints and period closing, and the uploader."""
+        self._close_periods()
+        self.loop.call_in(self.store.checkpoint_interval_seconds, self._run_checkpoint)
         if self.uploader is not None:
             self.uploader.start()
 
-    # Counting: once a turn, before the answers of that turn leave.
+    # Counting. Use is committed once per turn, before the answers of that turn are sent.
 
-    def charge(self, a: i.Charge) -> None:
-        self.tally.charge(a.firm, a.plan, a.revision, a.units, a.since)
-        self.uses.append((a.id, a.firm, a.plan, a.revision, a.units, a.since))
-        self._soon()
+    def charge(self, action: i.Charge) -> None:
+        """Counts use, to be stored at the end of this turn."""
+        self.tally.charge(action.firm, action.plan, action.revision, action.units, action.since)
+        self.pending_uses.append((action.id, action.firm, action.plan, action.revision, action.units, action.since))
+        self._schedule_turn_end()
 
     def answer(self, reply: Callable[[Answer], None], answer: Answer) -> None:
-        """An answer leaves after the use of its turn is stored."""
-        self.answers.append((reply, answer))
-        self._soon()
-
-    def _soon(self) -> None:
-        if not self._turn:
-            self._turn = True
-            self.loop.call_soon(self._end_of_turn)
-
-    def _end_of_turn(self) -> None:
-        self._turn = False
-        if self.uses:
+        """Sends an answer at the end of this turn, after the use of the turn is stored."""
+        self.pending_answers.append((reply, answer))
+        self._schedule_turn_end()
+
+    def _schedule_turn_end(self) -> None:
+        if not self._is_turn_scheduled:
+            self._is_turn_scheduled = True
+            self.loop.call_soon(self._finish_turn)
+
+    def _finish_turn(self) -> None:
+        self._is_turn_scheduled = False
+        if self.pending_uses:
             self.commit()
-        answers, self.answers = self.answers, []
+        answers, self.pending_answers = self.pending_answers, []
         for reply, answer in answers:
             reply(answer)
 
     def commit(self) -> None:
-        """Store what this turn has counted. While that fails it is in memory alone, added up."""
-        uses, self.uses = self.uses, []
-        heads = self.tally.heads
-        heads.turn += 1
-        self.last = [use[0] for use in uses]
+        """Appends the use of this turn to the log. While that fails, only the sums in memory hold it."""
+        uses, self.pending_uses = self.pending_uses, []
+        state = self.tally.state
+        state.turn += 1
+        self.last_ids = [use[0] for use in uses]
         try:
-            self.store.append(heads.turn, uses)
-        except LedgerError:  # the log is full: all of it goes into the store at once
-            self.unstored = True
-            self.fold()
+            self.store.append(state.turn, uses)
+        except LedgerError:  # the log is full: write a checkpoint instead
+            self.has_unstored_uses = True
+            self.checkpoint()
             return
         self.metrics.add("ledger_commits")
 
-    def fold(self) -> bool:
-        """Bring all into the store. What cannot be stored stays in memory, added up, and is tried again."""
-        if self.uses:  # a timer's turn: what is counted already must stand under a turn, or it would be counted again
+    def checkpoint(self) -> bool:
+        """Writes a checkpoint and returns whether it succeeded. After a failure the sums stay in memory for a retry."""
+        # Called from a timer: the use counted so far needs a turn number, or recovery would count it again.
+        if self.pending_uses:
             self.commit()
-        if not self.tally.changed and not self.made and not self.failing:
+        if not self.tally.changed_keys and not self.unstored_entries and not self.failure:
             return True
         began = time.monotonic()
         try:
-            self._store()
+            self._write_checkpoint()
         except LedgerError as error:
-            self._failed(str(error))
+            self._handle_store_failure(str(error))
             return False
         self.metrics.record_maximum("ledger_fold_us", int((time.monotonic() - began) * 1e6))
-        if self.failing:
-            self.log.info("ledger", said="the store takes entries again")
-            self.failing, self.tally.stalled = "", False
-        self.unstored = False
+        if self.failure:
+            self.log.info("ledger", said="the store accepts writes again")
+            self.failure, self.tally.is_stalled = "", False
+        self.has_unstored_uses = False
         return True
 
-    def _store(self) -> None:
+    def _write_checkpoint(self) -> None:
         tally = self.tally
-        changed: dict[Any, Sum | None] = {key: tally.open.get(key) for key in tally.changed}
-        self.store.fold(tally.heads, changed, self.made, self.last)
-        tally.changed.clear()
-        if self.made:
-            self.metrics.add("ledger_entries", len(self.made))
-            self.made = []
+        changed: dict[Any, UsageSum | None] = {key: tally.open_sums.get(key) for key in tally.changed_keys}
+        self.store.checkpoint(tally.state, changed, self.unstored_entries, self.last_ids)
+        tally.changed_keys.clear()
+        if self.unstored_entries:
+            self.metrics.add("ledger_entries", len(self.unstored_entries))
+            self.unstored_entries = []
             if self.uploader is not None:
-                self.uploader.more()
+                self.uploader.notify_entries()
 
-    def _failed(self, why: str) -> None:
+    def _handle_store_failure(self, reason: str) -> None:
         self.metrics.add("ledger_failures")
-        if not self.failing:
-            self.log.error("ledger", error=why, mode="refuse" if self.part.refuse_on_failure else "serve")
-        self.failing, self.tally.stalled = why, True
+        if not self.failure:
+            self.log.error("ledger", error=reason, mode="refuse" if self.options.refuse_on_failure else "serve")
+        self.failure, self.tally.is_stalled = reason, True
 
-    def _folding(self) -> None:
-        self.fold()
-        self.loop.call_in(RETRY if self.failing else self.store.fold_every, self._folding)
+    def _run_checkpoint(self) -> None:
+        self.checkpoint()
+        self.loop.call_in(
+            STORE_RETRY_SECONDS if self.failure else self.store.checkpoint_interval_seconds, self._run_checkpoint
+        )
 
     @property
     def refuses(self) -> bool:
-        """The operator wants nothing served that cannot be stored."""
-        return self.unstored and self.part.refuse_on_failure
+        """Whether messages must be refused: use cannot be stored, and the operator chose to refuse then."""
+        return self.has_unstored_uses and self.options.refuse_on_failure
 
-    # Closing of periods.
+    # Period closing.
 
-    def _closing(self) -> None:
+    def _close_periods(self) -> None:
         now = self.loop.clock()
-        if not self.failing:
-            self.made += self.tally.close(now)
-            if self.made:
-                self.fold()
-            self._let_go()
-        self.loop.call_at(self.tally.next_close(now), self._closing)
-
-    def _let_go(self) -> None:
-        heads = self.tally.heads
-        until = heads.acked - self.part.kept_entries
-        if until >= heads.first:
+        if not self.failure:
+            self.unstored_entries += self.tally.close(now)
+            if self.unstored_entries:
+                self.checkpoint()
+            self._delete_acknowledged()
+        self.loop.call_at(self.tally.compute_next_close(now), self._close_periods)
+
+    def _delete_acknowledged(self) -> None:
+        state = self.tally.state
+        until = state.acked_seq - self.options.kept_entries
+        if until >= state.first_seq:
             try:
-                self.store.drop(heads, min(until, heads.first + DROP_AT_ONCE - 1))
+                self.store.drop(state, min(until, state.first_seq + MAX_ENTRIES_PER_DELETION - 1))
             except LedgerError as error:
-                self._failed(str(error))
+                self._handle_store_failure(str(error))
 
     def replay(self, first: int) -> None:
-        """Send all from this entry on again. Raises LedgerError."""
-        self.store.replay(self.tally.heads, first)
+        """Sends the entries from `first` on again. Raises LedgerError."""
+        self.store.replay(self.tally.state, first)
         if self.uploader is not None:
-            self.uploader.again()
+            self.uploader.restart()
 
     def status(self) -> dict[str, Any]:
-        heads, uploader = self.tally.heads, self.uploader
+        """Returns the status that the control API reports."""
+        state, uploader = self.tally.state, self.uploader
         return {
-            "ingress": heads.ingress,
-            "epoch": heads.epoch,
-            "countedUnits": heads.counted / MICRO,
-            "tries": heads.tries,
-            "openUnits": self.tally.open_units() / MICRO,
-            "openSums": len(self.tally.open),
-            "nextEntry": heads.next_seq,
-            "acknowledged": heads.acked,
-            "backlog": heads.backlog,
-            "firstKept": heads.first,
-            "periodSeconds": self.tally.length() / 1000,
+            "ingress": state.ingress,
+            "epoch": state.epoch,
+            "countedUnits": state.counted_micro_units / MICRO_UNITS_PER_UNIT,
+            "tries": state.charge_count,
+            "openUnits": self.tally.sum_open_units() / MICRO_UNITS_PER_UNIT,
+            "openSums": len(self.tally.open_sums),
+            "nextEntry": state.next_seq,
+            "acknowledged": state.acked_seq,
+            "backlog": state.backlog,
+            "firstKept": state.first_seq,
+            "periodSeconds": self.tally.compute_period_ms() / 1000,
             "bytes": self.store.used_bytes(),
-            "failing": self.failing,
-            "mode": "refuse" if self.part.refuse_on_failure else "serve",
+            "failing": self.failure,
+            "mode": "refuse" if self.options.refuse_on_failure else "serve",
             "export": uploader.status() if uploader is not None else None,
         }
 
     def stop(self) -> None:
-        """Commits what is left; the store is given back."""
+        """Stops the uploader, writes a last checkpoint and closes the store."""
         if self.uploader is not None:
             self.uploader.stop()
-        self.fold()
-        self.store.end()
+        self.checkpoint()
+        self.store.close()
 
 
 class Uploader:
-    """Sends closed entries to billing, one batch at a time. Owns its connection, closed in `_close` alone."""
+    """Sends closed entries to billing, one batch at a time. Owns its connection, which only `_close` closes."""
 
-    def __init__(self, service: LedgerService, pool: Pool, part: ExportOptions) -> None:
-        self.service, self.pool, self.part = service, pool, part
+    def __init__(self, service: LedgerService, pool: Pool, options: ExportOptions) -> None:
+        self.service, self.pool, self.options = service, pool, options
         self.loop, self.metrics, self.log = service.loop, service.metrics, service.log
-        self.rules = Rules(part.batch_size, part.max_backoff_seconds, random.Random())
+        self.policy = UploadPolicy(options.batch_size, options.max_backoff_seconds, random.Random())
         self.lock: FileLock | None = None
-        self._sock: socket.socket | None = None
-        self._out = b""
-        self._reply: ResponseReader | None = None
-        self._range = (0, 0)
-        self._timer: Timer | None = None
-        self._next: Timer | None = None
-        self._said = ""
-        self._stopped = False
+        self._socket: socket.socket | None = None
+        self._unsent = b""
+        self._response: ResponseReader | None = None
+        self._sent_range = (0, 0)
+        self._timeout_timer: Timer | None = None
+        self._send_timer: Timer | None = None
+        self._last_error = ""
+        self._is_stopped = False
 
     def start(self) -> None:
-        """Take the exporter's lock; another process may be at it."""
-        if self._stopped:
+        """Takes the export lock and starts to send; retries while another process holds the lock."""
+        if self._is_stopped:
             return
         try:
             self.lock = FileLock(
                 self.service.store.path / "export.lock", f"ingress {self.service.store.ingress}", LedgerError
             )
         except (LedgerError, OSError) as error:
-            self._say(str(error))
-            self.loop.call_in(LOCK_AGAIN, self.start)
+            self._log_error_change(str(error))
+            self.loop.call_in(LOCK_RETRY_SECONDS, self.start)
             return
         self._send()
 
-    def more(self) -> None:
-        """There are new entries."""
-        if self._sock is None and self._next is None and self.lock is not None:
-            self._wait(0.0)
+    def notify_entries(self) -> None:
+        """Schedules a send for new entries, unless one is pending or in flight."""
+        if self._socket is None and self._send_timer is None and self.lock is not None:
+            self._schedule_send(0.0)
 
-    def again(self) -> None:
-        """Where to go on has changed."""
-        if self._sock is not None:
+    def restart(self) -> None:
+        """Aborts the batch in flight and sends from the current position, which a replay has changed."""
+        if self._socket is not None:
             self._close()
-        self._wait(0.0)
+        self._schedule_send(0.0)
 
-    def _wait(self, seconds: float) -> None:
-        if self._next is not None:
-            self._next.cancel()
-        self._next = self.loop.call_in(seconds, self._send)
+    def _schedule_send(self, seconds: float) -> None:
+        if self._send_timer is not None:
+            self._send_timer.cancel()
+        self._send_timer = self.loop.call_in(seconds, self._send)
 
     def _send(self) -> None:
-        self._next = None
-        heads = self.service.tally.heads
-        if self._stopped or self._sock is not None or self.lock is None:
+        self._send_timer = None
+        state = self.service.tally.state
+        if self._is_stopped or self._socket is not None or self.lock is None:
             return
-        most = self.rules.size
-        if heads.replay > heads.acked:  # a replay ends where it was asked to, so that `verify` can tell it apart
-            most = min(most, heads.replay - heads.acked)
-        entries = list(self.service.store.entries(max(heads.acked + 1, heads.first), most))
+        max_count = self.policy.batch_size
+        if (
+            state.replay_until_seq > state.acked_seq
+        ):  # a batch does not cross the end of a replay, so that `verify` can tell replayed entries apart
+            max_count = min(max_count, state.replay_until_seq - state.acked_seq)
+        entries = list(self.service.store.read_entries(max(state.acked_seq + 1, state.first_seq), max_count))
         if not entries:
             return
-        self._range = entries[0].seq, entries[-1].seq
-        body = batch(entries)
-        at = self.part.address
-        host = f"[{at[0]}]" if ":" in at[0] else at[0]
-        self._out = (
-            f"POST {self.part.path} HTTP/1.1\r\nHost: {host}:{at[1]}\r\nContent-Type: {CONTENT}\r\n"
+        self._sent_range = entries[0].seq, entries[-1].seq
+        body = encode_batch(entries)
+        address = self.options.address
+        host = f"[{address[0]}]" if ":" in address[0] else address[0]
+        self._unsent = (
+            f"POST {self.options.path} HTTP/1.1\r\nHost: {host}:{address[1]}\r\nContent-Type: {CONTENT_TYPE}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         ).encode() + body
-        self._reply = ResponseReader()
+        self._response = ResponseReader()
         self.metrics.add("export_sends")
         try:
-            self._sock = sockets.connect(at)
+            self._socket = sockets.connect(address)
         except OSError:
-            self._answered(0, 0.0, b"")
+            self._handle_response(0, 0.0, b"")
             return
-        self.loop.register(self._sock, WRITE, self._event)
-        self._timer = self.loop.call_in(self.part.timeout_seconds, lambda: self._answered(0, 0.0, b""))
+        self.loop.register(self._socket, WRITE, self._handle_socket_event)
+        self._timeout_timer = self.loop.call_in(
+            self.options.timeout_seconds, lambda: self._handle_response(0, 0.0, b"")
+        )
 
-    def _event(self, events: int) -> None:
-        sock, reply = self._sock, self._reply
+    def _handle_socket_event(self, events: int) -> None:
+        sock, reply = self._socket, self._response
         assert sock is not None and reply is not None
         try:
-            if self._out:
+            if self._unsent:
                 if sockets.connect_error(sock):
                     raise OSError("connect")
-                self._out = self._out[sock.send(self._out) :]
-                self.loop.set_interest(sock, READ | WRITE if self._out else READ, self._event)
-                if self._out or not events & READ:
+                self._unsent = self._unsent[sock.send(self._unsent) :]
+                self.loop.set_interest(sock, READ | WRITE if self._unsent else READ, self._handle_socket_event)
+                if self._unsent or not events & READ:
                     return
             buffer = self.pool.acquire()
             try:
@@ -301,81 +324,85 @@
         except BlockingIOError:
             return
         except (OSError, MalformedResponseError):
-            self._answered(0, 0.0, b"")
+            self._handle_response(0, 0.0, b"")
             return
         if reply.is_complete:
-            self._answered(reply.status, retry_after(reply), reply.body)
+            self._handle_response(reply.status, retry_after(reply), reply.body)
         elif not count:
-            self._answered(0, 0.0, b"")
+            self._handle_response(0, 0.0, b"")
 
-    def _answered(self, status: int, after: float, body: bytes) -> None:
+    def _handle_response(self, status: int, retry_after_seconds: float, body: bytes) -> None:
         self._close()
-        first, last = self._range
-        ruling = self.rules.answered(first, last, status, after, body)
-        heads = self.service.tally.heads
-        if ruling.acked >= first and not self._acknowledge(first, ruling):
+        first, last = self._sent_range
+        outcome = self.policy.handle_response(first, last, status, retry_after_seconds, body)
+        state = self.service.tally.state
+        if outcome.acked_seq >= first and not self._acknowledge(first, outcome):
             return
-        if ruling.fault:
+        if outcome.error:
             self.metrics.add("export_faults")
-            self._say(ruling.fault)
-        if heads.backlog > 0:
-            self._wait(ruling.wait)
+            self._log_error_change(outcome.error)
+        if state.backlog > 0:
+            self._schedule_send(outcome.delay_seconds)
 
-    def _acknowledge(self, first: int, ruling: Ruling) -> bool:
-        heads = self.service.tally.heads
-        old, heads.acked = heads.acked, ruling.acked
+    def _acknowledge(self, first: int, outcome: UploadOutcome) -> bool:
+        state = self.service.tally.state
+        old_acked_seq, state.acked_seq = state.acked_seq, outcome.acked_seq
         try:
-            self.service.store.acknowledge(heads, first, ruling.acked, first <= heads.replay)
-        except LedgerError as error:  # billing has them, we cannot note it: they go again under the same ids
-            heads.acked = old
+            self.service.store.acknowledge(state, first, outcome.acked_seq, first <= state.replay_until_seq)
+        except (
+            LedgerError
+        ) as error:  # billing has the entries, but that is not stored: send them again, under the same ids
+            state.acked_seq = old_acked_seq
             self.metrics.add("export_faults")
-            self._say(str(error))
-            self._wait(self.part.max_backoff_seconds)
+            self._log_error_change(str(error))
+            self._schedule_send(self.options.max_backoff_seconds)
             return False
-        self.metrics.add("export_entries", ruling.acked - first + 1)
-        if self._said and not ruling.fault:
-            self._say("")
+        self.metrics.add("export_entries", outcome.acked_seq - first + 1)
+        if self._last_error and not outcome.error:
+            self._log_error_change("")
         return True
 
-    def _say(self, text: str) -> None:
-        """A line where it changes, not one a try."""
-        if text != self._said:
-            self._said = text
+    def _log_error_change(self, text: str) -> None:
+        """Logs an error when it changes, rather than once per retry."""
+        if text != self._last_error:
+            self._last_error = text
             if text:
                 self.log.error("export", error=text)
             else:
-                self.log.info("export", said="billing takes entries again")
+                self.log.info("export", said="billing accepts entries again")
 
     def status(self) -> dict[str, Any]:
+        """Returns the part of the status about the export."""
         return {
-            "to": f"{self.part.address[0]}:{self.part.address[1]}{self.part.path}",
-            "batch": self.rules.size,
-            "failures": self.rules.failures,
-            "fault": self._said,
+            "to": f"{self.options.address[0]}:{self.options.address[1]}{self.options.path}",
+            "batch": self.policy.batch_size,
+            "failures": self.policy.failures,
+            "fault": self._last_error,
         }
 
     def _close(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        if self._sock is not None:
-            self.loop.unregister(self._sock)
-            self._sock.close()
-            self._sock = None
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+            self._timeout_timer = None
+        if self._socket is not None:
+            self.loop.unregister(self._socket)
+            self._socket.close()
+            self._socket = None
 
     def stop(self) -> None:
-        self._stopped = True
+        """Closes the connection and releases the export lock."""
+        self._is_stopped = True
         self._close()
-        if self._next is not None:
-            self._next.cancel()
-            self._next = None
+        if self._send_timer is not None:
+            self._send_timer.cancel()
+            self._send_timer = None
         if self.lock is not None:
             self.lock.close()
             self.lock = None
 
 
 def retry_after(reply: ResponseReader) -> float:
-    """Seconds of Retry-After (RFC 9110, 10.2.3: a number or a date); 0 where there is none."""
+    """Returns the seconds of Retry-After (RFC 9110, 10.2.3: a number or a date), or 0 without a valid one."""
     for name, value in reply.headers:
         if name == b"retry-after":
             text = value.decode("ascii", "replace").strip()
--- a/brackenpulley/ledger/store.py
+++ b/brackenpulley/ledger/store.py
@@ -1,13 +1,18 @@
-"""The ledger on disk: a log of turns, folded into LMDB. One writer at a time, which the lock's file names.
+"""The ledger on disk: a write-ahead log of event-loop turns, checkpointed into LMDB.
 
-Each turn of the loop that counted something is one record in `turns.log`, a mapped file whose room is taken at the
-start: what was copied there survives kill -9. Now and then all that was added up since goes into LMDB in one
-transaction, written through to the disk, and the log begins anew; what still stands in it from before is known by its
-turn. A start folds what is in the log; a record cut off was of a turn whose answers had not left. A commit of LMDB in
-each turn was measured first (1.15 to 1.20 of the CPU a message), then a log that grows by write (1.09 to 1.14).
+A lock file names the one process that may write. The daemon's ledger service writes the store; the commands read it,
+and write it while no daemon runs.
 
-A loss of power costs what the log holds, so at most the time between two folds; none where `sync` is 0 and each record
-is written through."""
+Each turn of the loop that counted use is one record in `turns.log`, a memory-mapped file that is preallocated at the
+start: what was copied into the mapping survives kill -9. A periodic checkpoint writes the sums changed since the last
+one to LMDB in one durable transaction, and the log restarts at its beginning; older records behind the new ones are
+recognised by their turn number. Recovery replays the log. A truncated record belongs to a turn whose answers had not
+been sent. An LMDB commit in each turn cost 1.15 to 1.20 times the CPU per message, and a log that grows by write() 1.09
+to 1.14 times.
+
+A power failure loses what is in the log, at most the use between two checkpoints; nothing is lost if
+`sync_interval_seconds` is 0, as each record is then flushed to disk.
+"""
 
 from __future__ import annotations
 
@@ -24,34 +29,37 @@
 import xxhash
 
 from ..lock import FileLock
-from .tally import Entry, Heads, Key, Sum
+from .tally import Entry, LedgerState, UsageKey, UsageSum
 
-FORMAT = 1
-LOG = 1 << 20  # bytes of the log
-FOLD = 1.0  # s between folds where each record is written through
-RECORD = struct.Struct("<II")  # length and xxh32 of what follows
-Use = tuple[str, int, str, int, float, float]  # id, firm, plan, revision, units, since: see Tally.charge
+FORMAT_VERSION = 1
+LOG_BYTES = 1 << 20
+DEFAULT_CHECKPOINT_INTERVAL_SECONDS = 1.0  # if each record is flushed to disk
+RECORD_HEADER = struct.Struct("<II")  # length and xxh32 checksum of the body that follows
+Use = tuple[str, int, str, int, float, float]  # id, firm, plan, revision, units, since; see Tally.charge
 Totals = dict[tuple[int, str, int], int]
-packed = msgspec.msgpack.Encoder().encode
-_key = msgspec.msgpack.Decoder(Key)
-_sum = msgspec.msgpack.Decoder(Sum)
-_entry = msgspec.msgpack.Decoder(Entry)
-_any = msgspec.msgpack.Decoder()
+encode = msgspec.msgpack.Encoder().encode
+_key_decoder = msgspec.msgpack.Decoder(UsageKey)
+_sum_decoder = msgspec.msgpack.Decoder(UsageSum)
+_entry_decoder = msgspec.msgpack.Decoder(Entry)
+_any_decoder = msgspec.msgpack.Decoder()
 
 
 class LedgerError(RuntimeError):
-    """The ledger cannot be used; the text says why and what to do."""
+    """The ledger cannot be used; the message gives the cause and, where there is one, the remedy."""
 
 
-def number(seq: int) -> bytes:
+def encode_seq(seq: int) -> bytes:
+    """Encodes a sequence number as a key that sorts in numeric order."""
     return seq.to_bytes(8, "big")
 
 
 class Store:
-    """Owns the environment and the writer's lock. `ingress` empty = for reading alone."""
+    """Owns the LMDB environment, the log and the writer lock. Read-only if `ingress` is empty."""
 
-    def __init__(self, path: str, ingress: str = "", size: int = 256 << 20, sync: float = 1.0) -> None:
-        self.path, self.ingress, self.sync = Path(path), ingress, sync
+    def __init__(
+        self, path: str, ingress: str = "", max_bytes: int = 256 << 20, sync_interval_seconds: float = 1.0
+    ) -> None:
+        self.path, self.ingress, self.sync_interval_seconds = Path(path), ingress, sync_interval_seconds
         self.lock: FileLock | None = None
         if ingress:
             try:
@@ -62,13 +70,15 @@
         elif not (self.path / "data.mdb").is_file():
             raise LedgerError(f"{path}: no ledger")
         try:
-            self._log = self._map() if ingress else None
-            self._size = 0  # bytes of the log that hold records since the last fold
-            self.newest = 0  # the last turn that `turns` has met: one that found no room may be missing before it
+            self._log = self._map_log() if ingress else None
+            self._log_used_bytes = 0  # bytes of the log that hold records since the last checkpoint
+            self.newest_turn = (
+                0  # highest turn in the log; earlier ones may be missing, as a turn that did not fit is not logged
+            )
             self.env = lmdb.open(
-                str(self.path), map_size=size, max_dbs=5, readonly=not ingress, readahead=False, meminit=False
+                str(self.path), map_size=max_bytes, max_dbs=5, readonly=not ingress, readahead=False, meminit=False
             )
-            self._open, self._entries, self._meta, self._totals, self._acks = (
+            self._open_db, self._entries_db, self._meta_db, self._totals_db, self._acks_db = (
                 self.env.open_db(name, create=bool(ingress)) for name in (b"open", b"entry", b"meta", b"total", b"ack")
             )
         except (lmdb.Error, OSError) as error:
@@ -77,83 +87,88 @@
             raise LedgerError(f"{path}: {error}") from None
 
     @property
-    def fold_every(self) -> float:
-        """Seconds between two folds."""
-        return self.sync or FOLD
-
-    def begin(self) -> tuple[Heads, dict[Key, Sum], list[list[Use]], str]:
-        """Take the store over for writing: where it stands, what is open, the turns that are still to be counted, and
-        a line to log or nothing. The caller counts these and folds."""
-        said = ""
-        with self.env.begin() as txn:
-            found, _ = self._heads(txn)
-        heads = found or Heads(self.ingress, secrets.token_hex(4))
-        turns = list(self.turns(heads.turn))
+    def checkpoint_interval_seconds(self) -> float:
+        """Seconds between two checkpoints."""
+        return self.sync_interval_seconds or DEFAULT_CHECKPOINT_INTERVAL_SECONDS
+
+    def recover(self) -> tuple[LedgerState, dict[UsageKey, UsageSum], list[list[Use]], str]:
+        """Loads the store for writing after a start.
+
+        Returns the state, the open sums, the logged turns that are not checkpointed yet, and a line to log or an empty
+        string. The caller counts these turns and writes a checkpoint. Raises LedgerError.
+        """
+        notice = ""
+        with self.env.begin() as transaction:
+            stored_state, _ = self._read_state(transaction)
+        state = stored_state or LedgerState(self.ingress, secrets.token_hex(4))
+        turns = list(self.read_turns(state.turn))
         if turns:
-            said = f"{len(turns)} turns folded"
-        if heads.ingress != self.ingress:
-            said = f"taken over from ingress {heads.ingress}"
-            heads.ingress, heads.epoch = self.ingress, secrets.token_hex(4)
-        return heads, self.sums(), turns, said
+            notice = f"{len(turns)} turns folded"
+        if state.ingress != self.ingress:
+            notice = f"taken over from ingress {state.ingress}"
+            state.ingress, state.epoch = self.ingress, secrets.token_hex(4)
+        return state, self.read_open_sums(), turns, notice
 
-    def _map(self) -> mmap.mmap:
+    def _map_log(self) -> mmap.mmap:
         file = os.open(self.path / "turns.log", os.O_RDWR | os.O_CREAT, 0o644)
         try:
-            os.posix_fallocate(file, 0, LOG)  # a disk that fills up later cannot make a copy into it fail
-            return mmap.mmap(file, LOG)
+            os.posix_fallocate(file, 0, LOG_BYTES)  # a disk that fills up later cannot fail a write to the mapping
+            return mmap.mmap(file, LOG_BYTES)
         finally:
             os.close(file)
 
-    def turns(self, after: int) -> Iterator[list[Use]]:
-        """What the log holds behind turn `after`, up to the first record that is not whole. What stands there from
-        before a fold has turns up to `after`."""
+    def read_turns(self, after: int) -> Iterator[list[Use]]:
+        """Yields the uses of each logged turn later than `after`, up to the first truncated or corrupt record.
+
+        Records that remain from before the last checkpoint have turns up to `after`.
+        """
         with open(self.path / "turns.log", "rb") as file:
             data = file.read()
-        self._size = 0
-        while self._size + RECORD.size <= len(data):
-            length, checksum = RECORD.unpack_from(data, self._size)
-            begin = self._size + RECORD.size
-            body = data[begin : begin + length]
+        self._log_used_bytes = 0
+        while self._log_used_bytes + RECORD_HEADER.size <= len(data):
+            length, checksum = RECORD_HEADER.unpack_from(data, self._log_used_bytes)
+            body_start = self._log_used_bytes + RECORD_HEADER.size
+            body = data[body_start : body_start + length]
             if not length or len(body) < length or xxhash.xxh32_intdigest(body) != checksum:
                 return
-            self._size = begin + length
-            turn, uses = _any.decode(body)
-            self.newest = max(self.newest, turn)
+            self._log_used_bytes = body_start + length
+            turn, uses = _any_decoder.decode(body)
+            self.newest_turn = max(self.newest_turn, turn)
             if turn > after:
                 yield [tuple(use) for use in uses]
 
     def append(self, turn: int, uses: list[Use]) -> None:
-        """What this turn has counted. Raises LedgerError, and then nothing of it is stored."""
-        body = packed((turn, uses))
-        record = RECORD.pack(len(body), xxhash.xxh32_intdigest(body)) + body
-        end = self._size + len(record)
-        if end > LOG or self._log is None:
+        """Appends the uses of a turn to the log. Raises LedgerError, and then none of them is stored."""
+        body = encode((turn, uses))
+        record = RECORD_HEADER.pack(len(body), xxhash.xxh32_intdigest(body)) + body
+        end = self._log_used_bytes + len(record)
+        if end > LOG_BYTES or self._log is None:
             raise LedgerError(f"{self.path}: the log is full")
-        self._log[self._size : end] = record
-        if not self.sync:
+        self._log[self._log_used_bytes : end] = record
+        if not self.sync_interval_seconds:
             try:
                 self._log.flush()
             except OSError as error:
                 raise LedgerError(f"{self.path}: {error.strerror}") from None
-        self._size = end
+        self._log_used_bytes = end
 
-    def heads(self) -> Heads:
-        """Where the store stood at its last fold. Raises LedgerError."""
-        with self.env.begin() as txn:
-            heads, _ = self._heads(txn)
-        if heads is None:
+    def read_state(self) -> LedgerState:
+        """Returns the state as of the last checkpoint. Raises LedgerError."""
+        with self.env.begin() as transaction:
+            state, _ = self._read_state(transaction)
+        if state is None:
             raise LedgerError(f"{self.path}: no ledger")
-        return heads
+        return state
 
-    def _heads(self, txn: Any) -> tuple[Heads | None, list[str]]:
-        """Also the ids of the last turn in them."""
-        data = txn.get(b"heads", db=self._meta)
+    def _read_state(self, transaction: Any) -> tuple[LedgerState | None, list[str]]:
+        """Returns the stored state, and the ids of the last turn that it includes."""
+        data = transaction.get(b"heads", db=self._meta_db)
         if data is None:
             return None, []
-        meta = _any.decode(data)
-        if meta.get("format") != FORMAT:
-            raise LedgerError(f"{self.path}: format {meta.get('format')}, this program reads {FORMAT}")
-        heads = Heads(
+        meta = _any_decoder.decode(data)
+        if meta.get("format") != FORMAT_VERSION:
+            raise LedgerError(f"{self.path}: format {meta.get('format')}, this program reads {FORMAT_VERSION}")
+        state = LedgerState(
             meta["ingress"],
             meta["epoch"],
             meta["next"],
@@ -166,170 +181,202 @@
             meta["replay"],
             meta["turn"],
         )
-        return heads, meta["last"]
+        return state, meta["last"]
 
-    def last_turn(self) -> list[str]:
-        """Ids of what was counted last: what a crash right after it may not have answered."""
-        with self.env.begin() as txn:
-            heads, last = self._heads(txn)
-        turns = list(self.turns(heads.turn if heads else 0))
+    def read_last_turn_ids(self) -> list[str]:
+        """Returns the ids of the last counted turn, whose answers a crash may have prevented."""
+        with self.env.begin() as transaction:
+            state, last = self._read_state(transaction)
+        turns = list(self.read_turns(state.turn if state else 0))
         return [use[0] for use in turns[-1]] if turns else last
 
-    def _change_heads(self, txn: Any, heads: Heads) -> None:
-        """Where the entries stand; what is counted stays as it was folded."""
-        meta = _any.decode(txn.get(b"heads", db=self._meta))
-        meta.update(acked=heads.acked, first=heads.first, dropped=heads.dropped, replay=heads.replay)
-        txn.put(b"heads", packed(meta), db=self._meta)
+    def _update_positions(self, transaction: Any, state: LedgerState) -> None:
+        """Writes the positions among the entries; the counts stay as of the last checkpoint."""
+        meta = _any_decoder.decode(transaction.get(b"heads", db=self._meta_db))
+        meta.update(
+            acked=state.acked_seq,
+            first=state.first_seq,
+            dropped=state.dropped_micro_units,
+            replay=state.replay_until_seq,
+        )
+        transaction.put(b"heads", encode(meta), db=self._meta_db)
 
-    def _put_heads(self, txn: Any, heads: Heads, last: list[str]) -> None:
-        txn.put(
+    def _write_state(self, transaction: Any, state: LedgerState, last_ids: list[str]) -> None:
+        transaction.put(
             b"heads",
-            packed(
+            encode(
                 {
-                    "format": FORMAT,
-                    "ingress": heads.ingress,
-                    "epoch": heads.epoch,
-                    "next": heads.next_seq,
-                    "acked": heads.acked,
-                    "closed": heads.closed,
-                    "first": heads.first,
-                    "dropped": heads.dropped,
-                    "replay": heads.replay,
-                    "counted": heads.counted,
-                    "tries": heads.tries,
-                    "turn": heads.turn,
-                    "last": last,
+                    "format": FORMAT_VERSION,
+                    "ingress": state.ingress,
+                    "epoch": state.epoch,
+                    "next": state.next_seq,
+                    "acked": state.acked_seq,
+                    "closed": state.closed_until_ms,
+                    "first": state.first_seq,
+                    "dropped": state.dropped_micro_units,
+                    "replay": state.replay_until_seq,
+                    "counted": state.counted_micro_units,
+                    "tries": state.charge_count,
+                    "turn": state.turn,
+                    "last": last_ids,
                 }
             ),
-            db=self._meta,
+            db=self._meta_db,
         )
 
-    def fold(self, heads: Heads, changed: dict[Key, Sum | None], made: list[Entry], last: list[str]) -> None:
-        """All that was counted since the last fold, and entries of periods closed since. A sum leaves the open ones
-        (None) in the step that makes it an entry. Raises LedgerError, and then nothing of it is stored."""
+    def checkpoint(
+        self,
+        state: LedgerState,
+        changed_sums: dict[UsageKey, UsageSum | None],
+        closed_entries: list[Entry],
+        last_ids: list[str],
+    ) -> None:
+        """Stores the sums changed and the periods closed since the last checkpoint, in one transaction.
+
+        A changed sum of None has become an entry and is deleted from the open sums. The log is empty afterwards.
+        Raises LedgerError, and then nothing is stored.
+        """
         try:
-            with self.env.begin(write=True) as txn:
-                for key, total in changed.items():
+            with self.env.begin(write=True) as transaction:
+                for key, total in changed_sums.items():
                     if total is None:
-                        txn.delete(packed(key), db=self._open)
+                        transaction.delete(encode(key), db=self._open_db)
                     else:
-                        txn.put(packed(key), packed(total), db=self._open)
-                for entry in made:
-                    txn.put(number(entry.seq), packed(entry), db=self._entries, append=True)
-                    name = packed((entry.key.firm, entry.key.plan, entry.key.revision))
-                    old = txn.get(name, db=self._totals)
-                    txn.put(name, packed((_any.decode(old) if old else 0) + entry.units), db=self._totals)
-                self._put_heads(txn, heads, last)
-            self._size = 0
+                        transaction.put(encode(key), encode(total), db=self._open_db)
+                for entry in closed_entries:
+                    transaction.put(encode_seq(entry.seq), encode(entry), db=self._entries_db, append=True)
+                    name = encode((entry.key.firm, entry.key.plan, entry.key.revision))
+                    old = transaction.get(name, db=self._totals_db)
+                    transaction.put(
+                        name, encode((_any_decoder.decode(old) if old else 0) + entry.units), db=self._totals_db
+                    )
+                self._write_state(transaction, state, last_ids)
+            self._log_used_bytes = 0
         except (lmdb.Error, OSError) as error:
             raise LedgerError(f"{self.path}: {error}") from None
 
-    def acknowledge(self, heads: Heads, first: int, last: int, replay: bool) -> None:
-        """Billing has these; kept beside the entries so that `verify` can tell what was exported twice."""
+    def acknowledge(self, state: LedgerState, first: int, last: int, replay: bool) -> None:
+        """Records that billing has entries `first` to `last`, so that `verify` finds duplicate exports.
+
+        `replay` is True for entries that an operator asked to send again. Raises LedgerError.
+        """
         try:
-            with self.env.begin(write=True) as txn:
-                cursor = txn.cursor(db=self._acks)
+            with self.env.begin(write=True) as transaction:
+                cursor = transaction.cursor(db=self._acks_db)
                 end = cursor.last()
                 place = int.from_bytes(cursor.key(), "big") if end else 0
-                old = _any.decode(cursor.value()) if end else None
+                old = _any_decoder.decode(cursor.value()) if end else None
                 if old and not replay and not old[2] and old[1] + 1 == first:
-                    txn.put(number(place), packed([old[0], last, False]), db=self._acks)
+                    transaction.put(encode_seq(place), encode([old[0], last, False]), db=self._acks_db)
                 else:
-                    txn.put(number(place + 1), packed([first, last, replay]), db=self._acks)
-                self._change_heads(txn, heads)
+                    transaction.put(encode_seq(place + 1), encode([first, last, replay]), db=self._acks_db)
+                self._update_positions(transaction, state)
         except (lmdb.Error, OSError) as error:
             raise LedgerError(f"{self.path}: {error}") from None
 
-    def replay(self, heads: Heads, first: int) -> None:
-        """Entries from this one on go to billing again. Raises LedgerError."""
-        if not heads.first <= first <= heads.acked:
+    def replay(self, state: LedgerState, first: int) -> None:
+        """Marks the acknowledged entries from `first` on to be sent again. Raises LedgerError."""
+        if not state.first_seq <= first <= state.acked_seq:
             raise LedgerError(
-                f"from: {first} is not among the acknowledged entries that are kept, {heads.first} to {heads.acked}"
+                f"from: {first} is not among the acknowledged entries that are kept, "
+                f"{state.first_seq} to {state.acked_seq}"
             )
-        old = heads.acked, heads.replay
-        heads.replay, heads.acked = max(heads.replay, heads.acked), first - 1
+        old = state.acked_seq, state.replay_until_seq
+        state.replay_until_seq, state.acked_seq = max(state.replay_until_seq, state.acked_seq), first - 1
         try:
-            with self.env.begin(write=True) as txn:
-                self._change_heads(txn, heads)
+            with self.env.begin(write=True) as transaction:
+                self._update_positions(transaction, state)
         except (lmdb.Error, OSError) as error:
-            heads.acked, heads.replay = old
+            state.acked_seq, state.replay_until_seq = old
             raise LedgerError(f"{self.path}: {error}") from None
 
-    def drop(self, heads: Heads, until: int) -> int:
-        """Let go of acknowledged entries up to `until`; their sum is kept. Returns how many. Raises LedgerError."""
-        old = heads.first, heads.dropped
+    def drop(self, state: LedgerState, until: int) -> int:
+        """Deletes acknowledged entries up to `until`, keeps their sum, and returns their number. Raises LedgerError."""
+        old = state.first_seq, state.dropped_micro_units
         count = 0
         try:
-            with self.env.begin(write=True) as txn:
-                for seq in range(heads.first, min(until, heads.acked) + 1):
-                    entry = _entry.decode(txn.pop(number(seq), db=self._entries) or b"")
-                    name = packed((entry.key.firm, entry.key.plan, entry.key.revision))
-                    rest = _any.decode(txn.get(name, db=self._totals) or packed(0)) - entry.units
-                    txn.put(name, packed(rest), db=self._totals)
-                    heads.dropped += entry.units
-                    heads.first = seq + 1
+            with self.env.begin(write=True) as transaction:
+                for seq in range(state.first_seq, min(until, state.acked_seq) + 1):
+                    entry = _entry_decoder.decode(transaction.pop(encode_seq(seq), db=self._entries_db) or b"")
+                    name = encode((entry.key.firm, entry.key.plan, entry.key.revision))
+                    rest = _any_decoder.decode(transaction.get(name, db=self._totals_db) or encode(0)) - entry.units
+                    transaction.put(name, encode(rest), db=self._totals_db)
+                    state.dropped_micro_units += entry.units
+                    state.first_seq = seq + 1
                     count += 1
-                self._change_heads(txn, heads)
+                self._update_positions(transaction, state)
         except (lmdb.Error, OSError, msgspec.MsgspecError) as error:
-            heads.first, heads.dropped = old
+            state.first_seq, state.dropped_micro_units = old
             raise LedgerError(f"{self.path}: {error}") from None
         return count
 
-    def sums(self) -> dict[Key, Sum]:
-        """What is open."""
-        with self.env.begin() as txn:
-            return self._sums(txn)
+    def read_open_sums(self) -> dict[UsageKey, UsageSum]:
+        """Returns the open sums."""
+        with self.env.begin() as transaction:
+            return self._read_open_sums(transaction)
 
-    def _sums(self, txn: Any) -> dict[Key, Sum]:
-        return {_key.decode(key): _sum.decode(value) for key, value in txn.cursor(db=self._open)}
+    def _read_open_sums(self, transaction: Any) -> dict[UsageKey, UsageSum]:
+        return {
+            _key_decoder.decode(key): _sum_decoder.decode(value) for key, value in transaction.cursor(db=self._open_db)
+        }
 
-    def _read_totals(self, txn: Any) -> Totals:
-        rows = ((_any.decode(key), _any.decode(value)) for key, value in txn.cursor(db=self._totals))
+    def _read_totals(self, transaction: Any) -> Totals:
+        rows = (
+            (_any_decoder.decode(key), _any_decoder.decode(value))
+            for key, value in transaction.cursor(db=self._totals_db)
+        )
         return {(name[0], name[1], name[2]): units for name, units in rows}
 
-    def _read_acks(self, txn: Any) -> list[tuple[int, int, bool]]:
-        rows = (_any.decode(value) for _, value in txn.cursor(db=self._acks))
+    def _read_acks(self, transaction: Any) -> list[tuple[int, int, bool]]:
+        rows = (_any_decoder.decode(value) for _, value in transaction.cursor(db=self._acks_db))
         return [(first, last, replay) for first, last, replay in rows]
 
-    def entries(self, first: int = 1, most: int = 0) -> Iterator[Entry]:
-        """From this sequence number on."""
-        with self.env.begin() as txn:
-            cursor = txn.cursor(db=self._entries)
-            if cursor.set_range(number(first)):
+    def read_entries(self, first: int = 1, max_count: int = 0) -> Iterator[Entry]:
+        """Yields entries from sequence number `first` on, at most `max_count` of them; 0 for no limit."""
+        with self.env.begin() as transaction:
+            cursor = transaction.cursor(db=self._entries_db)
+            if cursor.set_range(encode_seq(first)):
                 for count, value in enumerate(cursor.iternext(keys=False, values=True)):
-                    if most and count >= most:
+                    if max_count and count >= max_count:
                         break
-                    yield _entry.decode(value)
+                    yield _entry_decoder.decode(value)
 
-    def totals(self) -> Totals:
-        """micro-units of the entries that are kept, by firm, plan and revision."""
-        with self.env.begin() as txn:
-            return self._read_totals(txn)
+    def read_totals(self) -> Totals:
+        """Returns the micro-units of the retained entries by firm, plan and revision."""
+        with self.env.begin() as transaction:
+            return self._read_totals(transaction)
 
-    def acknowledged(self) -> list[tuple[int, int, bool]]:
-        """(first, last, whether it was a replay) of what billing took, in order."""
-        with self.env.begin() as txn:
-            return self._read_acks(txn)
+    def read_acknowledged(self) -> list[tuple[int, int, bool]]:
+        """Returns (first, last, whether it was a replay) of each acknowledged range, in order."""
+        with self.env.begin() as transaction:
+            return self._read_acks(transaction)
 
     def verify(self) -> Iterator[tuple[str, int]]:
-        """See `tally.check`. Reads while a daemon writes: all of it is one moment of the store."""
-        from .tally import check
+        """Yields what `tally.check_ledger` finds. Reads one snapshot, so a daemon may write meanwhile.
 
-        with self.env.begin() as txn:
-            heads, _ = self._heads(txn)
-            if heads is None:
+        Raises LedgerError.
+        """
+        from .tally import check_ledger
+
+        with self.env.begin() as transaction:
+            state, _ = self._read_state(transaction)
+            if state is None:
                 raise LedgerError(f"{self.path}: no ledger")
-            sums, totals, acks = self._sums(txn), self._read_totals(txn), self._read_acks(txn)
-            rows = (_entry.decode(value) for _, value in txn.cursor(db=self._entries))
-            yield from check(heads, sums, rows, totals, acks)
+            sums, totals, acks = (
+                self._read_open_sums(transaction),
+                self._read_totals(transaction),
+                self._read_acks(transaction),
+            )
+            rows = (_entry_decoder.decode(value) for _, value in transaction.cursor(db=self._entries_db))
+            yield from check_ledger(state, sums, rows, totals, acks)
 
     def used_bytes(self) -> int:
-        """Bytes of pages in use; what is free inside the file is used again before it grows."""
+        """Returns the size of all pages up to the last in use; free pages are reused before the file grows."""
         info, stat = self.env.info(), self.env.stat()
         return int((info["last_pgno"] + 1) * stat["psize"])
 
-    def end(self) -> None:
-        """The one place where the store is given back."""
+    def close(self) -> None:
+        """Closes the environment and the log, and releases the writer lock."""
         self.env.close()
         if self._log is not None:
             self._log.close()
--- a/brackenpulley/ledger/tally.py
+++ b/brackenpulley/ledger/tally.py
@@ -1,14 +1,16 @@
-"""What is counted, and how it becomes entries. No I/O; the time is passed in.
+"""Aggregates use into sums, and closes these into ledger entries. No I/O; the time is passed in.
 
-Use is added up by firm, plan, revision and period while the period is open. Once a period has been over for `grace`
-seconds it is closed: each sum becomes an entry under the next sequence number and is never touched again. Use that is
-told later (a true cost, a reservation that lasted) becomes a correction: an entry of its own that names the period it
-corrects. So counted = open + entries, always, and sequence numbers have no gaps.
+Use is summed by firm, plan, revision and period while the period is open. Once a period has been over for the grace
+time it is closed: each sum becomes an entry under the next sequence number and is never changed again. Use that is
+reported later (a true cost, a long reservation) becomes a correction: an entry of its own that names the period it
+corrects. So counted = open + entries always holds, and sequence numbers have no gaps.
 
-The store stays small by adding up, never by dropping: each `backlog` entries that billing has not acknowledged double
-the length of the periods that begin from then on, up to `LONGEST`.
+The store is kept small by aggregation, never by dropping use: each `backlog_per_doubling` entries that billing has not
+acknowledged double the length of the periods that begin from then on, up to `MAX_PERIOD_MS`.
 
-Amounts are whole micro-units, so that sums are exact in any order."""
+Amounts are whole micro-units, so that sums are exact in any order. The ledger service uses this module, and so do the
+commands.
+"""
 
 from __future__ import annotations
 
@@ -17,161 +19,178 @@
 
 import msgspec
 
-MICRO = 1_000_000
-LONGEST = 3_600_000  # ms of a period at most
-DOUBLINGS = 12
+MICRO_UNITS_PER_UNIT = 1_000_000
+MAX_PERIOD_MS = 3_600_000
+MAX_DOUBLINGS = 12
 
 
-class Key(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What use is added up by. `kind` is "use" or "correction"; times in ms of Unix time."""
+class UsageKey(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """What use is summed by. `kind` is "use" or "correction"; times are in milliseconds of Unix time."""
 
     kind: str
-    start: int
-    end: int
+    start_ms: int
+    end_ms: int
     firm: int
     plan: str
     revision: int
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One line of the ledger. `id` is made once, here, and stays the same wherever the entry is sent or taken."""
+    """One line of the ledger. `id` never changes, also when the entry is sent again or the ledger is taken over."""
 
     seq: int
     id: str
-    key: Key
+    key: UsageKey
     units: int  # micro-units
-    tries: int
+    charge_count: int
 
 
-class Sum(msgspec.Struct, array_like=True):
+class UsageSum(msgspec.Struct, array_like=True):
+    """The open sum of one key, in micro-units."""
+
     units: int = 0
-    tries: int = 0
+    charge_count: int = 0
 
 
 @dataclass(slots=True)
-class Heads:
-    """Where the ledger stands."""
+class LedgerState:
+    """The ledger's counters and positions."""
 
     ingress: str
-    epoch: str  # made anew with each store and each taking over by another ingress
+    epoch: str  # new for each store, and when another ingress takes it over
     next_seq: int = 1
-    acked: int = 0  # billing has all up to this one
-    closed: int = 0  # ms: the end of the last closed period
-    first: int = 1  # the oldest entry that is still kept
-    counted: int = 0  # micro-units in all
-    tries: int = 0
-    dropped: int = 0  # micro-units of entries that are no longer kept
-    replay: int = 0  # up to here entries are sent again because somebody asked for it
-    turn: int = 0  # the last turn that is counted
+    acked_seq: int = 0  # billing has acknowledged all entries up to this one
+    closed_until_ms: int = 0  # end of the last closed period
+    first_seq: int = 1  # the oldest retained entry
+    counted_micro_units: int = 0
+    charge_count: int = 0
+    dropped_micro_units: int = 0  # of deleted entries
+    replay_until_seq: int = 0  # end of the entries that an operator asked to send again
+    turn: int = 0  # the last turn counted
 
     @property
     def backlog(self) -> int:
-        return self.next_seq - 1 - self.acked
+        """The number of entries that billing has not acknowledged."""
+        return self.next_seq - 1 - self.acked_seq
 
 
-def micro(units: float) -> int:
-    return round(units * MICRO)
+def to_micro_units(units: float) -> int:
+    """Rounds units to whole micro-units."""
+    return round(units * MICRO_UNITS_PER_UNIT)
 
 
-def ms(seconds: float) -> int:
+def to_milliseconds(seconds: float) -> int:
+    """Converts seconds to whole milliseconds, rounded towards zero."""
     return int(seconds * 1000)
 
 
 @dataclass(slots=True)
 class Tally:
-    heads: Heads
-    period: int  # ms
-    grace: int  # ms
-    backlog: int  # entries without acknowledgement that double the periods
-    open: dict[Key, Sum] = field(default_factory=dict)
-    changed: set[Key] = field(default_factory=set)
-    _near: dict[tuple[int, str, int], tuple[Key, Sum]] = field(default_factory=dict)  # the last open sum of each
-    stalled: bool = False  # the store takes nothing: what is open is kept in memory, in periods as long as can be
-
-    def length(self) -> int:
-        """ms of the periods that begin now."""
-        if self.stalled:
-            return max(self.period, LONGEST)
-        doublings = min(DOUBLINGS, self.heads.backlog // max(1, self.backlog))
-        return max(self.period, min(LONGEST, self.period << doublings))
+    """Sums use by key and period, and closes ended periods into entries."""
+
+    state: LedgerState
+    period_ms: int
+    grace_ms: int
+    backlog_per_doubling: int  # unacknowledged entries that double the period
+    open_sums: dict[UsageKey, UsageSum] = field(default_factory=dict)
+    changed_keys: set[UsageKey] = field(default_factory=set)
+    _latest_sums: dict[tuple[int, str, int], tuple[UsageKey, UsageSum]] = field(
+        default_factory=dict
+    )  # by firm, plan and revision
+    is_stalled: bool = False  # the store fails: sums stay in memory, in periods of the maximum length
+
+    def compute_period_ms(self) -> int:
+        """Returns the length of a period that begins now."""
+        if self.is_stalled:
+            return max(self.period_ms, MAX_PERIOD_MS)
+        doublings = min(MAX_DOUBLINGS, self.state.backlog // max(1, self.backlog_per_doubling))
+        return max(self.period_ms, min(MAX_PERIOD_MS, self.period_ms << doublings))
 
     def charge(self, firm: int, plan: str, revision: int, units: float, since: float) -> None:
-        """Count use that began at `since` (Unix s)."""
-        at, amount, heads = ms(since), micro(units), self.heads
-        heads.counted += amount
-        heads.tries += 1
-        found = self._near.get((firm, plan, revision))
-        if found is None or not found[0].start <= at < found[0].end:
-            found = self._find(at, firm, plan, revision)
+        """Counts use that began at `since`, in seconds of Unix time."""
+        at_ms, amount, state = to_milliseconds(since), to_micro_units(units), self.state
+        state.counted_micro_units += amount
+        state.charge_count += 1
+        found = self._latest_sums.get((firm, plan, revision))
+        if found is None or not found[0].start_ms <= at_ms < found[0].end_ms:
+            found = self._find_sum(at_ms, firm, plan, revision)
         key, total = found
         total.units += amount
-        total.tries += 1
-        self.changed.add(key)
-
-    def _find(self, at: int, firm: int, plan: str, revision: int) -> tuple[Key, Sum]:
-        """The open sum that use of this moment (ms) belongs to."""
-        length = self.length()
-        end = (at // length + 1) * length
-        if at < self.heads.closed:
-            length = self.period
-            start = at // length * length
-            key = Key("correction", start, start + length, firm, plan, revision)
+        total.charge_count += 1
+        self.changed_keys.add(key)
+
+    def _find_sum(self, at_ms: int, firm: int, plan: str, revision: int) -> tuple[UsageKey, UsageSum]:
+        """Returns the open sum that use at `at_ms` belongs to, and creates it if there is none."""
+        length = self.compute_period_ms()
+        end = (at_ms // length + 1) * length
+        if at_ms < self.state.closed_until_ms:
+            length = self.period_ms
+            start = at_ms // length * length
+            key = UsageKey("correction", start, start + length, firm, plan, revision)
         else:
-            key = Key("use", max(end - length, self.heads.closed), end, firm, plan, revision)
-        found = key, self.open.setdefault(key, Sum())
+            key = UsageKey("use", max(end - length, self.state.closed_until_ms), end, firm, plan, revision)
+        found = key, self.open_sums.setdefault(key, UsageSum())
         if key.kind == "use":
-            self._near[firm, plan, revision] = found
+            self._latest_sums[firm, plan, revision] = found
         return found
 
-    def due(self, now: float) -> list[Key]:
-        """Sums of periods that have been over for the time of grace; corrections go with the first close."""
-        until = ms(now) - self.grace
-        ended = [key for key in self.open if key.kind == "use" and key.end <= until]
-        corrections = [key for key in self.open if key.kind == "correction"]
-        if not ended and not (corrections and ms(now) - self.heads.closed >= self.period):
+    def list_due_keys(self, now: float) -> list[UsageKey]:
+        """Returns the keys of periods past their grace time; corrections are closed along with them."""
+        until = to_milliseconds(now) - self.grace_ms
+        ended = [key for key in self.open_sums if key.kind == "use" and key.end_ms <= until]
+        corrections = [key for key in self.open_sums if key.kind == "correction"]
+        if not ended and not (corrections and to_milliseconds(now) - self.state.closed_until_ms >= self.period_ms):
             return []
         return sorted(ended) + sorted(corrections)
 
     def close(self, now: float) -> list[Entry]:
-        """Turn what is due into entries. The caller stores them together with what else has changed."""
-        made = []
-        self._near.clear()
-        for key in self.due(now):
-            total = self.open.pop(key)
-            self.changed.add(key)
-            heads = self.heads
-            made.append(
-                Entry(heads.next_seq, f"{heads.ingress}/{heads.epoch}/{heads.next_seq}", key, total.units, total.tries)
+        """Closes the due sums and returns their entries. The caller stores these along with all other changes."""
+        closed_entries = []
+        self._latest_sums.clear()
+        for key in self.list_due_keys(now):
+            total = self.open_sums.pop(key)
+            self.changed_keys.add(key)
+            state = self.state
+            closed_entries.append(
+                Entry(
+                    state.next_seq,
+                    f"{state.ingress}/{state.epoch}/{state.next_seq}",
+                    key,
+                    total.units,
+                    total.charge_count,
+                )
             )
-            heads.next_seq += 1
+            state.next_seq += 1
             if key.kind == "use":
-                heads.closed = max(heads.closed, key.end)
-        return made
+                state.closed_until_ms = max(state.closed_until_ms, key.end_ms)
+        return closed_entries
 
-    def next_close(self, now: float) -> float:
-        """Unix s at which something may be due next."""
-        ends = [key.end for key in self.open if key.kind == "use"]
-        after = min(ends, default=ms(now) + self.period) + self.grace
+    def compute_next_close(self, now: float) -> float:
+        """Returns the time, in seconds of Unix time, at which a period may be due next."""
+        ends = [key.end_ms for key in self.open_sums if key.kind == "use"]
+        after = min(ends, default=to_milliseconds(now) + self.period_ms) + self.grace_ms
         return max(now + 0.05, after / 1000)
 
-    def open_units(self) -> int:
-        return sum(total.units for total in self.open.values())
+    def sum_open_units(self) -> int:
+        """Returns the micro-units of all open sums."""
+        return sum(total.units for total in self.open_sums.values())
 
 
-def check(
-    heads: Heads,
-    sums: dict[Key, Sum],
+def check_ledger(
+    state: LedgerState,
+    sums: dict[UsageKey, UsageSum],
     entries: Iterator[Entry],
     totals: dict[tuple[int, str, int], int],
     acknowledged: list[tuple[int, int, bool]],
 ) -> Iterator[tuple[str, int]]:
-    """Walk the whole ledger; yields (fault, or nothing, and the entries seen so far).
+    """Checks a whole ledger; yields (fault or empty string, entries checked so far).
 
-    `totals` are kept units of entries by firm, plan and revision; `acknowledged` the ranges that billing took, each
-    with whether it was a replay that somebody asked for."""
-    seen: dict[tuple[int, str, int], int] = {}
+    `totals` are the stored micro-units of entries by firm, plan and revision; `acknowledged` the ranges that billing
+    has, each with whether it was a replay that an operator asked for.
+    """
+    totals_seen: dict[tuple[int, str, int], int] = {}
     ids: set[int] = set()
-    expected, count, closed = heads.first, 0, 0
+    expected, count, closed = state.first_seq, 0, 0
     for entry in entries:
         count += 1
         if entry.seq != expected:
@@ -179,35 +198,35 @@
         if entry.id.rpartition("/")[2] != str(entry.seq) or hash(entry.id) in ids:
             yield f"entry {entry.seq}: id {entry.id} does not belong to it or stands twice", count
         ids.add(hash(entry.id))
-        if entry.units < 0 or entry.tries <= 0:
-            yield f"entry {entry.seq}: {entry.units} micro-units in {entry.tries} tries", count
+        if entry.units < 0 or entry.charge_count <= 0:
+            yield f"entry {entry.seq}: {entry.units} micro-units in {entry.charge_count} tries", count
         key = (entry.key.firm, entry.key.plan, entry.key.revision)
-        seen[key] = seen.get(key, 0) + entry.units
+        totals_seen[key] = totals_seen.get(key, 0) + entry.units
         closed += entry.units
         expected = entry.seq + 1
         yield "", count
-    if expected != heads.next_seq:
-        yield f"sequence: ends at {expected - 1}, and the next one is {heads.next_seq}", count
-    for key in sorted(seen.keys() | totals.keys()):
-        if seen.get(key, 0) != totals.get(key, 0):
+    if expected != state.next_seq:
+        yield f"sequence: ends at {expected - 1}, and the next one is {state.next_seq}", count
+    for key in sorted(totals_seen.keys() | totals.keys()):
+        if totals_seen.get(key, 0) != totals.get(key, 0):
             yield (
                 (
-                    f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: entries hold {seen.get(key, 0)} "
+                    f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: entries hold {totals_seen.get(key, 0)} "
                     f"micro-units, and their kept sum is {totals.get(key, 0)}"
                 ),
                 count,
             )
-    still = sum(total.units for total in sums.values())
-    if heads.counted != closed + heads.dropped + still:
+    open_total = sum(total.units for total in sums.values())
+    if state.counted_micro_units != closed + state.dropped_micro_units + open_total:
         yield (
             (
-                f"sum: counted {heads.counted} micro-units; entries {closed}, no longer kept {heads.dropped}, "
-                f"open {still}"
+                f"sum: counted {state.counted_micro_units} micro-units; entries {closed}, "
+                f"no longer kept {state.dropped_micro_units}, open {open_total}"
             ),
             count,
         )
-    if not 0 <= heads.acked < heads.next_seq:
-        yield f"acknowledged: {heads.acked}, and the next entry is {heads.next_seq}", count
+    if not 0 <= state.acked_seq < state.next_seq:
+        yield f"acknowledged: {state.acked_seq}, and the next entry is {state.next_seq}", count
     until = 0
     for first, last, replay in acknowledged:
         if not replay and first <= until:
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -221,8 +221,8 @@
         assert client.read_http()[0] == 200
         assert serve(r, 1) == 200
         r.advance_clock(3.0)
-        r.run_until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
-        rows = [(e.key.plan, e.key.revision) for e in r.daemon.ledger.store.entries()]
+        r.run_until(lambda: r.daemon.ledger.tally.state.next_seq == 3)
+        rows = [(e.key.plan, e.key.revision) for e in r.daemon.ledger.store.read_entries()]
         assert rows == [("big", 1), ("small", 2)]
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -162,8 +162,8 @@
         r.advance_clock(61.0)
         assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "big"
         r.advance_clock(3.0)
-        r.run_until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
-        rows = [(e.key.plan, e.key.revision, e.units) for e in r.daemon.ledger.store.entries()]
+        r.run_until(lambda: r.daemon.ledger.tally.state.next_seq == 3)
+        rows = [(e.key.plan, e.key.revision, e.units) for e in r.daemon.ledger.store.read_entries()]
         assert rows == [("p", 0, 3_000_000), ("big", 2, 3_000_000)]
 
 
@@ -177,7 +177,7 @@
         assert serve(r, 1, more="X-Reservation: r1\r\nX-Weight: units=4\r\n") == 200
         assert r.daemon.ingress.decision_module.firms[1].level >= level  # paid, and the true cost was 3 of the 4
         assert call(r, tmp_path, "GET", "/v1/reservations/r1")[1]["state"] == "used"
-        assert r.daemon.ledger.tally.heads.counted == 3_000_000
+        assert r.daemon.ledger.tally.state.counted_micro_units == 3_000_000
         assert call(r, tmp_path, "POST", "/v1/reservations/r1/commit", {"units": 4})[0] == 409
 
 
@@ -202,7 +202,7 @@
         r.advance_clock(6.0)
         assert call(r, tmp_path, "POST", "/v1/reservations/r2/commit", {"units": 1.0})[0] == 410
         assert call(r, tmp_path, "GET", "/v1/reservations")[1]["held"] == 0
-        assert r.daemon.ledger.tally.heads.counted == 1_000_000
+        assert r.daemon.ledger.tally.state.counted_micro_units == 1_000_000
         code, told = call(
             r,
             tmp_path,
@@ -224,14 +224,14 @@
         with pytest.raises(Exception, match="MDB_MAP_FULL"):
             while True:
                 with store.env.begin(write=True) as txn:
-                    txn.put(b"filling %d" % blocks, b"x" * 1500, db=store._meta)
+                    txn.put(b"filling %d" % blocks, b"x" * 1500, db=store._meta_db)
                 blocks += 1
         for size in (1500, 1):
             with pytest.raises(LedgerError, match="the log is full"):
                 while True:
                     store.append(0, [("x" * size, 1, "p", 0, 1.0, 0.0)])
         assert serve(r, 1) == 200  # it was taken before anybody knew
-        assert r.count("ledger_failures") >= 1 and r.daemon.ledger.failing
+        assert r.count("ledger_failures") >= 1 and r.daemon.ledger.failure
         if mode == "refuse":
             status, head, _ = r.send_request(2, ident=7).read_http()
             assert status == 503 and b"retry-after" in head.lower()
@@ -239,8 +239,11 @@
             assert serve(r, 2) == 200
         store.env.set_mapsize(4 << 20)  # the operator makes room
         r.advance_clock(1.1)
-        r.run_until(lambda: not r.daemon.ledger.failing)
-        assert serve(r, 3) == 200 and r.daemon.ledger.tally.heads.counted == (6 + 3 * (mode == "serve")) * 1_000_000
+        r.run_until(lambda: not r.daemon.ledger.failure)
+        assert (
+            serve(r, 3) == 200
+            and r.daemon.ledger.tally.state.counted_micro_units == (6 + 3 * (mode == "serve")) * 1_000_000
+        )
 
 
 def test_another_process_at_the_socket_is_not_pushed_away(tmp_path: Path) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -20,9 +20,18 @@
 from brackenpulley.core.exchange import Answer
 from brackenpulley.ledger import files
 from brackenpulley.ledger.service import LedgerService
-from brackenpulley.ledger.store import LedgerError, Store, number, packed
-from brackenpulley.ledger.tally import LONGEST, MICRO, Entry, Heads, Key, Sum, Tally, check
-from brackenpulley.ledger.upload import event
+from brackenpulley.ledger.store import LedgerError, Store, encode, encode_seq
+from brackenpulley.ledger.tally import (
+    MAX_PERIOD_MS,
+    MICRO_UNITS_PER_UNIT,
+    Entry,
+    LedgerState,
+    Tally,
+    UsageKey,
+    UsageSum,
+    check_ledger,
+)
+from brackenpulley.ledger.upload import build_event
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.net.pool import Pool
@@ -33,7 +42,7 @@
 
 
 def tally(**more: Any) -> Tally:
-    return Tally(Heads("n0", "e"), 60_000, 10_000, 100, **more)
+    return Tally(LedgerState("n0", "e"), 60_000, 10_000, 100, **more)
 
 
 def test_use_is_added_up_and_closed_once_its_period_has_been_over_for_the_grace() -> None:
@@ -44,11 +53,11 @@
     end = (int(T0) // 60 + 1) * 60
     assert not t.close(end + 9.9)
     made = t.close(end + 10.0)
-    assert [(e.seq, e.id, e.units, e.tries, e.key.revision) for e in made] == [
+    assert [(e.seq, e.id, e.units, e.charge_count, e.key.revision) for e in made] == [
         (1, "n0/e/1", 7_500_000, 3, 0),
         (2, "n0/e/2", 1_000_000, 1, 4),
     ]
-    assert t.open == {} and t.heads.counted == 8_500_000 and t.heads.closed == end * 1000
+    assert t.open_sums == {} and t.state.counted_micro_units == 8_500_000 and t.state.closed_until_ms == end * 1000
 
 
 def test_use_told_after_its_period_closed_is_a_correction_and_no_edit() -> None:
@@ -57,8 +66,8 @@
     t.close(T0 + 100)
     t.charge(1, "school", 0, 4.0, T0)
     (entry,) = t.close(T0 + 170)
-    assert entry.key.kind == "correction" and entry.seq == 2 and entry.units == 4 * MICRO
-    assert entry.key.start <= T0 * 1000 < entry.key.end
+    assert entry.key.kind == "correction" and entry.seq == 2 and entry.units == 4 * MICRO_UNITS_PER_UNIT
+    assert entry.key.start_ms <= T0 * 1000 < entry.key.end_ms
 
 
 @pytest.mark.parametrize("step", [-7200.0, 7200.0])
@@ -70,21 +79,23 @@
     t.charge(1, "school", 0, 1.0, T0 + 130 + step)
     for n in range(400):
         made += t.close(T0 + 130 + step + n * 60)
-    assert [e.seq for e in made] == [1, 2] and sum(e.units for e in made) == t.heads.counted
+    assert [e.seq for e in made] == [1, 2] and sum(e.units for e in made) == t.state.counted_micro_units
 
 
 def test_without_billing_periods_grow_and_nothing_is_dropped() -> None:
     """An hour at 500 firms: bounded by adding up."""
     t = tally()
-    t.backlog = 1000
+    t.backlog_per_doubling = 1000
     made: list[Entry] = []
     for minute in range(600):
         for firm in range(500):
             t.charge(firm, "school", 0, 1.0, T0 + minute * 60)
         made += t.close(T0 + minute * 60 + 59)
-    assert t.length() >= 8 * 60_000 and len(made) < 15_000
-    assert sum(e.units for e in made) + t.open_units() == t.heads.counted == 300_000 * MICRO
-    spans = sorted({(e.key.start, e.key.end) for e in made})
+    assert t.compute_period_ms() >= 8 * 60_000 and len(made) < 15_000
+    assert (
+        sum(e.units for e in made) + t.sum_open_units() == t.state.counted_micro_units == 300_000 * MICRO_UNITS_PER_UNIT
+    )
+    spans = sorted({(e.key.start_ms, e.key.end_ms) for e in made})
     assert all(first[1] <= second[0] for first, second in zip(spans, spans[1:], strict=False))
 
 
@@ -108,7 +119,9 @@
     def crash(self, torn: bytes) -> None:
         store = self.service.store
         assert store.lock is not None and store._log is not None
-        store._log[store._size : store._size + len(torn)] = torn  # a record that the process was writing when it died
+        store._log[store._log_used_bytes : store._log_used_bytes + len(torn)] = (
+            torn  # a record that the process was writing when it died
+        )
         store._log.close()
         store.env.close()
         store.lock.close()
@@ -137,54 +150,54 @@
                 life.charge(firm, float(amount), life.now - 5.0 * (kind == "late"), answered)
             elif kind == "turn":
                 life.turn()
-                turned = life.service.tally.heads.counted
-                assert sum(answered) * MICRO == turned
+                turned = life.service.tally.state.counted_micro_units
+                assert sum(answered) * MICRO_UNITS_PER_UNIT == turned
             elif kind == "ack":
-                heads = life.service.tally.heads
-                stored = life.service.store.heads().next_seq - 1
-                if heads.acked < stored:
-                    first, heads.acked = heads.acked + 1, stored
-                    life.service.store.acknowledge(heads, first, stored, False)
+                state = life.service.tally.state
+                stored = life.service.store.read_state().next_seq - 1
+                if state.acked_seq < stored:
+                    first, state.acked_seq = state.acked_seq + 1, stored
+                    life.service.store.acknowledge(state, first, stored, False)
             elif kind == "pass":
                 life.now += 0.4 * amount
                 life.turn()
-                turned = life.service.tally.heads.counted
+                turned = life.service.tally.state.counted_micro_units
             else:
                 life.crash(b"\x30\0\0\0torn" if kind == "torn" else b"")
                 life = Life(folder, life.now)
-                assert life.service.tally.heads.counted == turned == sum(answered) * MICRO
+                assert life.service.tally.state.counted_micro_units == turned == sum(answered) * MICRO_UNITS_PER_UNIT
             assert faults(life.service.store) == []
         life.turn()
         life.service.stop()
         store = Store(folder)
-        assert store.heads().counted == sum(answered) * MICRO and faults(store) == []
-        store.end()
+        assert store.read_state().counted_micro_units == sum(answered) * MICRO_UNITS_PER_UNIT and faults(store) == []
+        store.close()
         life.loop.close()
 
 
 def test_a_turn_that_is_missing_from_the_log_does_not_make_the_one_behind_it_count_twice(tmp_path: Path) -> None:
     """A large turn found no room and a small one behind it did; then the process died twice."""
     store = Store(str(tmp_path), "n0", 8 << 20)
-    heads, _, _, _ = store.begin()
-    store.fold(heads, {}, [], [])
+    state, _, _, _ = store.recover()
+    store.checkpoint(state, {}, [], [])
     for turn in (1, 3):
         store.append(turn, [("i", 1, "p", 0, 1.0, T0)])
-    store.end()
+    store.close()
     for _ in range(2):
         life = Life(str(tmp_path), T0 + 1)
-        assert life.service.tally.heads.counted == 2 * MICRO
+        assert life.service.tally.state.counted_micro_units == 2 * MICRO_UNITS_PER_UNIT
         life.crash(b"")
 
 
 def fold(store: Store, t: Tally, made: list[Entry]) -> None:
-    store.fold(t.heads, {key: t.open.get(key) for key in t.changed}, made, [])
-    t.changed.clear()
+    store.checkpoint(t.state, {key: t.open_sums.get(key) for key in t.changed_keys}, made, [])
+    t.changed_keys.clear()
 
 
 def filled(folder: Path, periods: int = 4, firms: int = 3) -> tuple[Store, Tally]:
     store = Store(str(folder), "n0", 32 << 20)
-    heads, sums, _, _ = store.begin()
-    t = Tally(heads, 60_000, 0, 10_000, sums)
+    state, sums, _, _ = store.recover()
+    t = Tally(state, 60_000, 0, 10_000, sums)
     for period in range(periods):
         for firm in range(firms):
             t.charge(firm, "school", 0, 1.5, T0 + period * 60)
@@ -210,24 +223,24 @@
 )
 def test_verify_names_the_first_fault(tmp_path: Path, damage: str, said: str) -> None:
     store, t = filled(tmp_path)
-    store.acknowledge(t.heads, 1, 4, False)
+    store.acknowledge(t.state, 1, 4, False)
     assert faults(store) == []
-    fifth = next(store.entries(5, 1))
+    fifth = next(store.read_entries(5, 1))
     with store.env.begin(write=True) as txn:
         if damage == "gap":
-            txn.delete(number(5), db=store._entries)
+            txn.delete(encode_seq(5), db=store._entries_db)
         elif damage == "units":
-            txn.put(number(5), packed(Entry(5, fifth.id, fifth.key, fifth.units + 1, 1)), db=store._entries)
+            txn.put(encode_seq(5), encode(Entry(5, fifth.id, fifth.key, fifth.units + 1, 1)), db=store._entries_db)
         elif damage == "id":
-            txn.put(number(5), packed(Entry(5, "n0/x/4", fifth.key, fifth.units, 1)), db=store._entries)
+            txn.put(encode_seq(5), encode(Entry(5, "n0/x/4", fifth.key, fifth.units, 1)), db=store._entries_db)
         elif damage == "open":
-            txn.put(packed(Key("use", 0, 1, 9, "p", 0)), packed(Sum(5, 1)), db=store._open)
+            txn.put(encode(UsageKey("use", 0, 1, 9, "p", 0)), encode(UsageSum(5, 1)), db=store._open_db)
         elif damage == "ack twice":
-            txn.put(number(9), packed([3, 8, False]), db=store._acks)
+            txn.put(encode_seq(9), encode([3, 8, False]), db=store._acks_db)
         else:
-            txn.put(number(9), packed([7, 8, False]), db=store._acks)
+            txn.put(encode_seq(9), encode([7, 8, False]), db=store._acks_db)
     assert said in faults(store)[0]
-    store.end()
+    store.close()
     run = subprocess.run(
         [sys.executable, "-m", "brackenpulley", "ledger", "verify", "--path", str(tmp_path)],
         capture_output=True,
@@ -239,48 +252,50 @@
 
 def test_a_replay_is_not_taken_for_a_second_export_and_keeps_its_ids(tmp_path: Path) -> None:
     store, t = filled(tmp_path)
-    before = [event(e) for e in store.entries()]
-    store.acknowledge(t.heads, 1, 12, False)
-    t.heads.acked = 12
+    before = [build_event(e) for e in store.read_entries()]
+    store.acknowledge(t.state, 1, 12, False)
+    t.state.acked_seq = 12
     with pytest.raises(LedgerError, match="from: 13 is not among"):
-        store.replay(t.heads, 13)
-    store.replay(t.heads, 5)
-    assert (t.heads.acked, t.heads.replay) == (4, 12) and [event(e) for e in store.entries()] == before
-    t.heads.acked = 12
-    store.acknowledge(t.heads, 5, 12, True)
+        store.replay(t.state, 13)
+    store.replay(t.state, 5)
+    assert (t.state.acked_seq, t.state.replay_until_seq) == (4, 12) and [
+        build_event(e) for e in store.read_entries()
+    ] == before
+    t.state.acked_seq = 12
+    store.acknowledge(t.state, 5, 12, True)
     assert faults(store) == []
-    assert store.drop(t.heads, 6) == 6 and t.heads.first == 7 and faults(store) == []
-    store.end()
+    assert store.drop(t.state, 6) == 6 and t.state.first_seq == 7 and faults(store) == []
+    store.close()
 
 
 def test_a_taken_over_ledger_keeps_the_ids_of_its_entries_and_begins_an_epoch(tmp_path: Path) -> None:
     store, t = filled(tmp_path, 1)
-    before = [e.id for e in store.entries()]
-    store.end()
+    before = [e.id for e in store.read_entries()]
+    store.close()
     store = Store(str(tmp_path), "n7", 32 << 20)
-    heads, sums, _, said = store.begin()
-    assert said == "taken over from ingress n0" and heads.next_seq == 4 and sums == {}
-    assert heads.epoch not in before[0] and [e.id for e in store.entries()] == before and faults(store) == []
+    state, sums, _, said = store.recover()
+    assert said == "taken over from ingress n0" and state.next_seq == 4 and sums == {}
+    assert state.epoch not in before[0] and [e.id for e in store.read_entries()] == before and faults(store) == []
     with pytest.raises(LedgerError, match=f"held by ingress n7, process {os.getpid()}"):
         Store(str(tmp_path), "n8")
-    store.end()
+    store.close()
 
 
 def test_a_full_store_takes_nothing_and_loses_nothing(tmp_path: Path) -> None:
     store = Store(str(tmp_path), "n0", 1 << 17)
-    heads, sums, _, _ = store.begin()
-    t = Tally(heads, 60_000, 0, 10_000, sums)
+    state, sums, _, _ = store.recover()
+    t = Tally(state, 60_000, 0, 10_000, sums)
     stored = 0
     with pytest.raises(LedgerError, match="MDB_MAP_FULL"):
         for n in range(10_000):
             t.charge(n, "school", 0, 1.0, T0)
             fold(store, t, [])
-            stored = t.heads.counted
-    assert store.heads().counted == stored and faults(store) == []
+            stored = t.state.counted_micro_units
+    assert store.read_state().counted_micro_units == stored and faults(store) == []
     store.env.set_mapsize(1 << 24)  # room again: what was kept in memory goes in
     fold(store, t, [])
-    assert store.heads().counted == t.heads.counted and faults(store) == []
-    store.end()
+    assert store.read_state().counted_micro_units == t.state.counted_micro_units and faults(store) == []
+    store.close()
 
 
 WRITER = """
@@ -288,23 +303,23 @@
 from brackenpulley.ledger.store import Store
 from brackenpulley.ledger.tally import Tally
 store = Store(sys.argv[1], "n0", 64 << 20, 1.0)
-heads, sums, turns, _ = store.begin()
-t = Tally(heads, 20, 0, 10_000, sums)
+state, sums, turns, _ = store.recover()
+tally = Tally(state, 20, 0, 10_000, sums)
 for uses in turns:
-    heads.turn += 1
+    state.turn += 1
     for _, *use in uses:
-        t.charge(*use)
-n = heads.tries
+        tally.charge(*use)
+n = state.charge_count
 while True:
     use = (str(n), n % 7, "p", 0, 1.0, 1.7e9 + n / 1000)
-    t.charge(*use[1:])
+    tally.charge(*use[1:])
     n += 1
-    heads.turn += 1
-    store.append(heads.turn, [use])
+    state.turn += 1
+    store.append(state.turn, [use])
     if n % 50 == 0:
-        made = t.close(1.7e9 + n / 1000)
-        store.fold(heads, {key: t.open.get(key) for key in t.changed}, made, [use[0]])
-        t.changed.clear()
+        closed_entries = tally.close(1.7e9 + n / 1000)
+        store.checkpoint(state, {key: tally.open_sums.get(key) for key in tally.changed_keys}, closed_entries, [use[0]])
+        tally.changed_keys.clear()
     print(n, flush=True)
 """
 
@@ -318,28 +333,28 @@
             run.send_signal(signal.SIGKILL)
             lines += run.stdout.read().splitlines()
         store = Store(str(tmp_path))
-        heads, answered = store.heads(), int(lines[-1])
-        kept = heads.tries + sum(len(uses) for uses in store.turns(heads.turn))
-        assert kept - answered in (0, 1) and store.last_turn() == [str(kept - 1)] and faults(store) == []
-        store.end()
+        state, answered = store.read_state(), int(lines[-1])
+        kept = state.charge_count + sum(len(uses) for uses in store.read_turns(state.turn))
+        assert kept - answered in (0, 1) and store.read_last_turn_ids() == [str(kept - 1)] and faults(store) == []
+        store.close()
 
 
 @pytest.mark.parametrize("cut", [1, 7, 9, 30])
 def test_a_record_that_was_cut_off_ends_the_log_and_old_ones_behind_it_do_not_count(tmp_path: Path, cut: int) -> None:
     store = Store(str(tmp_path), "n0", 8 << 20)
-    heads, _, _, _ = store.begin()
+    state, _, _, _ = store.recover()
     for turn in range(1, 6):
         store.append(turn, [("i" * 16, 1, "p", 0, float(turn), T0)])
-    size = store._size // 5
-    heads.turn = 5
-    store.fold(heads, {}, [], [])
+    size = store._log_used_bytes // 5
+    state.turn = 5
+    store.checkpoint(state, {}, [], [])
     for turn in (6, 7):
         store.append(turn, [("i" * 16, 1, "p", 0, float(turn), T0)])
-    assert [uses[0][4] for uses in store.turns(5)] == [6.0, 7.0]  # 3, 4 and 5 still stand behind them
+    assert [uses[0][4] for uses in store.read_turns(5)] == [6.0, 7.0]  # 3, 4 and 5 still stand behind them
     assert store._log is not None
     store._log[size + cut : 2 * size] = b"\xff" * (size - cut)
-    assert [uses[0][4] for uses in store.turns(5)] == [6.0]
-    store.end()
+    assert [uses[0][4] for uses in store.read_turns(5)] == [6.0]
+    store.close()
 
 
 @pytest.mark.parametrize("kind", ["jsonl", "csv"])
@@ -357,11 +372,11 @@
         assert [json.loads(line)["data"]["seq"] for line in data.splitlines()] == list(range(1, 601))
     else:
         rows = list(csv.DictReader(data.decode().splitlines()))
-        assert sum(float(row["units"]) for row in rows) == t.heads.counted / MICRO
+        assert sum(float(row["units"]) for row in rows) == t.state.counted_micro_units / MICRO_UNITS_PER_UNIT
     Path(cut).write_bytes(b"something else\n")
     with pytest.raises(LedgerError, match=f"is no {kind} export"):
         list(files.export(store, cut, kind))
-    store.end()
+    store.close()
 
 
 def test_a_million_entries_worth_of_checking_grows_in_proportion() -> None:
@@ -372,9 +387,9 @@
         nonlocal seen
         for n in range(1, count + 1):
             seen += 1
-            yield Entry(n, f"n0/e/{n}", Key("use", 0, 1, 5, "p", 0), 1, 1)
+            yield Entry(n, f"n0/e/{n}", UsageKey("use", 0, 1, 5, "p", 0), 1, 1)
 
-    heads = Heads("n0", "e", 20_001, 0, 0, 1, 20_000, 20_000)
+    state = LedgerState("n0", "e", 20_001, 0, 0, 1, 20_000, 20_000)
     began = time.process_time()
-    assert [fault for fault, _ in check(heads, {}, rows(20_000), {(5, "p", 0): 20_000}, []) if fault] == []
-    assert seen == 20_000 and time.process_time() - began < 20 and LONGEST == 3_600_000
+    assert [fault for fault, _ in check_ledger(state, {}, rows(20_000), {(5, "p", 0): 20_000}, []) if fault] == []
+    assert seen == 20_000 and time.process_time() - began < 20 and MAX_PERIOD_MS == 3_600_000
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -19,7 +19,7 @@
 from brackenpulley.core.message import Message
 from brackenpulley.ledger.service import LedgerService
 from brackenpulley.ledger.store import Store
-from brackenpulley.ledger.tally import MICRO
+from brackenpulley.ledger.tally import MICRO_UNITS_PER_UNIT
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.net.pool import Pool
@@ -195,10 +195,13 @@
                 core = Core(folder, core.now)
             core.loop.run_once(0)
             must += core.south.over(core.ingress.exchanges)
-            heads, store = core.ledger.tally.heads, core.ledger.store
-            closed = sum(entry.units for entry in store.entries())
-            assert heads.counted == must * MICRO
-            assert heads.counted == closed + sum(e.units for e in core.ledger.made) + core.ledger.tally.open_units()
+            heads, store = core.ledger.tally.state, core.ledger.store
+            closed = sum(entry.units for entry in store.read_entries())
+            assert heads.counted_micro_units == must * MICRO_UNITS_PER_UNIT
+            assert (
+                heads.counted_micro_units
+                == closed + sum(e.units for e in core.ledger.unstored_entries) + core.ledger.tally.sum_open_units()
+            )
             assert faults(store) == [] and core.loop.metrics.counts["faults"] == 0
         core.ledger.stop()
         core.loop.close()
@@ -226,16 +229,19 @@
     told = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
     with rig(operator=told) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
-        name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
+        name, heads = f"{1:016x}", r.daemon.ledger.tally.state
         level = r.daemon.ingress.decision_module.firms[7].level
-        assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted == 0
+        assert (
+            call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted"
+            and heads.counted_micro_units == 0
+        )
         if end == "committed":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/commit", {"units": 1.0})[0] == 200
         elif end == "released":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/release")[0] == 200
         else:
             r.advance_clock(2.1)
-        assert heads.counted == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO
+        assert heads.counted_micro_units == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO_UNITS_PER_UNIT
         if end != "expired":
             assert r.daemon.ingress.decision_module.firms[7].level >= level + 3.0
 
@@ -243,7 +249,7 @@
 def test_a_daemon_killed_between_upload_and_acknowledgement_sends_the_same_again(tmp_path: Path) -> None:
     """A real process; billing takes the batch and says nothing, the process dies, the next one sends the same ids."""
     store, t = filled(tmp_path / "ledger", 8)
-    store.end()
+    store.close()
     outside = Loop(time.time, Metrics(), Silent())
     servers = [SimServer(outside, "s-0", random.Random(1))]
     discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
@@ -274,10 +280,12 @@
     second.process.terminate()
     until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
-    assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == t.heads.counted
+    assert {billing.had[ident] for ident in before} == {2} and sum(
+        billing.units().values()
+    ) == t.state.counted_micro_units
     last = Store(str(tmp_path / "ledger"))
-    assert last.heads().acked == 24 and faults(last) == []
-    last.end()
+    assert last.read_state().acked_seq == 24 and faults(last) == []
+    last.close()
     for listener in (discovery.listener, counter.listener, billing.listener, servers[0].listener):
         listener.stop()
     outside.close()
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from brackenpulley.ledger.store import Store
-from brackenpulley.ledger.tally import Entry, Key
-from brackenpulley.ledger.upload import LATER, Rules, batch, event
+from brackenpulley.ledger.tally import Entry, UsageKey
+from brackenpulley.ledger.upload import OVERSIZED_RETRY_DELAY_SECONDS, UploadPolicy, build_event, encode_batch
 from brackenpulley.standins.billing import Billing
 
 from .rig import Rig, rig
@@ -23,12 +23,12 @@
 
 def entry(seq: int) -> Entry:
     return Entry(
-        seq, f"n0/e/{seq}", Key("use", 1_700_000_000_000, 1_700_000_060_000, 0xB4D65521, "school", 7), 1_500_000, 2
+        seq, f"n0/e/{seq}", UsageKey("use", 1_700_000_000_000, 1_700_000_060_000, 0xB4D65521, "school", 7), 1_500_000, 2
     )
 
 
 def test_an_event_is_cloudevents_1_0() -> None:
-    assert event(entry(3)) == {
+    assert build_event(entry(3)) == {
         "specversion": "1.0",
         "id": "n0/e/3",
         "source": "/brackenpulley/n0/e",
@@ -75,26 +75,28 @@
     ],
 )
 def test_what_an_answer_means(status: int, after: float, body: bytes, acked: int, waits: Any) -> None:
-    ruling = Rules(10, 30.0, random.Random(1)).answered(11, 20, status, after, body)
-    assert ruling.acked == acked
-    assert ruling.wait == waits if isinstance(waits, float) else (ruling.wait > 0) is waits
-    assert bool(ruling.fault) is (acked == 10)
+    ruling = UploadPolicy(10, 30.0, random.Random(1)).handle_response(11, 20, status, after, body)
+    assert ruling.acked_seq == acked
+    assert ruling.delay_seconds == waits if isinstance(waits, float) else (ruling.delay_seconds > 0) is waits
+    assert bool(ruling.error) is (acked == 10)
 
 
 def test_too_large_is_halved_down_to_one_and_that_one_waits() -> None:
-    rules = Rules(8, 30.0, random.Random(1))
+    rules = UploadPolicy(8, 30.0, random.Random(1))
     sizes = []
     for last in (8, 4, 2):
-        rules.answered(1, last, 413, 0, b"")
-        sizes.append(rules.size)
-    assert sizes == [4, 2, 1] and rules.answered(1, 1, 413, 0, b"").wait == LATER
-    rules.answered(1, 1, 200, 0, b"")
-    assert rules.size == 2
+        rules.handle_response(1, last, 413, 0, b"")
+        sizes.append(rules.batch_size)
+    assert (
+        sizes == [4, 2, 1] and rules.handle_response(1, 1, 413, 0, b"").delay_seconds == OVERSIZED_RETRY_DELAY_SECONDS
+    )
+    rules.handle_response(1, 1, 200, 0, b"")
+    assert rules.batch_size == 2
 
 
 def test_repeats_wait_longer_each_time_up_to_the_longest() -> None:
-    rules = Rules(8, 5.0, random.Random(1))
-    waits = [rules.answered(1, 8, 500, 0, b"").wait for _ in range(40)]
+    rules = UploadPolicy(8, 5.0, random.Random(1))
+    waits = [rules.handle_response(1, 8, 500, 0, b"").delay_seconds for _ in range(40)]
     assert waits[0] < 0.3 and max(waits) <= 5.0 and min(waits[10:]) >= 2.5
 
 
@@ -105,17 +107,17 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_each_entry_counts_once_whatever_billing_does(script: list[str], count: int) -> None:
     """A model of the receiver: it drops ids that it has. Nothing is skipped, and what came twice is the same."""
-    rules, acked, had = Rules(10, 5.0, random.Random(1)), 0, dict[str, bytes]()
+    rules, acked, had = UploadPolicy(10, 5.0, random.Random(1)), 0, dict[str, bytes]()
     rng = random.Random(len(script))
     while acked < count:
         what = script.pop() if script else "take"
-        sent = [entry(n) for n in range(acked + 1, min(count, acked + rules.size) + 1)]
+        sent = [entry(n) for n in range(acked + 1, min(count, acked + rules.batch_size) + 1)]
         taken = sent if what in ("take", "lose") else sent[: rng.randint(0, len(sent))] if what == "part" else []
         for one in taken:
-            assert had.setdefault(one.id, batch([one])) == batch([one])
+            assert had.setdefault(one.id, encode_batch([one])) == encode_batch([one])
         status = {"take": 200, "part": 200, "large": 413, "busy": 429, "error": 500}.get(what, 0)
         body = b'{"acked": %d}' % (sent[0].seq - 1 + len(taken)) if what == "part" else b""
-        acked = rules.answered(sent[0].seq, sent[-1].seq, status, 1, body).acked
+        acked = rules.handle_response(sent[0].seq, sent[-1].seq, status, 1, body).acked_seq
         assert len(had) >= acked
     assert len(had) == count
 
@@ -133,7 +135,7 @@
 
 def billed(r: Rig, billing: Billing, count: int) -> bool:
     billing.loop.run_once(0.001)
-    return len(billing.events) >= count and r.daemon.ledger.tally.heads.backlog == 0
+    return len(billing.events) >= count and r.daemon.ledger.tally.state.backlog == 0
 
 
 @pytest.mark.parametrize(
@@ -147,7 +149,7 @@
 )
 def test_all_reaches_a_failing_billing_once(tmp_path: Path, modes: list[str]) -> None:
     store, t = filled(tmp_path)
-    store.end()
+    store.close()
     import time as clock
 
     from brackenpulley.metrics import Metrics
@@ -182,7 +184,7 @@
 
 def test_two_exports_at_once_the_second_says_who_holds_it(tmp_path: Path) -> None:
     store, t = filled(tmp_path)
-    store.end()
+    store.close()
     with export_rig(tmp_path, "127.0.0.1:1"):
         run = subprocess.run(
             [
@@ -201,4 +203,4 @@
             check=False,
         )
         assert run.returncode == 2 and "held by ingress n0, process" in run.stderr
-    Store(str(tmp_path)).end()
+    Store(str(tmp_path)).close()
