--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -18,7 +18,7 @@
 from brackenpulley.net import sockets
 from brackenpulley.net.loop import Loop
 
-from .test_ledger import Silent
+from .test_ledger import NullLog
 
 KEY = b"k" * 32
 QUICK = Timing(probe=0.2, answer=0.1, gossip=0.04, sync=0.5, forget=8.0, rejoin=0.5)
@@ -26,7 +26,7 @@
 
 class Fleet:
     def __init__(self, size: int) -> None:
-        self.loop = Loop(time.monotonic, Metrics(), Silent())
+        self.loop = Loop(time.monotonic, Metrics(), NullLog())
         self.heard: list[tuple[str, Changed]] = []
         self.members: list[MemberService] = []
         for _ in range(size):
@@ -42,7 +42,7 @@
             1,
             seeds,
             Metrics(),
-            Silent(),
+            NullLog(),
             lambda change: self.heard.append((name, change)),
             QUICK,
         )
@@ -138,7 +138,7 @@
 
 def test_a_port_that_is_taken_is_said_and_nothing_is_left_open() -> None:
     with fleet(1) as f, socket.create_server(("127.0.0.1", 0)) as other:
-        made = MemberService(f.loop, KeyRing("east", KEY), "x", 1, [], Metrics(), Silent(), lambda change: None, QUICK)
+        made = MemberService(f.loop, KeyRing("east", KEY), "x", 1, [], Metrics(), NullLog(), lambda change: None, QUICK)
         with pytest.raises(OSError):
             made.listen(other.getsockname())
         made.stop()
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -36,7 +36,7 @@
 from .rig import rig
 from .test_authz import asker, check, result
 from .test_control import call, operator
-from .test_ledger import T0, Silent, faults, filled
+from .test_ledger import START_TIME, NullLog, fill_store, find_faults
 
 PLANS = [PlanSpec("school", rate=3.0, burst=8.0), PlanSpec("county", rate=7.0, burst=32.0)]
 
@@ -90,14 +90,14 @@
 
     def __init__(self, folder: str, now: float) -> None:
         self.now = now
-        self.loop = Loop(lambda: self.now, Metrics(), Silent())
+        self.loop = Loop(lambda: self.now, Metrics(), NullLog())
         gateway = DecisionModule(
             util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now
         )
-        self.ingress = Ingress(gateway, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
+        self.ingress = Ingress(gateway, lambda: self.now, self.loop, None, self.loop.metrics, NullLog())  # type: ignore
         part = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
-        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, Silent())
-        self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, Silent())
+        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), part, "n0", self.loop.metrics, NullLog())
+        self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, NullLog())
         self.ingress.plans = self.plans
         self.held = self.ingress.reservations = ReservationService(
             self.loop, self.ingress, ReservationsOptions(100, 60.0, 3.0, True), self.loop.metrics
@@ -134,7 +134,7 @@
 def test_counted_is_exported_and_still_held_through_everything(steps: list[tuple[str, int, int]]) -> None:
     """What must be counted is added up beside it: the true cost of what was served, the guess of what a server had."""
     with tempfile.TemporaryDirectory() as folder:
-        core, must, serial, rng = Core(folder, T0), 0.0, 0, random.Random(len(steps))
+        core, must, serial, rng = Core(folder, START_TIME), 0.0, 0, random.Random(len(steps))
         for kind, firm, number in steps:
             core.now += 0.02
             serial += 1
@@ -202,7 +202,7 @@
                 heads.counted_micro_units
                 == closed + sum(e.units for e in core.ledger.unstored_entries) + core.ledger.tally.sum_open_units()
             )
-            assert faults(store) == [] and core.loop.metrics.counts["faults"] == 0
+            assert find_faults(store) == [] and core.loop.metrics.counts["faults"] == 0
         core.ledger.stop()
         core.loop.close()
 
@@ -248,9 +248,9 @@
 
 def test_a_daemon_killed_between_upload_and_acknowledgement_sends_the_same_again(tmp_path: Path) -> None:
     """A real process; billing takes the batch and says nothing, the process dies, the next one sends the same ids."""
-    store, t = filled(tmp_path / "ledger", 8)
+    store, t = fill_store(tmp_path / "ledger", 8)
     store.close()
-    outside = Loop(time.time, Metrics(), Silent())
+    outside = Loop(time.time, Metrics(), NullLog())
     servers = [SimServer(outside, "s-0", random.Random(1))]
     discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
     told = (
@@ -284,7 +284,7 @@
         billing.units().values()
     ) == t.state.counted_micro_units
     last = Store(str(tmp_path / "ledger"))
-    assert last.read_state().acked_seq == 24 and faults(last) == []
+    assert last.read_state().acked_seq == 24 and find_faults(last) == []
     last.close()
     for listener in (discovery.listener, counter.listener, billing.listener, servers[0].listener):
         listener.stop()
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -1,4 +1,4 @@
-"""What goes to billing and what its answers mean; then the uploader on real sockets against a failing stand-in."""
+"""Uploads to billing: events, handling of responses, and the uploader on real sockets against a failing stand-in."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from brackenpulley.standins.billing import Billing
 
 from .rig import Rig, rig
-from .test_ledger import faults, filled
+from .test_ledger import fill_store, find_faults
 
 
 def entry(seq: int) -> Entry:
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "after", "body", "acked", "waits"),
+    ("status", "after", "body", "acked", "delay"),
     [
         (200, 0, b"", 20, False),
         (202, 0, b"{}", 20, False),
@@ -61,7 +61,7 @@
         (200, 0, b'{"acked": 10}', 10, True),
         (200, 0, b'{"acked": true}', 20, False),
         (200, 0, b'{"acked": 9}', 10, True),
-        (200, 0, b'{"acked": 21}', 10, True),  # not ours to believe
+        (200, 0, b'{"acked": 21}', 10, True),  # beyond what was sent
         (409, 0, b"", 20, False),
         (409, 0, b'{"acked": 12}', 12, False),
         (413, 0, b"", 10, False),
@@ -74,30 +74,32 @@
         (0, 0, b"", 10, True),
     ],
 )
-def test_what_an_answer_means(status: int, after: float, body: bytes, acked: int, waits: Any) -> None:
-    ruling = UploadPolicy(10, 30.0, random.Random(1)).handle_response(11, 20, status, after, body)
-    assert ruling.acked_seq == acked
-    assert ruling.delay_seconds == waits if isinstance(waits, float) else (ruling.delay_seconds > 0) is waits
-    assert bool(ruling.error) is (acked == 10)
+def test_responses_set_the_acknowledged_entry_and_the_delay(
+    status: int, after: float, body: bytes, acked: int, delay: Any
+) -> None:
+    outcome = UploadPolicy(10, 30.0, random.Random(1)).handle_response(11, 20, status, after, body)
+    assert outcome.acked_seq == acked
+    assert outcome.delay_seconds == delay if isinstance(delay, float) else (outcome.delay_seconds > 0) is delay
+    assert bool(outcome.error) is (acked == 10)
 
 
-def test_too_large_is_halved_down_to_one_and_that_one_waits() -> None:
-    rules = UploadPolicy(8, 30.0, random.Random(1))
+def test_a_batch_that_is_too_large_is_halved_and_a_single_entry_waits() -> None:
+    policy = UploadPolicy(8, 30.0, random.Random(1))
     sizes = []
     for last in (8, 4, 2):
-        rules.handle_response(1, last, 413, 0, b"")
-        sizes.append(rules.batch_size)
+        policy.handle_response(1, last, 413, 0, b"")
+        sizes.append(policy.batch_size)
     assert (
-        sizes == [4, 2, 1] and rules.handle_response(1, 1, 413, 0, b"").delay_seconds == OVERSIZED_RETRY_DELAY_SECONDS
+        sizes == [4, 2, 1] and policy.handle_response(1, 1, 413, 0, b"").delay_seconds == OVERSIZED_RETRY_DELAY_SECONDS
     )
-    rules.handle_response(1, 1, 200, 0, b"")
-    assert rules.batch_size == 2
+    policy.handle_response(1, 1, 200, 0, b"")
+    assert policy.batch_size == 2
 
 
-def test_repeats_wait_longer_each_time_up_to_the_longest() -> None:
-    rules = UploadPolicy(8, 5.0, random.Random(1))
-    waits = [rules.handle_response(1, 8, 500, 0, b"").delay_seconds for _ in range(40)]
-    assert waits[0] < 0.3 and max(waits) <= 5.0 and min(waits[10:]) >= 2.5
+def test_retries_back_off_up_to_the_maximum_delay() -> None:
+    policy = UploadPolicy(8, 5.0, random.Random(1))
+    delays = [policy.handle_response(1, 8, 500, 0, b"").delay_seconds for _ in range(40)]
+    assert delays[0] < 0.3 and max(delays) <= 5.0 and min(delays[10:]) >= 2.5
 
 
 @given(
@@ -106,29 +108,35 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_each_entry_counts_once_whatever_billing_does(script: list[str], count: int) -> None:
-    """A model of the receiver: it drops ids that it has. Nothing is skipped, and what came twice is the same."""
-    rules, acked, had = UploadPolicy(10, 5.0, random.Random(1)), 0, dict[str, bytes]()
+    """Models a receiver that drops known ids. No entry is skipped, and one that is sent twice has the same content."""
+    policy, acked, received = UploadPolicy(10, 5.0, random.Random(1)), 0, dict[str, bytes]()
     rng = random.Random(len(script))
     while acked < count:
-        what = script.pop() if script else "take"
-        sent = [entry(n) for n in range(acked + 1, min(count, acked + rules.batch_size) + 1)]
-        taken = sent if what in ("take", "lose") else sent[: rng.randint(0, len(sent))] if what == "part" else []
+        behaviour = script.pop() if script else "take"
+        sent_entries = [entry(n) for n in range(acked + 1, min(count, acked + policy.batch_size) + 1)]
+        taken = (
+            sent_entries
+            if behaviour in ("take", "lose")
+            else sent_entries[: rng.randint(0, len(sent_entries))]
+            if behaviour == "part"
+            else []
+        )
         for one in taken:
-            assert had.setdefault(one.id, encode_batch([one])) == encode_batch([one])
-        status = {"take": 200, "part": 200, "large": 413, "busy": 429, "error": 500}.get(what, 0)
-        body = b'{"acked": %d}' % (sent[0].seq - 1 + len(taken)) if what == "part" else b""
-        acked = rules.handle_response(sent[0].seq, sent[-1].seq, status, 1, body).acked_seq
-        assert len(had) >= acked
-    assert len(had) == count
+            assert received.setdefault(one.id, encode_batch([one])) == encode_batch([one])
+        status = {"take": 200, "part": 200, "large": 413, "busy": 429, "error": 500}.get(behaviour, 0)
+        body = b'{"acked": %d}' % (sent_entries[0].seq - 1 + len(taken)) if behaviour == "part" else b""
+        acked = policy.handle_response(sent_entries[0].seq, sent_entries[-1].seq, status, 1, body).acked_seq
+        assert len(received) >= acked
+    assert len(received) == count
 
 
-def export_rig(tmp_path: Path, port: str, **more: Any) -> Any:
+def export_rig(tmp_path: Path, port: str, **options: Any) -> Any:
     ledger = {
         "path": str(tmp_path),
         "period_s": 60.0,
         "grace_s": 0.0,
         "export": {"url": f"http://{port}/use", "batch": 5, "longest_wait_s": 0.5, "timeout_s": 0.5},
-        **more,
+        **options,
     }
     return rig(operator={"ledger": ledger})
 
@@ -147,8 +155,8 @@
         ["429", "silent", "part", "lost", "413", "takes"],
     ],
 )
-def test_all_reaches_a_failing_billing_once(tmp_path: Path, modes: list[str]) -> None:
-    store, t = filled(tmp_path)
+def test_a_failing_billing_service_gets_all_entries_once(tmp_path: Path, modes: list[str]) -> None:
+    store, tally = fill_store(tmp_path)
     store.close()
     import time as clock
 
@@ -171,19 +179,19 @@
         billing.mode = "takes"
         r.run_until(lambda: billed(r, billing, 12))
         assert len(billing.events) == 12 and billing.faults == []
-        assert sum(billing.units().values()) == 12 * 1_500_000 and faults(r.daemon.ledger.store) == []
-        # Billing is restored from a backup: what it lost goes again, under the ids that it had.
+        assert sum(billing.units().values()) == 12 * 1_500_000 and find_faults(r.daemon.ledger.store) == []
+        # Billing is restored from a backup: the entries that it lost are sent again, under the same ids.
         before = dict(billing.events)
         billing.restore(7)
         r.daemon.ledger.replay(8)
         r.run_until(lambda: billed(r, billing, 12))
-        assert billing.events == before and faults(r.daemon.ledger.store) == []
+        assert billing.events == before and find_faults(r.daemon.ledger.store) == []
     billing.listener.stop()
     outside.close()
 
 
-def test_two_exports_at_once_the_second_says_who_holds_it(tmp_path: Path) -> None:
-    store, t = filled(tmp_path)
+def test_a_second_exporter_reports_the_holder_of_the_lock(tmp_path: Path) -> None:
+    store, tally = fill_store(tmp_path)
     store.close()
     with export_rig(tmp_path, "127.0.0.1:1"):
         run = subprocess.run(
