--- a/brackenpulley/ledger/push.py
+++ b/brackenpulley/ledger/push.py
@@ -23,7 +23,7 @@
     """Sends all unacknowledged entries; yields (entries acknowledged so far, error text or empty) for each batch.
 
     Holds the export lock, so that a concurrent exporter fails with the name of the holder. Gives up `max_stall_seconds`
-    seconds after the last acknowledgement. Raises LedgerError.
+    after the last acknowledgement. Raises LedgerError.
     """
     lock = FileLock(store.path / "export.lock", "ledger push", LedgerError)
     try:
--- a/brackenpulley/ledger/store.py
+++ b/brackenpulley/ledger/store.py
@@ -72,9 +72,8 @@
         try:
             self._log = self._map_log() if ingress else None
             self._log_used_bytes = 0  # bytes of the log that hold records since the last checkpoint
-            self.newest_turn = (
-                0  # highest turn in the log; earlier ones may be missing, as a turn that did not fit is not logged
-            )
+            # The highest turn in the log. Earlier ones may be missing, as a turn that did not fit is not logged.
+            self.newest_turn = 0
             self.env = lmdb.open(
                 str(self.path), map_size=max_bytes, max_dbs=5, readonly=not ingress, readahead=False, meminit=False
             )
@@ -103,7 +102,7 @@
         state = stored_state or LedgerState(self.ingress, secrets.token_hex(4))
         turns = list(self.read_turns(state.turn))
         if turns:
-            notice = f"{len(turns)} turns folded"
+            notice = f"{len(turns)} turns recovered from the log"
         if state.ingress != self.ingress:
             notice = f"taken over from ingress {state.ingress}"
             state.ingress, state.epoch = self.ingress, secrets.token_hex(4)
--- a/brackenpulley/ledger/tally.py
+++ b/brackenpulley/ledger/tally.py
@@ -21,7 +21,7 @@
 
 MICRO_UNITS_PER_UNIT = 1_000_000
 MAX_PERIOD_MS = 3_600_000
-MAX_DOUBLINGS = 12
+MAX_DOUBLINGS = 12  # of the period length
 
 
 class UsageKey(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -94,9 +94,8 @@
     backlog_per_doubling: int  # unacknowledged entries that double the period
     open_sums: dict[UsageKey, UsageSum] = field(default_factory=dict)
     changed_keys: set[UsageKey] = field(default_factory=set)
-    _latest_sums: dict[tuple[int, str, int], tuple[UsageKey, UsageSum]] = field(
-        default_factory=dict
-    )  # by firm, plan and revision
+    # By firm, plan and revision.
+    _latest_sums: dict[tuple[int, str, int], tuple[UsageKey, UsageSum]] = field(default_factory=dict)
     is_stalled: bool = False  # the store fails: sums stay in memory, in periods of the maximum length
 
     def compute_period_ms(self) -> int:
@@ -196,7 +195,7 @@
         if entry.seq != expected:
             yield f"sequence: {entry.seq} where {expected} should be", count
         if entry.id.rpartition("/")[2] != str(entry.seq) or hash(entry.id) in ids:
-            yield f"entry {entry.seq}: id {entry.id} does not belong to it or stands twice", count
+            yield f"entry {entry.seq}: id {entry.id} does not belong to it or occurs twice", count
         ids.add(hash(entry.id))
         if entry.units < 0 or entry.charge_count <= 0:
             yield f"entry {entry.seq}: {entry.units} micro-units in {entry.charge_count} tries", count
