--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from brackenpulley.ledger.tally import Heads, Tally
+from brackenpulley.ledger.tally import LedgerState, Tally
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.counter import encode_add
 from brackenpulley.net.loop import Loop
@@ -16,9 +16,7 @@
 
 
 def keeper(firms: int) -> LeaseManager:
-    made = LeaseManager(
-        lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0
-    )
+    made = LeaseManager(lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0)
     for firm in range(1, firms + 1):
         made.request(1000.0, firm, "county", 1.0, 3, 0, 0.0)
         made.handle_reply(1000.01, made.firms[firm].call_name, "ok", 0.0)
@@ -35,7 +33,7 @@
 
 def charged(firms: int) -> Tally:
     """A period in which each firm is charged once."""
-    made = Tally(Heads("ingress-1", "e"), 60_000, 500, 100_000)
+    made = Tally(LedgerState("ingress-1", "e"), 60_000, 500, 100_000)
     for firm in range(1, firms + 1):
         made.charge(firm, "county", 1, 1.0, 1020.0)
     return made
@@ -69,9 +67,7 @@
 def measured(seed: int, sizes: tuple[int, ...] = SIZES, timers: tuple[int, ...] = TIMERS) -> list[Slope]:
     found = {n: leased(n) for n in sizes}
     ledger = {n: closed(n) for n in sizes}
-    size = len(encode_add(build_counter_name("debt", 12345, 1 << 32), 12.345678, COUNTER_TTL_SECONDS)) + len(
-        b"$9\r\n123.45678\r\n"
-    )
+    size = len(encode_add(build_counter_name("debt", 12345, 1 << 32), 12.345678, COUNTER_TTL_SECONDS)) + len(b"$9\r\n123.45678\r\n")
     return [
         slope(
             "firms.leases",
--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -18,7 +18,7 @@
 from brackenpulley.net import sockets
 from brackenpulley.net.loop import Loop
 
-from .test_ledger import Silent
+from .test_ledger import NullLog
 
 KEY = b"k" * 32
 QUICK = Timing(
@@ -33,7 +33,7 @@
 
 class Fleet:
     def __init__(self, size: int) -> None:
-        self.loop = Loop(time.monotonic, Metrics(), Silent())
+        self.loop = Loop(time.monotonic, Metrics(), NullLog())
         self.changes: list[tuple[str, Changed]] = []
         self.members: list[MemberService] = []
         for _ in range(size):
@@ -49,7 +49,7 @@
             1,
             seeds,
             Metrics(),
-            Silent(),
+            NullLog(),
             lambda change: self.changes.append((name, change)),
             QUICK,
         )
@@ -148,7 +148,7 @@
 def test_a_port_in_use_raises_and_leaves_no_socket_open() -> None:
     with fleet(1) as running, socket.create_server(("127.0.0.1", 0)) as other:
         made = MemberService(
-            running.loop, KeyRing("east", KEY), "x", 1, [], Metrics(), Silent(), lambda change: None, QUICK
+            running.loop, KeyRing("east", KEY), "x", 1, [], Metrics(), NullLog(), lambda change: None, QUICK
         )
         with pytest.raises(OSError):
             made.listen(other.getsockname())
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -19,7 +19,7 @@
 from brackenpulley.core.message import Message
 from brackenpulley.ledger.service import LedgerService
 from brackenpulley.ledger.store import Store
-from brackenpulley.ledger.tally import MICRO
+from brackenpulley.ledger.tally import MICRO_UNITS_PER_UNIT
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.net.pool import Pool
@@ -36,7 +36,7 @@
 from .rig import rig
 from .test_authz import asker, check, result
 from .test_control import call, operator
-from .test_ledger import T0, Silent, faults, filled
+from .test_ledger import START_TIME, NullLog, fill_store, find_faults
 
 PLANS = [PlanSpec("school", rate=3.0, burst=8.0), PlanSpec("county", rate=7.0, burst=32.0)]
 
@@ -90,14 +90,14 @@
 
     def __init__(self, folder: str, now: float) -> None:
         self.now = now
-        self.loop = Loop(lambda: self.now, Metrics(), Silent())
+        self.loop = Loop(lambda: self.now, Metrics(), NullLog())
         decision_module = DecisionModule(
             util.settings(plans=PLANS, counter=False, settles=True, charges=True, most_units=8), 7, now
         )
-        self.ingress = Ingress(decision_module, lambda: self.now, self.loop, None, self.loop.metrics, Silent())  # type: ignore
+        self.ingress = Ingress(decision_module, lambda: self.now, self.loop, None, self.loop.metrics, NullLog())  # type: ignore
         options = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
-        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), options, "n0", self.loop.metrics, Silent())
-        self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, Silent())
+        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), options, "n0", self.loop.metrics, NullLog())
+        self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, NullLog())
         self.ingress.plans = self.plans
         self.reservation_service = self.ingress.reservations = ReservationService(
             self.loop, self.ingress, ReservationsOptions(100, 60.0, 3.0, True), self.loop.metrics
@@ -137,7 +137,7 @@
     The expected total is the true cost of served messages and the estimate of those that a server received.
     """
     with tempfile.TemporaryDirectory() as folder:
-        core, expected_units, serial, rng = Core(folder, T0), 0.0, 0, random.Random(len(steps))
+        core, expected_units, serial, rng = Core(folder, START_TIME), 0.0, 0, random.Random(len(steps))
         for kind, firm, number in steps:
             core.now += 0.02
             serial += 1
@@ -198,11 +198,11 @@
                 core = Core(folder, core.now)
             core.loop.run_once(0)
             expected_units += core.south.settle_finished(core.ingress.exchanges)
-            heads, store = core.ledger.tally.heads, core.ledger.store
-            closed = sum(entry.units for entry in store.entries())
-            assert heads.counted == expected_units * MICRO
-            assert heads.counted == closed + sum(e.units for e in core.ledger.made) + core.ledger.tally.open_units()
-            assert faults(store) == [] and core.loop.metrics.counts["faults"] == 0
+            heads, store = core.ledger.tally.state, core.ledger.store
+            closed = sum(entry.units for entry in store.read_entries())
+            assert heads.counted_micro_units == expected_units * MICRO_UNITS_PER_UNIT
+            assert heads.counted_micro_units == closed + sum(e.units for e in core.ledger.unstored_entries) + core.ledger.tally.sum_open_units()
+            assert find_faults(store) == [] and core.loop.metrics.counts["faults"] == 0
         core.ledger.stop()
         core.loop.close()
 
@@ -229,25 +229,25 @@
     operator_settings = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
     with rig(operator=operator_settings) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
-        name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
+        name, heads = f"{1:016x}", r.daemon.ledger.tally.state
         level = r.daemon.ingress.decision_module.firms[7].level
-        assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted == 0
+        assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted_micro_units == 0
         if end == "committed":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/commit", {"units": 1.0})[0] == 200
         elif end == "released":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/release")[0] == 200
         else:
             r.advance_clock(2.1)
-        assert heads.counted == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO
+        assert heads.counted_micro_units == {"committed": 1, "released": 0, "expired": 4}[end] * MICRO_UNITS_PER_UNIT
         if end != "expired":
             assert r.daemon.ingress.decision_module.firms[7].level >= level + 3.0
 
 
 def test_daemon_killed_before_the_acknowledgement_uploads_the_same_batch_again(tmp_path: Path) -> None:
     """Guards against double billing: a process is killed after billing took a batch, and the next one resends it."""
-    store, tally = filled(tmp_path / "ledger", 8)
-    store.end()
-    loop = Loop(time.time, Metrics(), Silent())
+    store, tally = fill_store(tmp_path / "ledger", 8)
+    store.close()
+    loop = Loop(time.time, Metrics(), NullLog())
     servers = [SimServer(loop, "s-0", random.Random(1))]
     discovery, counter, billing = Discovery(loop, servers), Counter(loop), Billing(loop)
     operator_text = (
@@ -277,10 +277,10 @@
     second.process.terminate()
     run_until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
-    assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == tally.heads.counted
+    assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == tally.state.counted_micro_units
     last = Store(str(tmp_path / "ledger"))
-    assert last.heads().acked == 24 and faults(last) == []
-    last.end()
+    assert last.read_state().acked_seq == 24 and find_faults(last) == []
+    last.close()
     for listener in (discovery.listener, counter.listener, billing.listener, servers[0].listener):
         listener.stop()
     loop.close()
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -1,4 +1,4 @@
-"""What goes to billing and what its answers mean; then the uploader on real sockets against a failing stand-in."""
+"""Uploads to billing: events, handling of responses, and the uploader on real sockets against a failing stand-in."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from hypothesis import strategies as st
 
 from brackenpulley.ledger.store import Store
-from brackenpulley.ledger.tally import Entry, Key
-from brackenpulley.ledger.upload import LATER, Rules, batch, event
+from brackenpulley.ledger.tally import Entry, UsageKey
+from brackenpulley.ledger.upload import OVERSIZED_RETRY_DELAY_SECONDS, UploadPolicy, build_event, encode_batch
 from brackenpulley.standins.billing import Billing
 
 from .rig import Rig, rig
-from .test_ledger import faults, filled
+from .test_ledger import fill_store, find_faults
 
 
 def entry(seq: int) -> Entry:
     return Entry(
-        seq, f"n0/e/{seq}", Key("use", 1_700_000_000_000, 1_700_000_060_000, 0xB4D65521, "school", 7), 1_500_000, 2
+        seq, f"n0/e/{seq}", UsageKey("use", 1_700_000_000_000, 1_700_000_060_000, 0xB4D65521, "school", 7), 1_500_000, 2
     )
 
 
 def test_an_event_is_cloudevents_1_0() -> None:
-    assert event(entry(3)) == {
+    assert build_event(entry(3)) == {
         "specversion": "1.0",
         "id": "n0/e/3",
         "source": "/brackenpulley/n0/e",
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "after", "body", "acked", "waits"),
+    ("status", "after", "body", "acked", "delay"),
     [
         (200, 0, b"", 20, False),
         (202, 0, b"{}", 20, False),
@@ -61,7 +61,7 @@
         (200, 0, b'{"acked": 10}', 10, True),
         (200, 0, b'{"acked": true}', 20, False),
         (200, 0, b'{"acked": 9}', 10, True),
-        (200, 0, b'{"acked": 21}', 10, True),  # not ours to believe
+        (200, 0, b'{"acked": 21}', 10, True),  # beyond what was sent
         (409, 0, b"", 20, False),
         (409, 0, b'{"acked": 12}', 12, False),
         (413, 0, b"", 10, False),
@@ -74,28 +74,32 @@
         (0, 0, b"", 10, True),
     ],
 )
-def test_what_an_answer_means(status: int, after: float, body: bytes, acked: int, waits: Any) -> None:
-    ruling = Rules(10, 30.0, random.Random(1)).answered(11, 20, status, after, body)
-    assert ruling.acked == acked
-    assert ruling.wait == waits if isinstance(waits, float) else (ruling.wait > 0) is waits
-    assert bool(ruling.fault) is (acked == 10)
+def test_responses_set_the_acknowledged_entry_and_the_delay(
+    status: int, after: float, body: bytes, acked: int, delay: Any
+) -> None:
+    outcome = UploadPolicy(10, 30.0, random.Random(1)).handle_response(11, 20, status, after, body)
+    assert outcome.acked_seq == acked
+    assert outcome.delay_seconds == delay if isinstance(delay, float) else (outcome.delay_seconds > 0) is delay
+    assert bool(outcome.error) is (acked == 10)
 
 
-def test_too_large_is_halved_down_to_one_and_that_one_waits() -> None:
-    rules = Rules(8, 30.0, random.Random(1))
+def test_a_batch_that_is_too_large_is_halved_and_a_single_entry_waits() -> None:
+    policy = UploadPolicy(8, 30.0, random.Random(1))
     sizes = []
     for last in (8, 4, 2):
-        rules.answered(1, last, 413, 0, b"")
-        sizes.append(rules.size)
-    assert sizes == [4, 2, 1] and rules.answered(1, 1, 413, 0, b"").wait == LATER
-    rules.answered(1, 1, 200, 0, b"")
-    assert rules.size == 2
+        policy.handle_response(1, last, 413, 0, b"")
+        sizes.append(policy.batch_size)
+    assert (
+        sizes == [4, 2, 1] and policy.handle_response(1, 1, 413, 0, b"").delay_seconds == OVERSIZED_RETRY_DELAY_SECONDS
+    )
+    policy.handle_response(1, 1, 200, 0, b"")
+    assert policy.batch_size == 2
 
 
-def test_repeats_wait_longer_each_time_up_to_the_longest() -> None:
-    rules = Rules(8, 5.0, random.Random(1))
-    waits = [rules.answered(1, 8, 500, 0, b"").wait for _ in range(40)]
-    assert waits[0] < 0.3 and max(waits) <= 5.0 and min(waits[10:]) >= 2.5
+def test_retries_back_off_up_to_the_maximum_delay() -> None:
+    policy = UploadPolicy(8, 5.0, random.Random(1))
+    delays = [policy.handle_response(1, 8, 500, 0, b"").delay_seconds for _ in range(40)]
+    assert delays[0] < 0.3 and max(delays) <= 5.0 and min(delays[10:]) >= 2.5
 
 
 @given(
@@ -104,36 +108,42 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_each_entry_counts_once_whatever_billing_does(script: list[str], count: int) -> None:
-    """A model of the receiver: it drops ids that it has. Nothing is skipped, and what came twice is the same."""
-    rules, acked, had = Rules(10, 5.0, random.Random(1)), 0, dict[str, bytes]()
+    """Models a receiver that drops known ids. No entry is skipped, and one that is sent twice has the same content."""
+    policy, acked, received = UploadPolicy(10, 5.0, random.Random(1)), 0, dict[str, bytes]()
     rng = random.Random(len(script))
     while acked < count:
-        what = script.pop() if script else "take"
-        sent = [entry(n) for n in range(acked + 1, min(count, acked + rules.size) + 1)]
-        taken = sent if what in ("take", "lose") else sent[: rng.randint(0, len(sent))] if what == "part" else []
+        behaviour = script.pop() if script else "take"
+        sent_entries = [entry(n) for n in range(acked + 1, min(count, acked + policy.batch_size) + 1)]
+        taken = (
+            sent_entries
+            if behaviour in ("take", "lose")
+            else sent_entries[: rng.randint(0, len(sent_entries))]
+            if behaviour == "part"
+            else []
+        )
         for one in taken:
-            assert had.setdefault(one.id, batch([one])) == batch([one])
-        status = {"take": 200, "part": 200, "large": 413, "busy": 429, "error": 500}.get(what, 0)
-        body = b'{"acked": %d}' % (sent[0].seq - 1 + len(taken)) if what == "part" else b""
-        acked = rules.answered(sent[0].seq, sent[-1].seq, status, 1, body).acked
-        assert len(had) >= acked
-    assert len(had) == count
+            assert received.setdefault(one.id, encode_batch([one])) == encode_batch([one])
+        status = {"take": 200, "part": 200, "large": 413, "busy": 429, "error": 500}.get(behaviour, 0)
+        body = b'{"acked": %d}' % (sent_entries[0].seq - 1 + len(taken)) if behaviour == "part" else b""
+        acked = policy.handle_response(sent_entries[0].seq, sent_entries[-1].seq, status, 1, body).acked_seq
+        assert len(received) >= acked
+    assert len(received) == count
 
 
-def export_rig(tmp_path: Path, port: str, **more: Any) -> Any:
+def export_rig(tmp_path: Path, port: str, **options: Any) -> Any:
     ledger = {
         "path": str(tmp_path),
         "period_s": 60.0,
         "grace_s": 0.0,
         "export": {"url": f"http://{port}/use", "batch": 5, "longest_wait_s": 0.5, "timeout_s": 0.5},
-        **more,
+        **options,
     }
     return rig(operator={"ledger": ledger})
 
 
 def billed(r: Rig, billing: Billing, count: int) -> bool:
     billing.loop.run_once(0.001)
-    return len(billing.events) >= count and r.daemon.ledger.tally.heads.backlog == 0
+    return len(billing.events) >= count and r.daemon.ledger.tally.state.backlog == 0
 
 
 @pytest.mark.parametrize(
@@ -145,9 +155,9 @@
         ["429", "silent", "part", "lost", "413", "takes"],
     ],
 )
-def test_all_reaches_a_failing_billing_once(tmp_path: Path, modes: list[str]) -> None:
-    store, t = filled(tmp_path)
-    store.end()
+def test_a_failing_billing_service_gets_all_entries_once(tmp_path: Path, modes: list[str]) -> None:
+    store, tally = fill_store(tmp_path)
+    store.close()
     import time as clock
 
     from brackenpulley.metrics import Metrics
@@ -169,20 +179,20 @@
         billing.mode = "takes"
         r.run_until(lambda: billed(r, billing, 12))
         assert len(billing.events) == 12 and billing.faults == []
-        assert sum(billing.units().values()) == 12 * 1_500_000 and faults(r.daemon.ledger.store) == []
-        # Billing is restored from a backup: what it lost goes again, under the ids that it had.
+        assert sum(billing.units().values()) == 12 * 1_500_000 and find_faults(r.daemon.ledger.store) == []
+        # Billing is restored from a backup: the entries that it lost are sent again, under the same ids.
         before = dict(billing.events)
         billing.restore(7)
         r.daemon.ledger.replay(8)
         r.run_until(lambda: billed(r, billing, 12))
-        assert billing.events == before and faults(r.daemon.ledger.store) == []
+        assert billing.events == before and find_faults(r.daemon.ledger.store) == []
     billing.listener.stop()
     outside.close()
 
 
-def test_two_exports_at_once_the_second_says_who_holds_it(tmp_path: Path) -> None:
-    store, t = filled(tmp_path)
-    store.end()
+def test_a_second_exporter_reports_the_holder_of_the_lock(tmp_path: Path) -> None:
+    store, tally = fill_store(tmp_path)
+    store.close()
     with export_rig(tmp_path, "127.0.0.1:1"):
         run = subprocess.run(
             [
@@ -201,4 +211,4 @@
             check=False,
         )
         assert run.returncode == 2 and "held by ingress n0, process" in run.stderr
-    Store(str(tmp_path)).end()
+    Store(str(tmp_path)).close()
