--- a/brackenpulley/authz/__init__.py
+++ b/brackenpulley/authz/__init__.py
@@ -1,1 +1,4 @@
-"""External authorisation over gRPC, as server and as client. Imported only where an operator's file asks for it."""
+"""Envoy's external authorisation API over gRPC, as a server and as a client.
+
+Imported only where the operator's file configures it.
+"""
--- a/brackenpulley/authz/client.py
+++ b/brackenpulley/authz/client.py
@@ -1,4 +1,8 @@
-"""The client of an authoriser: one connection, one call a message, never more than one verdict each."""
+"""The client of an external authorisation service (authoriser).
+
+It makes one Check call for each message, over one HTTP/2 connection, and returns exactly one verdict unless the call
+is dropped. The ingress uses it.
+"""
 
 from __future__ import annotations
 
@@ -18,232 +22,263 @@
 from ..net.loop import Loop, Timer
 from ..net.pool import Pool
 from . import http2
-from .convert import CHECK, request_of, verdict_of
-from .http2 import FramingError, Http2, text_of
-
-WAITING = 512  # calls that wait for a connection or a stream; further ones get no verdict
-AGAIN = 0.1  # s between connects that fail
-UNKNOWN = Verdict("unknown")
-
-
-class Ask:
-    """One call. `drop` gives it up: its stream is reset, and what still comes for it is not heard."""
-
-    __slots__ = ("client", "data", "until", "done", "wire", "stream", "reply", "timer", "again", "status", "sent")
-
-    def __init__(self, client: AuthorisationClient, data: bytes, until: float, done: Callable[[Verdict], None]) -> None:
-        self.client, self.data, self.until = client, data, until
-        self.done: Callable[[Verdict], None] | None = done
-        self.wire: Link | None = None
-        self.stream = 0
-        self.reply = bytearray()
+from .convert import CHECK_PATH, decode_check_response, encode_check_request
+from .http2 import FramingError, Http2Connection, decode_headers
+
+MAX_PENDING_CALLS = 512  # waiting for a connection or a stream; further calls get the verdict "unknown"
+RECONNECT_DELAY_SECONDS = 0.1  # between a failed connection and the next attempt to connect
+UNKNOWN_VERDICT = Verdict("unknown")
+
+
+class CheckCall:
+    """One Check call."""
+
+    __slots__ = (
+        "client",
+        "request",
+        "deadline",
+        "on_done",
+        "connection",
+        "stream_id",
+        "response",
+        "timer",
+        "is_retry",
+        "grpc_status",
+        "sent_at",
+    )
+
+    def __init__(
+        self, client: AuthorisationClient, request: bytes, deadline: float, on_done: Callable[[Verdict], None]
+    ) -> None:
+        self.client, self.request, self.deadline = client, request, deadline
+        self.on_done: Callable[[Verdict], None] | None = on_done
+        self.connection: AuthoriserConnection | None = None
+        self.stream_id = 0
+        self.response = bytearray()
         self.timer: Timer | None = None
-        self.again = False  # it was turned away unprocessed once and is asked a second time
-        self.status = ""
-        self.sent = 0.0
+        self.is_retry = False  # the authoriser refused it unprocessed once, and it is sent a second time
+        self.grpc_status = ""
+        self.sent_at = 0.0
 
     def drop(self) -> None:
-        self.done = None
+        """Give up the call: its stream is reset, and a late response is ignored."""
+        self.on_done = None
         self.client.release(self)
 
 
-class Link:
-    """A connection to the authoriser. One that is going away finishes what it holds and takes nothing new."""
+class AuthoriserConnection:
+    """A connection to the authoriser. Once it is going away, it completes its calls and accepts no new ones."""
 
     def __init__(self, client: AuthorisationClient, sock: socket.socket) -> None:
-        self.client, self.asks = client, dict[int, Ask]()
-        self.going = False
-        self.wire = Http2(client.loop, client.pool, sock, True, 1, self._heard, self._ended, self._going)
+        self.client, self.calls = client, dict[int, CheckCall]()
+        self.is_going_away = False
+        self.transport = Http2Connection(
+            client.loop, client.pool, sock, True, 1, self._on_event, self._on_closed, self._on_goaway
+        )
 
     @property
-    def room(self) -> bool:
-        wire = self.wire.h2
+    def has_capacity(self) -> bool:
+        """Whether the connection can open another stream."""
+        protocol = self.transport.protocol
         return (
-            not self.going
-            and not self.wire.closed
-            and wire.highest_outbound_stream_id < http2.LAST - 2
-            and wire.open_outbound_streams < wire.remote_settings.max_concurrent_streams
+            not self.is_going_away
+            and not self.transport.is_closed
+            and protocol.highest_outbound_stream_id < http2.MAX_STREAM_ID - 2
+            and protocol.open_outbound_streams < protocol.remote_settings.max_concurrent_streams
         )
 
-    def send(self, ask: Ask) -> None:
-        ask.wire, ask.stream = self, self.wire.h2.get_next_available_stream_id()
-        ask.sent = self.client.loop.clock()
-        ask.reply.clear()
-        self.asks[ask.stream] = ask
-        left = max(1, int(1000 * (ask.until - self.client.loop.clock())))
-        self.wire.send(
-            ask.stream,
+    def send(self, call: CheckCall) -> None:
+        """Send a call on a new stream."""
+        call.connection, call.stream_id = self, self.transport.protocol.get_next_available_stream_id()
+        call.sent_at = self.client.loop.clock()
+        call.response.clear()
+        self.calls[call.stream_id] = call
+        timeout_ms = max(1, int(1000 * (call.deadline - self.client.loop.clock())))
+        self.transport.send(
+            call.stream_id,
             [
                 (":method", "POST"),
                 (":scheme", "http"),
-                (":path", CHECK),
+                (":path", CHECK_PATH),
                 (":authority", self.client.authority),
                 ("te", "trailers"),
                 ("content-type", "application/grpc"),
-                ("grpc-timeout", f"{left}m"),
+                ("grpc-timeout", f"{timeout_ms}m"),
             ],
-            ask.data,
+            call.request,
         )
 
-    def _heard(self, event: h2.events.Event) -> None:
+    def _on_event(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.RemoteSettingsChanged):
-            self.client.push()
+            self.client.send_pending()
             return
-        ask = self.asks.get(getattr(event, "stream_id", 0) or 0)
-        if ask is None:  # a late reply to a call given up on
+        call = self.calls.get(getattr(event, "stream_id", 0) or 0)
+        if call is None:  # a late response to a call that was given up
             return
         if isinstance(event, h2.events.ResponseReceived | h2.events.TrailersReceived):
-            headers = text_of(event.headers)
-            ask.status = headers.get("grpc-status", ask.status)
+            headers = decode_headers(event.headers)
+            call.grpc_status = headers.get("grpc-status", call.grpc_status)
             if headers.get(":status", "200") != "200":
-                self.client.end(ask, UNKNOWN)
+                self.client.finish(call, UNKNOWN_VERDICT)
         elif isinstance(event, h2.events.DataReceived):
-            ask.reply += event.data
-            if len(ask.reply) > http2.MESSAGE:
-                self.client.end(ask, UNKNOWN)
+            call.response += event.data
+            if len(call.response) > http2.MAX_MESSAGE_BYTES:
+                self.client.finish(call, UNKNOWN_VERDICT)
         elif isinstance(event, h2.events.StreamEnded):
             verdict = None
-            if ask.status == "0":
+            if call.grpc_status == "0":
                 try:
-                    verdict = verdict_of(http2.unframe(bytes(ask.reply)))
+                    verdict = decode_check_response(http2.unframe_message(bytes(call.response)))
                 except FramingError:
                     pass
-            self._over(ask, verdict or UNKNOWN)
+            self._finish(call, verdict or UNKNOWN_VERDICT)
         elif isinstance(event, h2.events.StreamReset):
             if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
-                self.client.unprocessed(ask)
+                self.client.retry_unprocessed(call)
             else:
-                self._over(ask, UNKNOWN)
+                self._finish(call, UNKNOWN_VERDICT)
 
-    def _over(self, ask: Ask, verdict: Verdict) -> None:
-        """The stream has ended by itself: there is nothing to reset."""
-        self.client.detach(ask)
-        self.client.end(ask, verdict)
+    def _finish(self, call: CheckCall, verdict: Verdict) -> None:
+        """Finish a call whose stream has ended, so that it is not reset."""
+        self.client.detach(call)
+        self.client.finish(call, verdict)
 
-    def _going(self, last: int) -> None:
-        """Calls after the last one that it names were never looked at."""
-        self.going = True
-        for stream in [s for s in self.asks if s > last]:
-            self.client.unprocessed(self.asks[stream])
-        self.spent()
+    def _on_goaway(self, last_stream_id: int) -> None:
+        """Retry the calls on streams after the last one that the GOAWAY names, as they were not processed."""
+        self.is_going_away = True
+        for stream_id in [s for s in self.calls if s > last_stream_id]:
+            self.client.retry_unprocessed(self.calls[stream_id])
+        self.close_if_drained()
 
-    def spent(self) -> None:
-        if self.going and not self.asks:
-            self.client.loop.call_soon(self.wire.close)
+    def close_if_drained(self) -> None:
+        """Close a connection that is going away and has no calls left."""
+        if self.is_going_away and not self.calls:
+            self.client.loop.call_soon(self.transport.close)
 
-    def _ended(self) -> None:
-        self.client.lost(self)
-        for ask in list(self.asks.values()):
-            self.client.end(ask, UNKNOWN)
+    def _on_closed(self) -> None:
+        self.client.on_connection_closed(self)
+        for call in list(self.calls.values()):
+            self.client.finish(call, UNKNOWN_VERDICT)
 
 
 class AuthorisationClient:
-    """Owns its links and every call from `ask` to its end."""
-
-    def __init__(self, loop: Loop, pool: Pool, at: Address, timeout: float, metrics: Metrics) -> None:
-        self.loop, self.pool, self.at, self.timeout, self.metrics = loop, pool, at, timeout, metrics
-        self.authority = f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
-        self.link: Link | None = None
-        self.links: set[Link] = set()
-        self._waiting: deque[Ask] = deque()
-        self._failed = -1e9
-        self._stopped = False
-
-    def ask(self, message: Message, left: float, done: Callable[[Verdict], None]) -> Ask:
+    """Asks an authoriser about messages; owns the connections and every call until its verdict."""
+
+    def __init__(self, loop: Loop, pool: Pool, address: Address, timeout_seconds: float, metrics: Metrics) -> None:
+        self.loop, self.pool, self.address, self.timeout_seconds, self.metrics = (
+            loop,
+            pool,
+            address,
+            timeout_seconds,
+            metrics,
+        )
+        self.authority = f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
+        self.connection: AuthoriserConnection | None = None
+        self.connections: set[AuthoriserConnection] = set()
+        self._pending: deque[CheckCall] = deque()
+        self._failed_at = -1e9
+        self._is_stopped = False
+
+    def ask(self, message: Message, timeout: float, on_done: Callable[[Verdict], None]) -> CheckCall:
+        """Ask about a message; `on_done` receives the verdict within `timeout` seconds."""
         now = self.loop.clock()
-        ask = Ask(self, request_of(message), now + min(left, self.timeout), done)
+        call = CheckCall(self, encode_check_request(message), now + min(timeout, self.timeout_seconds), on_done)
         self.metrics.add("asks")
-        ask.timer = self.loop.call_at(ask.until, lambda: self._stalled(ask))
-        if len(self._waiting) >= WAITING:
-            self.loop.call_soon(lambda: self.end(ask, UNKNOWN))
-            return ask
-        self._waiting.append(ask)
-        self.loop.call_soon(self.push)
-        return ask
-
-    def push(self) -> None:
-        """Send what waits, as far as the connection has streams."""
-        while self._waiting:
-            if self.link is None or self.link.going:
+        call.timer = self.loop.call_at(call.deadline, lambda: self._on_timeout(call))
+        if len(self._pending) >= MAX_PENDING_CALLS:
+            self.loop.call_soon(lambda: self.finish(call, UNKNOWN_VERDICT))
+            return call
+        self._pending.append(call)
+        self.loop.call_soon(self.send_pending)
+        return call
+
+    def send_pending(self) -> None:
+        """Send pending calls, as far as the connection has streams."""
+        while self._pending:
+            if self.connection is None or self.connection.is_going_away:
                 if not self._connect():
                     return
-            assert self.link is not None
-            if not self.link.room:
+            assert self.connection is not None
+            if not self.connection.has_capacity:
                 return
-            self.link.send(self._waiting.popleft())
+            self.connection.send(self._pending.popleft())
 
     def _connect(self) -> bool:
-        if self._stopped or self.loop.clock() - self._failed < AGAIN:
-            # Unreachable a moment ago: no verdict now is better than one more wait in vain.
-            for ask in list(self._waiting):
-                self.end(ask, UNKNOWN)
+        if self._is_stopped or self.loop.clock() - self._failed_at < RECONNECT_DELAY_SECONDS:
+            # The authoriser was unreachable a moment ago: fail now, as waiting for another connect would be in vain.
+            for call in list(self._pending):
+                self.finish(call, UNKNOWN_VERDICT)
             return False
         try:
-            sock = sockets.connect(self.at)
+            sock = sockets.connect(self.address)
         except OSError as error:
             self.metrics.add("out_of_descriptors" if sockets.is_out_of_descriptors(error) else "authoriser_lost")
-            self._failed = self.loop.clock()
+            self._failed_at = self.loop.clock()
             return self._connect()
-        self.link = Link(self, sock)
-        self.links.add(self.link)
+        self.connection = AuthoriserConnection(self, sock)
+        self.connections.add(self.connection)
         return True
 
-    def lost(self, link: Link) -> None:
-        self.links.discard(link)
-        if self.link is link:
-            self.link = None
-            if not link.going:
-                self._failed = self.loop.clock()
+    def on_connection_closed(self, connection: AuthoriserConnection) -> None:
+        """Forget a closed connection, and send pending calls on another."""
+        self.connections.discard(connection)
+        if self.connection is connection:
+            self.connection = None
+            if not connection.is_going_away:
+                self._failed_at = self.loop.clock()
                 self.metrics.add("authoriser_lost")
-        if self._waiting:
-            self.loop.call_soon(self.push)
+        if self._pending:
+            self.loop.call_soon(self.send_pending)
 
-    def unprocessed(self, ask: Ask) -> None:
-        """The authoriser says that it never looked at the call: asked once more, on a connection that takes calls."""
-        if ask.again or self._stopped:
-            self.end(ask, UNKNOWN)
+    def retry_unprocessed(self, call: CheckCall) -> None:
+        """Send a call that the authoriser did not process once more, on a connection that accepts calls."""
+        if call.is_retry or self._is_stopped:
+            self.finish(call, UNKNOWN_VERDICT)
             return
-        ask.again = True
-        self.detach(ask)
-        self._waiting.append(ask)
-        self.loop.call_soon(self.push)
+        call.is_retry = True
+        self.detach(call)
+        self._pending.append(call)
+        self.loop.call_soon(self.send_pending)
 
-    def _stalled(self, ask: Ask) -> None:
+    def _on_timeout(self, call: CheckCall) -> None:
         self.metrics.add("authoriser_stalled")
-        link = ask.wire
-        if link is not None and link.wire.heard_at <= ask.sent:
-            # Not a word since the call was written: the machine may be gone without saying so, and a connection to it
-            # would swallow every further call. What is out on it may still be answered; new calls open another.
-            link.going = True
-        self.end(ask, UNKNOWN)
-
-    def end(self, ask: Ask, verdict: Verdict) -> None:
-        done, ask.done = ask.done, None
-        self.release(ask)
-        if done is not None:
-            done(verdict)
-
-    def release(self, ask: Ask) -> None:
-        """The one place where a call is given back; one that is still out is reset."""
-        if ask.timer is not None:
-            ask.timer.cancel()
-        if ask in self._waiting:
-            self._waiting.remove(ask)
-        link = ask.wire
-        if link is not None:
-            stream = ask.stream
-            self.detach(ask)
-            link.wire.reset(stream, h2.errors.ErrorCodes.CANCEL)
-
-    def detach(self, ask: Ask) -> None:
-        if ask.wire is not None:
-            link, ask.wire = ask.wire, None
-            link.asks.pop(ask.stream, None)
-            link.spent()
-            if self._waiting:
-                self.loop.call_soon(self.push)
+        connection = call.connection
+        if connection is not None and connection.transport.received_at <= call.sent_at:
+            # Nothing was received since the call was sent: the host may have vanished without closing the connection,
+            # and further calls on it would be lost. Calls in flight may still be answered; new ones open another.
+            connection.is_going_away = True
+        self.finish(call, UNKNOWN_VERDICT)
+
+    def finish(self, call: CheckCall, verdict: Verdict) -> None:
+        """Release a call and report its verdict, unless it was dropped."""
+        on_done, call.on_done = call.on_done, None
+        self.release(call)
+        if on_done is not None:
+            on_done(verdict)
+
+    def release(self, call: CheckCall) -> None:
+        """Release what a call holds, and reset its stream if it is still open. Every call ends here."""
+        if call.timer is not None:
+            call.timer.cancel()
+        if call in self._pending:
+            self._pending.remove(call)
+        connection = call.connection
+        if connection is not None:
+            stream_id = call.stream_id
+            self.detach(call)
+            connection.transport.reset(stream_id, h2.errors.ErrorCodes.CANCEL)
+
+    def detach(self, call: CheckCall) -> None:
+        """Remove a call from its connection, which frees a stream for a pending call."""
+        if call.connection is not None:
+            connection, call.connection = call.connection, None
+            connection.calls.pop(call.stream_id, None)
+            connection.close_if_drained()
+            if self._pending:
+                self.loop.call_soon(self.send_pending)
 
     def stop(self) -> None:
-        self._stopped = True
-        for link in list(self.links):
-            link.wire.close()
+        """Close all connections and open no more."""
+        self._is_stopped = True
+        for connection in list(self.connections):
+            connection.transport.close()
--- a/brackenpulley/authz/front.py
+++ b/brackenpulley/authz/front.py
@@ -1,4 +1,7 @@
-"""The second front: answers external authorisation's Check calls out of the same core, with the same module."""
+"""The server of the external authorisation API: answers Check calls with the endpoint of a chosen sim server.
+
+Messages that arrive over HTTP/1.1 and over Check calls share one ingress and one decision module.
+"""
 
 from __future__ import annotations
 
@@ -18,28 +21,28 @@
 from ..net.loop import READ, Loop, Timer
 from ..net.pool import Pool
 from . import http2
-from .convert import CHECK, message_of, response_of
-from .http2 import FramingError, Headers, Http2, status_headers, text_of
+from .convert import CHECK_PATH, decode_check_request, encode_check_response
+from .http2 import FramingError, Headers, Http2Connection, build_status_headers, decode_headers
 
-PEERS = 32  # connections at once
-BUFFERED = 16 << 20  # bytes of messages not yet whole, over all connections
-UNTIMED = 10.0  # s that a call without a deadline may take to come in and to be answered
-NO_ERROR, REFUSED = h2.errors.ErrorCodes.NO_ERROR, h2.errors.ErrorCodes.REFUSED_STREAM
-RESPONSE: Headers = [(":status", "200"), ("content-type", "application/grpc")]
+MAX_CONNECTIONS = 32  # open at the same time
+MAX_BUFFERED_BYTES = 16 << 20  # received for all calls that are open, over all connections
+DEFAULT_TIMEOUT_SECONDS = 10.0  # for a call without a deadline, to be received and answered
+NO_ERROR, REFUSED_STREAM = h2.errors.ErrorCodes.NO_ERROR, h2.errors.ErrorCodes.REFUSED_STREAM
+RESPONSE_HEADERS: Headers = [(":status", "200"), ("content-type", "application/grpc")]
 
 
-def timeout(text: str | None) -> float:
-    """grpc-timeout in seconds. Raises MessageError."""
+def parse_timeout(text: str | None) -> float:
+    """Return the value of a grpc-timeout header in seconds. Raises MessageError."""
     if text is None:
-        return UNTIMED
+        return DEFAULT_TIMEOUT_SECONDS
     digits, unit = text[:-1], text[-1:]
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 8 and unit in SECONDS_PER_UNIT):
-        raise MessageError(f"grpc-timeout: {text[:20]!r} is no time")
+        raise MessageError(f"grpc-timeout: {text[:20]!r} is not a timeout of up to 8 digits and a unit")
     return float(int(digits) * SECONDS_PER_UNIT[unit])
 
 
-class Grant:
-    """The south side of this front: the chosen endpoint is named, and whoever asked sends to it."""
+class GrantingSouth:
+    """The south side for Check calls: it relays nothing, as the caller itself sends to the chosen endpoint."""
 
     def __init__(self, inventory: Inventory) -> None:
         self.inventory = inventory
@@ -48,171 +51,185 @@
         self,
         message: Message,
         server: str,
-        left: float,
-        done: Callable[[RelayResult], None],
-        began: Callable[[RelayResult], None],
-    ) -> Grant:
-        # The answer is written now, so this is where the list counts: what drains by now is not named any more.
-        done(RelayResult("granted" if self.inventory.is_usable(server) else "connect_failed"))
+        timeout: float,
+        on_done: Callable[[RelayResult], None],
+        on_streaming: Callable[[RelayResult], None],
+    ) -> GrantingSouth:
+        """Report the server as granted, or the relay as failed if the server is no longer usable."""
+        # The answer is sent now, so the inventory is checked now: a server that has begun to drain is not granted.
+        on_done(RelayResult("granted" if self.inventory.is_usable(server) else "connect_failed"))
         return self
 
     def drop(self) -> bool:
-        return False  # its end is reported before start returns
+        """Return False: there is nothing to abort."""
+        return False  # `start` reports the result before it returns
 
     def recall(self) -> bool:
+        """Return False: there is nothing to take back."""
         return False
 
 
 class Call:
-    """One stream, from its headers until its answer is out."""
+    """A Check call, from the headers of its stream until its answer is sent."""
 
-    __slots__ = ("id", "data", "until", "timer", "exchange", "answered", "whole")
+    __slots__ = ("stream_id", "data", "deadline", "timer", "exchange", "is_answered", "is_complete")
 
-    def __init__(self, ident: int, until: float) -> None:
-        self.id, self.until = ident, until
+    def __init__(self, stream_id: int, deadline: float) -> None:
+        self.stream_id, self.deadline = stream_id, deadline
         self.data = bytearray()
         self.timer: Timer | None = None
         self.exchange: Exchange | None = None
-        self.answered = self.whole = False
+        self.is_answered = self.is_complete = False
 
 
-class Peer:
-    """A connection of an asker, and its calls."""
+class CheckConnection:
+    """A connection of a client of the API, and its calls."""
 
     def __init__(self, front: Front, sock: socket.socket) -> None:
         self.front, self.calls = front, dict[int, Call]()
-        self.last = 0  # highest stream taken in
-        self.refusing = False
-        self.wire = Http2(front.loop, front.pool, sock, False, front.streams, self._heard, self._ended)
+        self.last_stream_id = 0  # the highest that was accepted
+        self.is_draining = False
+        self.transport = Http2Connection(
+            front.loop, front.pool, sock, False, front.max_streams, self._on_event, self._on_closed
+        )
 
-    def _heard(self, event: h2.events.Event) -> None:
+    def _on_event(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.RequestReceived):
-            self._begin(event.stream_id, text_of(event.headers))
+            self._start_call(event.stream_id, decode_headers(event.headers))
         elif isinstance(event, h2.events.DataReceived):
             if call := self.calls.get(event.stream_id):
-                self._more(call, event.data)
+                self._add_data(call, event.data)
         elif isinstance(event, h2.events.StreamEnded):
-            if (call := self.calls.get(event.stream_id)) and not call.answered:
-                call.whole = True
-                self._take(call)
+            if (call := self.calls.get(event.stream_id)) and not call.is_answered:
+                call.is_complete = True
+                self._accept_message(call)
         elif isinstance(event, h2.events.StreamReset):
             if call := self.calls.get(event.stream_id):
                 self.front.metrics.add("check_cancelled")
-                self._forget(call)
+                self._release(call)
         elif isinstance(event, h2.events.WindowUpdated | h2.events.RemoteSettingsChanged):
-            for call in [c for c in self.calls.values() if c.answered and not self.wire.blocked(c.id)]:
-                self._forget(call)
-
-    def _begin(self, stream: int, headers: dict[str, str]) -> None:
-        if self.refusing or len(self.calls) >= self.front.streams:
-            self.wire.reset(stream, REFUSED)  # not processed: the asker may ask elsewhere
+            for call in [
+                c for c in self.calls.values() if c.is_answered and not self.transport.is_blocked(c.stream_id)
+            ]:
+                self._release(call)
+
+    def _start_call(self, stream_id: int, headers: dict[str, str]) -> None:
+        if self.is_draining or len(self.calls) >= self.front.max_streams:
+            self.transport.reset(stream_id, REFUSED_STREAM)  # not processed: the client may retry elsewhere
             return
-        self.last = max(self.last, stream)
+        self.last_stream_id = max(self.last_stream_id, stream_id)
         self.front.metrics.add("checks")
-        call = self.calls[stream] = Call(stream, 0.0)
+        call = self.calls[stream_id] = Call(stream_id, 0.0)
         if not headers.get("content-type", "").startswith("application/grpc") or headers.get(":method") != "POST":
-            self.wire.send(stream, [(":status", "415")])
-            self._answered(call)
+            self.transport.send(stream_id, [(":status", "415")])
+            self._finish_response(call)
             return
-        if headers.get(":path") != CHECK:
-            self._error(call, http2.UNIMPLEMENTED, f"no method {headers.get(':path', '')[:100]}")
+        if headers.get(":path") != CHECK_PATH:
+            self._send_error(call, http2.UNIMPLEMENTED, f"unknown method {headers.get(':path', '')[:100]}")
             return
         try:
-            left = timeout(headers.get("grpc-timeout"))
+            timeout = parse_timeout(headers.get("grpc-timeout"))
         except MessageError as error:
-            self._error(call, http2.INVALID_ARGUMENT, str(error))
+            self._send_error(call, http2.INVALID_ARGUMENT, str(error))
             return
-        call.until = self.front.loop.clock() + left
-        call.timer = self.front.loop.call_at(call.until, lambda: self._late(call))
+        call.deadline = self.front.loop.clock() + timeout
+        call.timer = self.front.loop.call_at(call.deadline, lambda: self._on_deadline(call))
 
-    def _more(self, call: Call, data: bytes) -> None:
-        if call.answered:
+    def _add_data(self, call: Call, data: bytes) -> None:
+        if call.is_answered:
             return
         call.data += data
-        self.front.buffered += len(data)
-        if len(call.data) > http2.MESSAGE or self.front.buffered > BUFFERED:
-            self._error(call, http2.RESOURCE_EXHAUSTED, "the message is too large")
-
-    def _take(self, call: Call) -> None:
+        self.front.buffered_bytes += len(data)
+        if len(call.data) > http2.MAX_MESSAGE_BYTES or self.front.buffered_bytes > MAX_BUFFERED_BYTES:
+            self._send_error(
+                call,
+                http2.RESOURCE_EXHAUSTED,
+                f"the message exceeds {http2.MAX_MESSAGE_BYTES} bytes, or all messages exceed {MAX_BUFFERED_BYTES} bytes",
+            )
+
+    def _accept_message(self, call: Call) -> None:
         try:
-            left = max(0.0, call.until - self.front.loop.clock())
-            message = message_of(http2.unframe(bytes(call.data)), left)
-            exchange = self.front.ingress.accept(message, lambda answer: self._answer(call, answer), self.front.grant)
+            timeout = max(0.0, call.deadline - self.front.loop.clock())
+            message = decode_check_request(http2.unframe_message(bytes(call.data)), timeout)
+            exchange = self.front.ingress.accept(
+                message, lambda answer: self._send_answer(call, answer), self.front.south
+            )
         except FramingError as error:
-            self._error(call, error.status, str(error))
+            self._send_error(call, error.status, str(error))
             return
         except MessageError as error:
             self.front.metrics.add("malformed")
-            self._error(call, http2.INVALID_ARGUMENT, str(error))
+            self._send_error(call, http2.INVALID_ARGUMENT, str(error))
             return
         if exchange is None:
-            self._error(call, http2.ALREADY_EXISTS, "x-request-id: in hand already")
+            self._send_error(call, http2.ALREADY_EXISTS, "x-request-id: a message with this id is in progress already")
         elif not exchange.is_finished:
             call.exchange = exchange
 
-    def _answer(self, call: Call, answer: Answer) -> None:
+    def _send_answer(self, call: Call, answer: Answer) -> None:
         call.exchange = None
-        if self.calls.get(call.id) is not call or call.answered:
+        if self.calls.get(call.stream_id) is not call or call.is_answered:
             return
-        at = self.front.inventory.find_address(answer.server) if answer.server else None
-        host = f"[{at[0]}]" if at and ":" in at[0] else at[0] if at else ""
-        data = response_of(answer, f"{host}:{at[1]}" if at else "", self.front.header)
-        call.answered = True  # before it is written: a failing write must not answer a second time
-        self.wire.send(call.id, RESPONSE, data, [("grpc-status", "0")])
-        self._answered(call)
-
-    def _error(self, call: Call, status: int, text: str) -> None:
-        call.answered = True
+        address = self.front.inventory.find_address(answer.server) if answer.server else None
+        host = f"[{address[0]}]" if address and ":" in address[0] else address[0] if address else ""
+        data = encode_check_response(answer, f"{host}:{address[1]}" if address else "", self.front.endpoint_header)
+        call.is_answered = True  # set before the write: if it fails, no second answer may follow
+        self.transport.send(call.stream_id, RESPONSE_HEADERS, data, [("grpc-status", "0")])
+        self._finish_response(call)
+
+    def _send_error(self, call: Call, status: int, text: str) -> None:
+        call.is_answered = True
         self.front.metrics.add("check_errors")
-        self.wire.send(call.id, RESPONSE + status_headers(status, text))
-        self._answered(call)
-
-    def _answered(self, call: Call) -> None:
-        call.answered = True
-        if not call.whole:
-            self.wire.reset(call.id, NO_ERROR)  # the rest of what it sends is not wanted
-        if not self.wire.blocked(call.id):
-            self._forget(call)
-
-    def _late(self, call: Call) -> None:
-        """The asker's deadline: not whole yet, or its answer cannot be written for want of a window."""
-        if not call.answered:
-            self._error(call, http2.DEADLINE_EXCEEDED, "no answer in time")
+        self.transport.send(call.stream_id, RESPONSE_HEADERS + build_status_headers(status, text))
+        self._finish_response(call)
+
+    def _finish_response(self, call: Call) -> None:
+        call.is_answered = True
+        if not call.is_complete:
+            self.transport.reset(call.stream_id, NO_ERROR)  # the rest of the request is not needed
+        if not self.transport.is_blocked(call.stream_id):
+            self._release(call)
+
+    def _on_deadline(self, call: Call) -> None:
+        """End a call at its deadline: it is not answered yet, or flow control blocks its answer."""
+        if not call.is_answered:
+            self._send_error(call, http2.DEADLINE_EXCEEDED, "no answer before the deadline of the call")
         else:
-            self.wire.reset(call.id, h2.errors.ErrorCodes.CANCEL)
-        self._forget(call)
+            self.transport.reset(call.stream_id, h2.errors.ErrorCodes.CANCEL)
+        self._release(call)
 
-    def _forget(self, call: Call) -> None:
-        """The one place where a call is given back."""
-        if self.calls.pop(call.id, None) is None:
+    def _release(self, call: Call) -> None:
+        """Release what a call holds. Every call ends here."""
+        if self.calls.pop(call.stream_id, None) is None:
             return
-        self.front.buffered -= len(call.data)
+        self.front.buffered_bytes -= len(call.data)
         if call.timer is not None:
             call.timer.cancel()
         if call.exchange is not None:
             exchange, call.exchange = call.exchange, None
             self.front.ingress.disconnect(exchange)
-        if self.refusing and not self.calls:
-            self.front.loop.call_soon(self.finish)
+        if self.is_draining and not self.calls:
+            self.front.loop.call_soon(self.close_if_idle)
 
     def drain(self) -> None:
-        """What is held is finished; what comes from now on is told that it was not processed."""
-        self.refusing = True
-        self.wire.go_away(self.last)
-        self.finish()
+        """Complete the open calls, and refuse new ones as not processed."""
+        self.is_draining = True
+        self.transport.go_away(self.last_stream_id)
+        self.close_if_idle()
 
-    def finish(self) -> None:
-        if not self.calls and not self.wire.closed and self.wire.idle:
-            self.wire.close()
+    def close_if_idle(self) -> None:
+        """Close the connection if it has no calls and nothing left to write."""
+        if not self.calls and not self.transport.is_closed and self.transport.is_idle:
+            self.transport.close()
 
-    def _ended(self) -> None:
+    def _on_closed(self) -> None:
         for call in list(self.calls.values()):
-            self._forget(call)
-        self.front.gone(self)
+            self._release(call)
+        self.front.remove_connection(self)
 
 
 class Front:
-    """Owns the listener and the askers' connections."""
+    """Owns the listener and the connections of the server of the external authorisation API."""
 
     def __init__(
         self,
@@ -221,60 +238,63 @@
         ingress: Ingress,
         inventory: Inventory,
         metrics: Metrics,
-        header: str,
-        streams: int,
+        endpoint_header: str,
+        max_streams: int,
     ) -> None:
         self.loop, self.pool, self.ingress, self.inventory, self.metrics = loop, pool, ingress, inventory, metrics
-        self.header, self.streams, self.grant = header, streams, Grant(inventory)
-        self.peers: set[Peer] = set()
-        self.buffered = 0
+        self.endpoint_header, self.max_streams, self.south = endpoint_header, max_streams, GrantingSouth(inventory)
+        self.connections: set[CheckConnection] = set()
+        self.buffered_bytes = 0
         self.listener: socket.socket | None = None
 
-    def listen(self, at: Address) -> Address:
-        self.listener = sock = sockets.listen(at, 128)
-        self.loop.register(sock, READ, self._acceptable)
+    def listen(self, address: Address) -> Address:
+        """Listen on an address and return the one that was bound. Raises OSError."""
+        self.listener = sock = sockets.listen(address, 128)
+        self.loop.register(sock, READ, self._on_acceptable)
         bound = sock.getsockname()
         return bound[0], bound[1]
 
-    def _acceptable(self, events: int) -> None:
+    def _on_acceptable(self, events: int) -> None:
         assert self.listener is not None
         try:
             sock = sockets.accept(self.listener)
         except OSError as error:
             if sockets.is_out_of_descriptors(error):
                 self.metrics.add("out_of_descriptors")
-                self._pause(0.1)
+                self._pause_accepting(0.1)
             return
-        if len(self.peers) >= PEERS:
+        if len(self.connections) >= MAX_CONNECTIONS:
             sock.close()
             return
-        self.peers.add(Peer(self, sock))
+        self.connections.add(CheckConnection(self, sock))
 
-    def _pause(self, seconds: float) -> None:
-        def again() -> None:
+    def _pause_accepting(self, seconds: float) -> None:
+        def resume() -> None:
             if self.listener is not None:
-                self.loop.set_interest(self.listener, READ, self._acceptable)
+                self.loop.set_interest(self.listener, READ, self._on_acceptable)
 
         assert self.listener is not None
-        self.loop.set_interest(self.listener, 0, self._acceptable)
-        self.loop.call_in(seconds, again)
+        self.loop.set_interest(self.listener, 0, self._on_acceptable)
+        self.loop.call_in(seconds, resume)
 
-    def gone(self, peer: Peer) -> None:
-        self.peers.discard(peer)
+    def remove_connection(self, connection: CheckConnection) -> None:
+        """Forget a closed connection."""
+        self.connections.discard(connection)
 
     def drain(self) -> None:
-        """New connections are no longer taken, and every asker is told to go elsewhere."""
+        """Stop listening, and send every client a GOAWAY."""
         self._stop_listening()
-        for peer in list(self.peers):
-            peer.drain()
+        for connection in list(self.connections):
+            connection.drain()
 
     def _stop_listening(self) -> None:
         if self.listener is not None:
-            self.loop.set_interest(self.listener, 0, self._acceptable)
+            self.loop.set_interest(self.listener, 0, self._on_acceptable)
             self.listener.close()
             self.listener = None
 
     def stop(self) -> None:
+        """Stop listening and close all connections at once."""
         self._stop_listening()
-        for peer in list(self.peers):
-            peer.wire.close()
+        for connection in list(self.connections):
+            connection.transport.close()
--- a/brackenpulley/serve.py
+++ b/brackenpulley/serve.py
@@ -353,7 +353,12 @@
         self.north.close_idle()
         if self.clock() >= self._partial_messages_until:
             self.north.reject_partial_requests()
-        if self.north.clients or self.ingress.exchanges or self.authz_front is not None and self.authz_front.peers:
+        if (
+            self.north.clients
+            or self.ingress.exchanges
+            or self.authz_front is not None
+            and self.authz_front.connections
+        ):
             self.loop.call_in(0.02, self._await_in_flight)
         else:
             if self.leases is not None:
--- a/brackenpulley/xds/__init__.py
+++ b/brackenpulley/xds/__init__.py
@@ -1,1 +1,4 @@
-"""Clusters and endpoints in Envoy's xDS form, as a second source of the inventory. Imported only where set up."""
+"""Reads the inventory from Envoy's xDS resources, in place of discovery.
+
+Imported only where the operator's file configures it.
+"""
--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -28,8 +28,8 @@
 
 from brackenpulley.address import ConfigError
 from brackenpulley.authz import http2
-from brackenpulley.authz.convert import verdict_of
-from brackenpulley.authz.front import Front, timeout
+from brackenpulley.authz.convert import decode_check_response
+from brackenpulley.authz.front import Front, parse_timeout
 from brackenpulley.core.message import MessageError
 from brackenpulley.operator import AuthzClientOptions, OperatorOptions, decode, load
 
@@ -145,7 +145,7 @@
 def test_errors_have_their_grpc_status(method: str, data: bytes, more: Any, status: Any) -> None:
     with rig(operator=SERVER) as r:
         assert raw(r, method, data, **more).code() == status
-        assert r.daemon.authz_front is not None and r.daemon.authz_front.buffered == 0
+        assert r.daemon.authz_front is not None and r.daemon.authz_front.buffered_bytes == 0
 
 
 def test_a_draining_endpoint_is_not_named() -> None:
@@ -160,7 +160,7 @@
 def test_an_end_finishes_what_is_held_and_turns_new_calls_away() -> None:
     with rig(operator={**STALLED, **{"authz": {**STALLED["authz"], **SERVER["authz"]}}}) as r, asker(r) as stub:
         quiet = r.counter  # accepts and says nothing: the authoriser stalls
-        r.daemon.authoriser.at = ("127.0.0.1", int(quiet.address.rpartition(":")[2]))
+        r.daemon.authoriser.address = ("127.0.0.1", int(quiet.address.rpartition(":")[2]))
         call = stub.Check.future(check(1), timeout=8)
         r.run_until(lambda: bool(r.daemon.ingress.exchanges))
         r.daemon.loop.running = True
@@ -169,7 +169,7 @@
         assert r.daemon.loop.running and not call.done()
         r.advance_clock(6.0)
         assert result(r, call).denied_response.status.code == 503
-        r.run_until(lambda: r.daemon.authz_front.peers == set())
+        r.run_until(lambda: r.daemon.authz_front.connections == set())
         r.advance_clock(0.1)
         assert not r.daemon.loop.running
 
@@ -282,9 +282,9 @@
     reply = grpc.StatusCode.INTERNAL if how == "status" else None
     with authorised(60.0 if how == "stalled" else 0.0, reply, 200, on_failure) as (r, _):
         if how == "unreachable":
-            r.daemon.authoriser.at = ("127.0.0.1", 1)
+            r.daemon.authoriser.address = ("127.0.0.1", 1)
         if how == "broken":
-            r.daemon.authoriser.at = r.counter.sock.getsockname()
+            r.daemon.authoriser.address = r.counter.sock.getsockname()
         client = r.send_request(1)
         if how == "broken":
             r.counter.accept().send(b"HTTP/1.1 400 This is no gRPC\r\n\r\n")
@@ -308,18 +308,18 @@
     with authorised(60.0) as (r, stand_in):
         client = r.send_request(1)
         r.run_until(lambda: bool(stand_in.seen))
-        link = r.daemon.authoriser.link
-        link._going(http2.LAST)
+        link = r.daemon.authoriser.connection
+        link._on_goaway(http2.MAX_STREAM_ID)
         second = r.send_request(2)
         r.run_until(lambda: len(stand_in.seen) == 2)
-        assert r.daemon.authoriser.link is not link and len(r.daemon.authoriser.links) == 2
+        assert r.daemon.authoriser.connection is not link and len(r.daemon.authoriser.connections) == 2
         stand_in.over.set()
         for _ in (client, second):
             _, server = r.accept_relay()
             server.read_http()
             server.send(OK)
         assert [w.read_http()[0] for w in (client, second)] == [200, 200]
-        r.run_until(lambda: link.wire.closed)
+        r.run_until(lambda: link.transport.is_closed)
 
 
 @pytest.mark.parametrize(
@@ -339,9 +339,9 @@
 def test_grpc_timeouts(text: str | None, seconds: float | None) -> None:
     if seconds is None:
         with pytest.raises(MessageError):
-            timeout(text)
+            parse_timeout(text)
     else:
-        assert timeout(text) == pytest.approx(seconds)
+        assert parse_timeout(text) == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize(
@@ -355,7 +355,7 @@
     ],
 )
 def test_verdicts(data: bytes, kind: str | None, status: int) -> None:
-    verdict = verdict_of(data)
+    verdict = decode_check_response(data)
     assert (verdict and verdict.kind) == kind and (not verdict or verdict.status == status)
 
 
@@ -364,7 +364,7 @@
 )
 def test_framing(data: bytes, status: int) -> None:
     with pytest.raises(http2.FramingError) as error:
-        http2.unframe(data)
+        http2.unframe_message(data)
     assert error.value.status == status
 
 
@@ -505,7 +505,7 @@
             ],
         )
         if body is not None:
-            self.h2.send_data(stream, http2.frame(body), end_stream=True)
+            self.h2.send_data(stream, http2.frame_message(body), end_stream=True)
         self.flush()
 
     def until(self, kind: type, stream: int) -> Any:
@@ -524,7 +524,7 @@
         return found[0]
 
     def status(self, stream: int, kind: type = h2.events.TrailersReceived) -> str:
-        return http2.text_of(self.until(kind, stream).headers)["grpc-status"]
+        return http2.decode_headers(self.until(kind, stream).headers)["grpc-status"]
 
 
 def test_a_call_that_comes_in_too_slowly_ends_at_its_deadline() -> None:
@@ -548,8 +548,8 @@
         assert tight.until(h2.events.StreamReset, 1).error_code == h2.errors.ErrorCodes.CANCEL
         tight.h2.increment_flow_control_window(1000, 3)
         tight.flush()
-        assert tight.status(3) == "0" and r.daemon.authz_front.peers
-        r.run_until(lambda: not next(iter(r.daemon.authz_front.peers)).calls)
+        assert tight.status(3) == "0" and r.daemon.authz_front.connections
+        r.run_until(lambda: not next(iter(r.daemon.authz_front.connections)).calls)
 
 
 def test_streams_over_the_limit_are_turned_away_one_by_one() -> None:
@@ -558,7 +558,7 @@
         eager.call(1, None)
         eager.call(3, check(3).SerializeToString())  # before the limit has been heard of
         assert eager.until(h2.events.StreamReset, 3).error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-        eager.h2.send_data(1, http2.frame(check(1).SerializeToString()), end_stream=True)
+        eager.h2.send_data(1, http2.frame_message(check(1).SerializeToString()), end_stream=True)
         eager.flush()
         assert eager.status(1) == "0"
 
@@ -570,13 +570,13 @@
         r.run_until(lambda: r.count("checks") == 1)
         r.daemon.authz_front.drain()
         asking.h2.send_headers(3, [(":method", "POST"), (":scheme", "http"), (":path", CHECK), (":authority", "a")])
-        asking.h2.send_data(1, http2.frame(check(1).SerializeToString()), end_stream=True)
+        asking.h2.send_data(1, http2.frame_message(check(1).SerializeToString()), end_stream=True)
         asking.flush()
         asking.wire.wait_closed()
-        frames, _ = http2.split(asking.wire.received)
+        frames, _ = http2.split_frames(asking.wire.received)
         assert [f[3] for f in frames if f[3] in (3, 7)] == [7, 3]  # GOAWAY, then RST of stream 3
         assert any(f[3] == 0 and int.from_bytes(f[5:9], "big") == 1 for f in frames)  # stream 1 has its answer
-        assert not r.daemon.authz_front.peers
+        assert not r.daemon.authz_front.connections
 
 
 @pytest.mark.parametrize(
@@ -611,13 +611,13 @@
 
 def test_a_link_that_swallows_calls_is_not_given_another() -> None:
     with authorised(timeout_ms=1000) as (r, stand_in):
-        real, r.daemon.authoriser.at = r.daemon.authoriser.at, r.counter.sock.getsockname()
+        real, r.daemon.authoriser.address = r.daemon.authoriser.address, r.counter.sock.getsockname()
         first = r.send_request(1)
         swallowed = r.counter.accept()
         r.run_until(lambda: r.count("asks") == 1)
         r.advance_clock(1.1)
         assert first.read_http()[0] == 503
-        r.daemon.authoriser.at = real
+        r.daemon.authoriser.address = real
         second = r.send_request(2)
         _, server = r.accept_relay()
         server.read_http()
