--- a/brackenpulley/authz/client.py
+++ b/brackenpulley/authz/client.py
@@ -162,16 +162,13 @@
 
 
 class AuthorisationClient:
-    """Asks an authoriser about messages; owns the connections and every call until its verdict."""
-
-    def __init__(self, loop: Loop, pool: Pool, address: Address, timeout_seconds: float, metrics: Metrics) -> None:
-        self.loop, self.pool, self.address, self.timeout_seconds, self.metrics = (
-            loop,
-            pool,
-            address,
-            timeout_seconds,
-            metrics,
-        )
+    """Asks an authoriser about messages; owns the connections and every call until its verdict.
+
+    `timeout` is the longest that a verdict may take, in seconds.
+    """
+
+    def __init__(self, loop: Loop, pool: Pool, address: Address, timeout: float, metrics: Metrics) -> None:
+        self.loop, self.pool, self.address, self.timeout, self.metrics = loop, pool, address, timeout, metrics
         self.authority = f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
         self.connection: AuthoriserConnection | None = None
         self.connections: set[AuthoriserConnection] = set()
@@ -182,7 +179,7 @@
     def ask(self, message: Message, timeout: float, on_done: Callable[[Verdict], None]) -> CheckCall:
         """Ask about a message; `on_done` receives the verdict within `timeout` seconds."""
         now = self.loop.clock()
-        call = CheckCall(self, encode_check_request(message), now + min(timeout, self.timeout_seconds), on_done)
+        call = CheckCall(self, encode_check_request(message), now + min(timeout, self.timeout), on_done)
         self.metrics.add("asks")
         call.timer = self.loop.call_at(call.deadline, lambda: self._on_timeout(call))
         if len(self._pending) >= MAX_PENDING_CALLS:
--- a/brackenpulley/authz/convert.py
+++ b/brackenpulley/authz/convert.py
@@ -24,10 +24,8 @@
 HttpRequest = attribute_context_pb2.AttributeContext.HttpRequest
 HEADER_NAME_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9a-z-]+\Z")
 HEADER_VALUE_PATTERN = re.compile(rb"[\t\x20-\x7e\x80-\xff]*\Z")
-PROTECTED_HEADERS = HOP_BY_HOP_HEADERS | {
-    b"x-request-id",
-    b"idempotency-key",
-}  # an authoriser cannot change these headers of a message
+# An authoriser cannot change these headers of a message.
+PROTECTED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-request-id", b"idempotency-key"}
 GRPC_STATUS_OF_HTTP = {
     403: http2.PERMISSION_DENIED,
     401: http2.PERMISSION_DENIED,
@@ -56,9 +54,8 @@
     headers.setdefault("x-request-id", http.id)
     headers.setdefault("x-timeout", f"{max(0, int(timeout * 1e6))}u")
     message = decode(headers, http.path, http)
-    message.timeout = max(
-        0.0, min(message.timeout, timeout - ANSWER_MARGIN_SECONDS)
-    )  # the earlier of the caller's deadline and the client's
+    # The earlier of the caller's deadline and the client's applies.
+    message.timeout = max(0.0, min(message.timeout, timeout - ANSWER_MARGIN_SECONDS))
     return message
 
 
--- a/brackenpulley/authz/front.py
+++ b/brackenpulley/authz/front.py
@@ -37,7 +37,7 @@
         return DEFAULT_TIMEOUT_SECONDS
     digits, unit = text[:-1], text[-1:]
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 8 and unit in SECONDS_PER_UNIT):
-        raise MessageError(f"grpc-timeout: {text[:20]!r} is not a timeout of up to 8 digits and a unit")
+        raise MessageError(f"grpc-timeout: {text[:20]!r} is no time")
     return float(int(digits) * SECONDS_PER_UNIT[unit])
 
 
@@ -125,7 +125,7 @@
             self._finish_response(call)
             return
         if headers.get(":path") != CHECK_PATH:
-            self._send_error(call, http2.UNIMPLEMENTED, f"unknown method {headers.get(':path', '')[:100]}")
+            self._send_error(call, http2.UNIMPLEMENTED, f"no method {headers.get(':path', '')[:100]}")
             return
         try:
             timeout = parse_timeout(headers.get("grpc-timeout"))
@@ -141,11 +141,7 @@
         call.data += data
         self.front.buffered_bytes += len(data)
         if len(call.data) > http2.MAX_MESSAGE_BYTES or self.front.buffered_bytes > MAX_BUFFERED_BYTES:
-            self._send_error(
-                call,
-                http2.RESOURCE_EXHAUSTED,
-                f"the message exceeds {http2.MAX_MESSAGE_BYTES} bytes, or all messages exceed {MAX_BUFFERED_BYTES} bytes",
-            )
+            self._send_error(call, http2.RESOURCE_EXHAUSTED, "the message is too large")
 
     def _accept_message(self, call: Call) -> None:
         try:
@@ -162,7 +158,7 @@
             self._send_error(call, http2.INVALID_ARGUMENT, str(error))
             return
         if exchange is None:
-            self._send_error(call, http2.ALREADY_EXISTS, "x-request-id: a message with this id is in progress already")
+            self._send_error(call, http2.ALREADY_EXISTS, "x-request-id: in hand already")
         elif not exchange.is_finished:
             call.exchange = exchange
 
@@ -193,7 +189,7 @@
     def _on_deadline(self, call: Call) -> None:
         """End a call at its deadline: it is not answered yet, or flow control blocks its answer."""
         if not call.is_answered:
-            self._send_error(call, http2.DEADLINE_EXCEEDED, "no answer before the deadline of the call")
+            self._send_error(call, http2.DEADLINE_EXCEEDED, "no answer in time")
         else:
             self.transport.reset(call.stream_id, h2.errors.ErrorCodes.CANCEL)
         self._release(call)
--- a/brackenpulley/authz/http2.py
+++ b/brackenpulley/authz/http2.py
@@ -57,9 +57,9 @@
 def unframe_message(data: bytes) -> bytes:
     """Return the message in `data`. Raises FramingError unless it is one whole uncompressed message."""
     if len(data) < 5 or len(data) != 5 + int.from_bytes(data[1:5], "big"):
-        raise FramingError(INVALID_ARGUMENT, "the data is not exactly one whole gRPC message")
+        raise FramingError(INVALID_ARGUMENT, "not one whole message")
     if data[0]:
-        raise FramingError(UNIMPLEMENTED, "compressed messages are not supported")
+        raise FramingError(UNIMPLEMENTED, "compressed messages are not taken")
     return data[5:]
 
 
@@ -156,7 +156,7 @@
         try:
             self._process(data)
         except (h2.exceptions.H2Error, ValueError):
-            self.flush()  # sends the GOAWAY that names the protocol error
+            self.flush()  # sends the GOAWAY that h2 queued, if any
             self.close()
             return
         self.flush()
--- a/brackenpulley/xds/source.py
+++ b/brackenpulley/xds/source.py
@@ -42,7 +42,7 @@
         for packed in response.get("resources", []):
             kind = str(packed.get("@type", "")).rpartition("/")[2]
             if kind == cluster_pb2.Cluster.DESCRIPTOR.full_name:
-                # A cluster may hold extensions of unknown types, so only the fields that locate its endpoints are decoded.
+                # A cluster may hold extensions of unknown types, so only what locates its endpoints is decoded.
                 fields = {k: v for k, v in packed.items() if k in CLUSTER_FIELDS}
                 cluster = json_format.ParseDict(fields, cluster_pb2.Cluster(), ignore_unknown_fields=True)
                 clusters[cluster.name] = cluster
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -34,7 +34,7 @@
 
 from . import util
 from .rig import rig
-from .test_authz import asker, check, result
+from .test_authz import make_check, open_stub, wait_for_result
 from .test_control import call, operator
 from .test_ledger import T0, Silent, faults, filled
 
@@ -224,8 +224,8 @@
 @pytest.mark.parametrize("end", ["committed", "released", "expired"])
 def test_a_grant_holds_its_units_until_its_end_is_told_or_its_time_is_over(tmp_path: Path, end: str) -> None:
     told = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
-    with rig(operator=told) as r, asker(r) as stub:
-        assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
+    with rig(operator=told) as r, open_stub(r) as stub:
+        assert wait_for_result(r, stub.Check.future(make_check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
         level = r.daemon.ingress.decision_module.firms[7].level
         assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted == 0
