--- a/tests/test_authz.py
+++ b/tests/test_authz.py
@@ -61,7 +61,7 @@
 
 
 def wait_for_result(test_rig: Rig, call: Any) -> Any:
-    """The response of a call, or the error that it ended with."""
+    """Return the response of a call, or the error that it ended with."""
     test_rig.run_until(call.done)
     return call.exception() or call.result()
 
@@ -264,9 +264,8 @@
 @pytest.mark.parametrize(("delay", "wait"), [(0.0, 2.0), (0.5, 2.0), (1.9, 2.0), (2.5, 2.0), (10.0, 2.0), (10.0, 4.0)])
 def test_however_long_the_authoriser_takes_one_answer_comes_in_time(delay: float, wait: float, on_failure: str) -> None:
     with rig_with_authoriser(delay, on_failure=on_failure) as (test_rig, stand_in):
-        test_rig.daemon.ingress.decision_module.rate_controllers[
-            "a"
-        ].mean_latency = 0.01  # the sim servers are known to be fast
+        # The decision module has seen that the sim servers are fast.
+        test_rig.daemon.ingress.decision_module.rate_controllers["a"].mean_latency = 0.01
         test_rig.freeze_clock()
         client = test_rig.send_request(1, timeout=f"{int(wait * 1000)}m")
         test_rig.run_until(lambda: bool(stand_in.requests))
