--- a/benchmarks/capacity/kinds/firms.py
+++ b/benchmarks/capacity/kinds/firms.py
@@ -16,7 +16,9 @@
 
 
 def keeper(firms: int) -> LeaseManager:
-    made = LeaseManager(lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0)
+    made = LeaseManager(
+        lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0
+    )
     for firm in range(1, firms + 1):
         made.request(1000.0, firm, "county", 1.0, 3, 0, 0.0)
         made.handle_reply(1000.01, made.firms[firm].call_name, "ok", 0.0)
@@ -67,7 +69,9 @@
 def measured(seed: int, sizes: tuple[int, ...] = SIZES, timers: tuple[int, ...] = TIMERS) -> list[Slope]:
     found = {n: leased(n) for n in sizes}
     ledger = {n: closed(n) for n in sizes}
-    size = len(encode_add(build_counter_name("debt", 12345, 1 << 32), 12.345678, COUNTER_TTL_SECONDS)) + len(b"$9\r\n123.45678\r\n")
+    size = len(encode_add(build_counter_name("debt", 12345, 1 << 32), 12.345678, COUNTER_TTL_SECONDS)) + len(
+        b"$9\r\n123.45678\r\n"
+    )
     return [
         slope(
             "firms.leases",
