--- a/brackenpulley/fleet/__init__.py
+++ b/brackenpulley/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""A host group's instances under one supervisor: started, watched, replaced, rolled.
+"""Supervision of a host group's instances: start, health checks, restart with back-off and rolling restart.
 
-What is decided stands in modules without I/O (`spec`, `instance`, `backoff`, `rolling`, `sharing`, `notify`, `lines`);
-`supervisor` has the processes and the sockets. Nothing of it is loaded by a lone ingress."""
+`spec`, `instance`, `backoff`, `rolling`, `sharing`, `notify` and `lines` make the decisions; `instance`, `backoff`,
+`rolling` and `sharing` do no I/O. `supervisor` owns the processes and the sockets. An ingress that runs without a
+supervisor loads none of this."""
--- a/brackenpulley/fleet/backoff.py
+++ b/brackenpulley/fleet/backoff.py
@@ -1,4 +1,4 @@
-"""When an instance that ended is started again, and when it is no longer tried."""
+"""Restart delays of an instance that ended by itself, and the detection of crash loops. Used by `instance`."""
 
 from __future__ import annotations
 
@@ -8,42 +8,45 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
-    """Seconds and counts; the table [restart] of a fleet's description."""
+class RestartPolicy:
+    """Delays in seconds and limits of automatic restarts: the table [restart] of a fleet description."""
 
-    first: float = 0.2  # before the first restart
-    longest: float = 30.0
-    jitter: float = 0.5  # part of each wait that is random, so that what ended together does not start in step
-    crashes: int = 5  # within `within` s: a crash loop
-    within: float = 60.0
+    first_delay: float = 0.2  # before the first restart
+    longest_delay: float = 30.0
+    jitter: float = 0.5  # random part of each delay, so that instances that ended together do not restart together
+    crash_limit: int = 5  # ends within `crash_window` that make a crash loop
+    crash_window: float = 60.0  # seconds
 
 
 class Backoff:
-    """Exponential, with jitter; an instance that stayed up for `within` s starts from the beginning again."""
+    """Exponential back-off with jitter. After `crash_window` s of being ready it starts over."""
 
-    def __init__(self, pace: Pace, rng: random.Random) -> None:
-        self.pace, self._rng = pace, rng
-        self._ends: deque[float] = deque(maxlen=pace.crashes)
-        self._row = 0  # ends in a row, none of them after a long life
+    def __init__(self, policy: RestartPolicy, rng: random.Random) -> None:
+        self.policy, self._rng = policy, rng
+        self._end_times: deque[float] = deque(maxlen=policy.crash_limit)
+        self._consecutive_ends = 0  # since the last process that was ready for `crash_window` s
 
     @property
-    def row(self) -> int:
-        return self._row
-
-    def ended(self, now: float, lived: float) -> float | None:
-        """It ended by itself after `lived` s of being ready: s to wait, or None where it is a crash loop."""
-        if lived >= self.pace.within:
-            self._row = 0
-            self._ends.clear()
-        self._row += 1
-        self._ends.append(now)
-        if len(self._ends) == self.pace.crashes and now - self._ends[0] <= self.pace.within:
+    def consecutive_ends(self) -> int:
+        """Number of ends since the last reset or the last long-lived process."""
+        return self._consecutive_ends
+
+    def record_end(self, now: float, uptime: float) -> float | None:
+        """Record that the process ended by itself, `uptime` s after it became ready.
+
+        Returns the seconds to wait before the restart, or None for a crash loop."""
+        if uptime >= self.policy.crash_window:
+            self._consecutive_ends = 0
+            self._end_times.clear()
+        self._consecutive_ends += 1
+        self._end_times.append(now)
+        if len(self._end_times) == self.policy.crash_limit and now - self._end_times[0] <= self.policy.crash_window:
             return None
-        # The exponent is bounded: two to the power of a week of restarts is no float.
-        wait = min(self.pace.longest, self.pace.first * 2.0 ** min(self._row - 1, 60))
-        return wait * (1 - self.pace.jitter * self._rng.random())
-
-    def forget(self) -> None:
-        """The operator has started it by hand."""
-        self._row = 0
-        self._ends.clear()
+        # The exponent is capped: after a week of restarts the power of two would overflow a float.
+        delay = min(self.policy.longest_delay, self.policy.first_delay * 2.0 ** min(self._consecutive_ends - 1, 60))
+        return delay * (1 - self.policy.jitter * self._rng.random())
+
+    def reset(self) -> None:
+        """Forget all earlier ends, after the operator has started the instance by hand."""
+        self._consecutive_ends = 0
+        self._end_times.clear()
--- a/brackenpulley/fleet/caller.py
+++ b/brackenpulley/fleet/caller.py
@@ -1,4 +1,4 @@
-"""One HTTP call on the loop, to an address or a Unix socket. Owns its socket and gives it back in `_end`."""
+"""A single HTTP/1.1 request on the event loop, to a TCP address or a Unix socket. Used by the supervisor."""
 
 from __future__ import annotations
 
@@ -10,78 +10,88 @@
 from ..net.answers import MalformedResponseError, ResponseReader
 from ..net.loop import READ, WRITE, Loop
 
-Done = Callable[[int, bytes], None]
+ResponseCallback = Callable[[int, bytes], None]
 
 
 class Call:
-    """`done` is called once with the status and the body; status 0 where there was no answer within `patience` s."""
+    """One request that closes its connection after the response.
+
+    Calls `on_response` once with the status and the body; the status is 0 where no complete response came within
+    `timeout` s."""
 
     def __init__(
-        self, loop: Loop, at: Address | str, method: str, path: str, body: bytes, patience: float, done: Done
+        self,
+        loop: Loop,
+        address: Address | str,
+        method: str,
+        path: str,
+        body: bytes,
+        timeout: float,
+        on_response: ResponseCallback,
     ) -> None:
-        self.loop, self._done = loop, done
-        self._out = (
+        self.loop, self._on_response = loop, on_response
+        self._unsent = (
             f"{method} {path} HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
-        self._reply = ResponseReader()
-        self._up = False
+        self._response = ResponseReader()
+        self._is_connected = False
         self._sock: socket.socket | None = None
-        self._timer = loop.call_in(patience, self._end)
+        self._timer = loop.call_in(timeout, self._finish)
         try:
-            self._sock = self._connected(at)
-        except OSError:  # told in a later turn, as any other end
+            self._sock = self._connect(address)
+        except OSError:  # reported from the loop, never from within the constructor
             self._timer.cancel()
-            loop.call_soon(self._end)
+            loop.call_soon(self._finish)
             return
-        loop.register(self._sock, WRITE, self._event)
+        loop.register(self._sock, WRITE, self._handle_event)
 
     @staticmethod
-    def _connected(at: Address | str) -> socket.socket:
-        if not isinstance(at, str):
-            return sockets.connect(at)
+    def _connect(address: Address | str) -> socket.socket:
+        if not isinstance(address, str):
+            return sockets.connect(address)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            sock.connect(at)
+            sock.connect(address)
         except OSError:
             sock.close()
             raise
         return sock
 
-    def _event(self, events: int) -> None:
+    def _handle_event(self, events: int) -> None:
         assert self._sock is not None
         try:
-            if not self._up:
+            if not self._is_connected:
                 if sockets.connect_error(self._sock):
                     raise OSError("connect")
-                self._up = True
-            if self._out:
-                self._out = self._out[self._sock.send(self._out) :]
-                if not self._out:
-                    self.loop.set_interest(self._sock, READ, self._event)
+                self._is_connected = True
+            if self._unsent:
+                self._unsent = self._unsent[self._sock.send(self._unsent) :]
+                if not self._unsent:
+                    self.loop.set_interest(self._sock, READ, self._handle_event)
                 return
             data = self._sock.recv(65536)
             if data:
-                self._reply.feed(data)
+                self._response.feed(data)
             else:
-                self._reply.handle_eof()
-            if self._reply.is_complete or not data:
-                self._end()
+                self._response.handle_eof()
+            if self._response.is_complete or not data:
+                self._finish()
         except BlockingIOError:
             return
         except (OSError, MalformedResponseError):
-            self._end()
+            self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if self._sock is not None:
-            self.loop.set_interest(self._sock, 0, self._event)
+            self.loop.set_interest(self._sock, 0, self._handle_event)
             self._sock.close()
             self._sock = None
         self._timer.cancel()
-        done, self._done = self._done, lambda status, body: None
-        done(self._reply.status if self._reply.is_complete else 0, self._reply.body)
+        on_response, self._on_response = self._on_response, lambda status, body: None
+        on_response(self._response.status if self._response.is_complete else 0, self._response.body)
 
-    def drop(self) -> None:
-        """Nobody waits for it any more."""
-        self._done = lambda status, body: None
-        self._end()
+    def cancel(self) -> None:
+        """Close the connection without calling the callback."""
+        self._on_response = lambda status, body: None
+        self._finish()
--- a/brackenpulley/fleet/gateways.py
+++ b/brackenpulley/fleet/gateways.py
@@ -10,7 +10,7 @@
 from ..metrics import Metrics
 from ..net.loop import Loop, Timer
 from ..policy import interface as i
-from .cold import Crowd
+from .cold import IngressCountEstimate
 from .sharing import Told
 
 AGAIN = 1.0  # s
@@ -26,7 +26,7 @@
         self.part = 1.0
         self.members = 0  # seen alive, the suspected too
         self.now = (floor, 0)  # as the module knows it
-        self.crowd = Crowd(loop.clock(), bound)
+        self.count_estimate = IngressCountEstimate(loop.clock(), bound)
         ingress.load_observer = self
         self._timer: Timer | None = None
 
@@ -57,7 +57,7 @@
 
     def _apply(self) -> None:
         count = max(math.ceil(self.told.count(time.monotonic()) / self.part), self.members)
-        now = (count, self.crowd.count(self.loop.clock(), count))
+        now = (count, self.count_estimate.get_count(self.loop.clock(), count))
         if now != self.now:
             self.now = now
             self.ingress.notify(i.IngressCountChanged(*now))
@@ -75,7 +75,7 @@
         if known is not None and known.compute_warmth(now, settings) < 1:
             for name, value in zip(settings.report_fields, load, strict=False):
                 if name == "inflight":
-                    self.crowd.reported(now, value, len(known.relays))
+                    self.count_estimate.record_report(now, value, len(known.relays))
                     self._apply()
 
     def status(self) -> dict[str, Any]:
--- a/brackenpulley/fleet/instance.py
+++ b/brackenpulley/fleet/instance.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from .backoff import Backoff, Pace
+from .backoff import Backoff, RestartPolicy
 
 DOWN, DUE, STARTING, READY, DRAINING, STOPPING, WAITING, CRASHED = (
     "down",
@@ -63,9 +63,9 @@
 class Instance:
     """`life` counts processes: 0 = none yet."""
 
-    def __init__(self, number: int, times: Times, pace: Pace, rng: random.Random) -> None:
+    def __init__(self, number: int, times: Times, restart_policy: RestartPolicy, rng: random.Random) -> None:
         self.number, self.times = number, times
-        self.backoff = Backoff(pace, rng)
+        self.backoff = Backoff(restart_policy, rng)
         self.state, self.since, self.why = DOWN, 0.0, ""
         self.pid = self.life = self.restarts = 0
         self.ready_at = -inf  # the start of its present time of being ready
@@ -84,7 +84,7 @@
 
     def start(self, now: float) -> None:
         if self.state in (DOWN, CRASHED, WAITING):
-            self.backoff.forget()
+            self.backoff.reset()
             self._to(now, DUE)
         elif self.state in (DRAINING, STOPPING):
             self._again = True
@@ -197,7 +197,7 @@
         return [Signal(signal.SIGKILL, why)]
 
     def _failed(self, now: float, why: str, lived: float) -> None:
-        wait = self.backoff.ended(now, lived)
+        wait = self.backoff.record_end(now, lived)
         self.restarts += 1
         self.why = why
         self._to(now, CRASHED if wait is None else WAITING)
--- a/brackenpulley/fleet/spec.py
+++ b/brackenpulley/fleet/spec.py
@@ -11,7 +11,7 @@
 
 from ..address import Address, ConfigError, parse_address
 from ..control.api import fault_of
-from .backoff import Pace
+from .backoff import RestartPolicy
 
 MOST = 1000  # instances of one supervisor
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$")]
@@ -83,9 +83,9 @@
     environment: dict[str, str] = {}
 
     @property
-    def pace(self) -> Pace:
+    def restart_policy(self) -> RestartPolicy:
         r = self.restart
-        return Pace(r.first_s, r.longest_s, r.jitter, r.crashes, r.within_s)
+        return RestartPolicy(r.first_s, r.longest_s, r.jitter, r.crashes, r.within_s)
 
     @property
     def run(self) -> Path:
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -179,7 +179,7 @@
         listens = self.base.listens
         at = listens[number] if number < len(listens) else ("127.0.0.1", 0)
         output = Output(self.loop, self.run / f"{number}.log", lambda line: self._line(number, line))
-        place = self.places[number] = Place(Instance(number, times, s.pace, self.rng), at, output)
+        place = self.places[number] = Place(Instance(number, times, s.restart_policy, self.rng), at, output)
         return place
 
     def _adopt(self, pid: int, number: int, mark: str) -> None:
@@ -413,7 +413,7 @@
         if place is None or place.process is None:
             return
         if place.words is not None:
-            place.words.drop()
+            place.words.cancel()
         pid = place.one.pid
 
         def heard(status: int, body: bytes) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
 
 from brackenpulley.address import ConfigError
 from brackenpulley.fleet import notify
-from brackenpulley.fleet.backoff import Backoff, Pace
-from brackenpulley.fleet.cold import HEARD, YOUNG, Crowd
+from brackenpulley.fleet.backoff import Backoff, RestartPolicy
+from brackenpulley.fleet.cold import REPORT_LIFETIME_SECONDS, STARTUP_SECONDS, IngressCountEstimate
 from brackenpulley.fleet.instance import (
     CRASHED,
     DOWN,
@@ -39,7 +39,7 @@
 GOOD: dict[str, Any] = {
     "fleet": {"name": "hall", "run": "/run/hall", "config": "c.json", "listen": "127.0.0.1:9100-9103", "instances": 3}
 }
-TIMES, PACE = Times(10.0, 5.0, 1.0, 4.0), Pace(0.5, 8.0, 0.5, 3, 60.0)
+TIMES, RESTART_POLICY = Times(10.0, 5.0, 1.0, 4.0), RestartPolicy(0.5, 8.0, 0.5, 3, 60.0)
 
 
 def test_a_description_gives_each_instance_an_address() -> None:
@@ -76,7 +76,7 @@
 
 
 def started(now: float = 0.0) -> Instance:
-    one = Instance(0, TIMES, PACE, random.Random(1))
+    one = Instance(0, TIMES, RESTART_POLICY, random.Random(1))
     one.start(now)
     one.spawned(now, 100)
     return one
@@ -178,14 +178,14 @@
 @given(st.integers(0, 2**32), st.lists(st.floats(0.0, 59.0), max_size=80))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_back_off_doubles_within_its_jitter_and_stays_under_the_longest(seed: int, lives: list[float]) -> None:
-    backoff, now = Backoff(Pace(0.5, 8.0, 0.5, 1000, 60.0), random.Random(seed)), 0.0
+    backoff, now = Backoff(RestartPolicy(0.5, 8.0, 0.5, 1000, 60.0), random.Random(seed)), 0.0
     for row, lived in enumerate(lives):
-        wait = backoff.ended(now, lived)
+        wait = backoff.record_end(now, lived)
         full = min(8.0, 0.5 * 2**row)
         assert wait is not None and full / 2 <= wait <= full
         now += lived + wait
-    backoff.ended(now, 60.0)
-    assert backoff.row == 1
+    backoff.record_end(now, 60.0)
+    assert backoff.consecutive_ends == 1
 
 
 STEPS = st.lists(
@@ -218,7 +218,7 @@
 def test_any_order_leaves_no_process_without_a_way_out(steps: list[tuple[str, float]]) -> None:
     """Where a process runs, either its end is waited for with a time set, or it is ready and watched; where none runs
     nothing is signalled. A stopped one, once its time is over, has been asked to end."""
-    one, now, pid = Instance(0, TIMES, PACE, random.Random(1)), 0.0, 100
+    one, now, pid = Instance(0, TIMES, RESTART_POLICY, random.Random(1)), 0.0, 100
     for what, pause in steps:
         now += pause
         done = operate(one, what, now)
@@ -424,32 +424,32 @@
     "now, told, report, expected",
     [
         (0.0, 3, None, 40),  # young: as large as it may be
-        (YOUNG + 1, 3, None, 3),
-        (YOUNG + 1, 20, None, 20),
-        (YOUNG + 1, 3, (12.0, 2), 6),  # what the server says
-        (YOUNG + 1, 3, (12.0, 0), 12),
-        (YOUNG + HEARD + 2, 3, (12.0, 2), 3),  # it said that too long ago
+        (STARTUP_SECONDS + 1, 3, None, 3),
+        (STARTUP_SECONDS + 1, 20, None, 20),
+        (STARTUP_SECONDS + 1, 3, (12.0, 2), 6),  # what the server says
+        (STARTUP_SECONDS + 1, 3, (12.0, 0), 12),
+        (STARTUP_SECONDS + REPORT_LIFETIME_SECONDS + 2, 3, (12.0, 2), 3),  # it said that too long ago
     ],
 )
 def test_a_cold_server_is_divided_by_the_most_that_anything_says(
     now: float, told: int, report: tuple[float, int] | None, expected: int
 ) -> None:
-    crowd = Crowd(0.0, 40)
+    estimate = IngressCountEstimate(0.0, 40)
     if report:
-        crowd.reported(YOUNG + 1, *report)
-    assert crowd.count(now, told) == expected
+        estimate.record_report(STARTUP_SECONDS + 1, *report)
+    assert estimate.get_count(now, told) == expected
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 5.0), st.integers(0, 50), st.integers(0, 5)), min_size=1, max_size=60))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_reports_count_for_their_time_and_no_longer(rows: list[tuple[float, int, int]]) -> None:
-    crowd, now = Crowd(-YOUNG - 1), 0.0
+    estimate, now = IngressCountEstimate(-STARTUP_SECONDS - 1), 0.0
     seen: list[tuple[float, int]] = []
     for pause, in_hand, own in rows:
         now += pause
-        crowd.reported(now, in_hand, own)
+        estimate.record_report(now, in_hand, own)
         seen.append((now, ceil(in_hand / max(1, own))))
-        assert crowd.count(now, 1) == max(1, *(n for at, n in seen if at >= now - HEARD))
+        assert estimate.get_count(now, 1) == max(1, *(n for at, n in seen if at >= now - REPORT_LIFETIME_SECONDS))
 
 
 # Datagrams, lines, health.
