--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -32,7 +32,7 @@
 from benchmarks.plan_changes import ROOT, free_ports
 from brackenpulley.control.client import Control, ControlError
 from brackenpulley.fleet.caller import Call
-from brackenpulley.fleet.files import Base
+from brackenpulley.fleet.files import SharedConfig
 from brackenpulley.fleet.process import search
 from brackenpulley.fleet.spec import load as spec_of
 from brackenpulley.metrics import Metrics
@@ -405,11 +405,11 @@
         made.load.start()
         if believes:
             made.load.numbers = believes
-            base = Base.read(spec_of(str(made.file)))
+            base = SharedConfig.read(spec_of(str(made.file)))
             (made.folder / "run").mkdir()
             with open(made.folder / "log", "ab") as log:
                 for number in range(instances):
-                    base.write(number, instances)
+                    base.write_instance_files(number, instances)
                     path = made.folder / "run" / f"{number}.json"
                     raw = json.loads(path.read_text())
                     raw["settings"].update(NInstances=believes, MyNumber=number % believes)
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -77,10 +77,10 @@
 def check(file: File, as_json: AsJson = False) -> None:
     """Whether each instance could start with this description and its files."""
     spec = _spec(file)
-    from ..fleet.files import Base
+    from ..fleet.files import SharedConfig
 
     try:
-        Base.read(spec)
+        SharedConfig.read(spec)
     except ConfigError as error:
         raise fail(str(error)) from None
     at = spec.listens()
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -341,8 +341,8 @@
 
     def hear(request: Request) -> Any:
         told = decode(request.body, GatewaysCall)
-        if not service.hear(told.serial, told.count, told.until, told.part):
-            raise ApiError(409, "serial", f"{told.serial}: a newer word was heard, {service.told.serial}")
+        if not service.receive_count(told.serial, told.count, told.until, told.part):
+            raise ApiError(409, "serial", f"{told.serial}: a newer word was heard, {service.count_lease.serial}")
         return service.status()
 
     routes.add("GET", "/v1/gateways", lambda request: service.status())
--- a/brackenpulley/fleet/files.py
+++ b/brackenpulley/fleet/files.py
@@ -1,4 +1,4 @@
-"""The files that a supervisor writes for its instances, and the few figures that it keeps for its successor."""
+"""Configuration files that the supervisor writes for its instances, and the state it saves for its next start."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from ..operator import decode_text
 from .spec import Fleet, digest
 
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
 @dataclass(slots=True)
-class Base:
-    """What all instances share, as read from the description's files."""
+class SharedConfig:
+    """The fleet description and the files it names, from which each instance's configuration is built."""
 
     spec: Fleet
-    raw: dict[str, Any]
-    operator: str  # TOML with its placeholders
-    mark: str = field(default="")
-    listens: list[Address] = field(init=False)  # read once: each instance looks its own up
-    members: list[Address] = field(init=False)
+    raw_config: dict[str, Any]
+    operator_template: str  # TOML text with placeholders
+    start_digest: str = field(default="")
+    listen_addresses: list[Address] = field(init=False)  # parsed once; indexed by instance number
+    member_addresses: list[Address] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.listens, self.members = self.spec.listens(), self.spec.members()
+        self.listen_addresses, self.member_addresses = self.spec.listens(), self.spec.members()
 
     @classmethod
-    def read(cls, spec: Fleet) -> Base:
-        """Raises ConfigError that names the file or the field."""
+    def read(cls, spec: Fleet) -> SharedConfig:
+        """Read and validate the files that `spec` names. Raises ConfigError naming the file or the field."""
         try:
             raw = json.loads(Path(spec.fleet.config).read_text(encoding="utf-8"))
         except OSError as error:
@@ -52,12 +52,12 @@
             except UnicodeDecodeError as error:
                 raise ConfigError(f"fleet.operator: {spec.fleet.operator}: not UTF-8: {error.reason}") from None
         if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-            raise ConfigError(f"fleet.config: {spec.fleet.config}: no configuration with settings")
-        base = cls(spec, raw, operator)
-        # What SIGHUP takes in service is left out: a new discovery does not make a running instance an old one.
-        kept = {key: value for key, value in raw.items() if key not in ("discovery", "counter", "known")}
-        base.mark = digest(
-            json.dumps(kept, sort_keys=True),
+            raise ConfigError(f"fleet.config: {spec.fleet.config}: must be a JSON object with an object `settings`")
+        shared_config = cls(spec, raw, operator)
+        # Keys that SIGHUP applies at run time are left out: a changed discovery does not make an instance outdated.
+        compared = {key: value for key, value in raw.items() if key not in ("discovery", "counter", "known")}
+        shared_config.start_digest = digest(
+            json.dumps(compared, sort_keys=True),
             operator,
             json.dumps(
                 msgspec.to_builtins(
@@ -65,18 +65,18 @@
                 )
             ),
         )
-        base.check()
-        return base
+        shared_config.validate()
+        return shared_config
 
-    def gateways(self, count: int) -> int:
-        """What the module is told as the number of ingresses, where this group has only a part of the whole."""
+    def compute_ingress_count(self, count: int) -> int:
+        """Return the number of ingresses of the whole fleet, of which this group's `count` are `part`."""
         return math.ceil(count / self.spec.fleet.part)
 
-    def config(self, number: int, count: int) -> dict[str, Any]:
-        """The configuration of one instance that starts as one of `count`."""
-        gateways = self.gateways(count)
+    def build_config(self, number: int, count: int) -> dict[str, Any]:
+        """Return the configuration of instance `number`, started as one of `count`."""
+        ingress_count = self.compute_ingress_count(count)
         limits = {
-            **self.raw.get("limits", {}),
+            **self.raw_config.get("limits", {}),
             **{
                 name: value
                 for name, value in (("sockets", self.spec.limits.sockets), ("memory_mb", self.spec.limits.memory_mb))
@@ -84,16 +84,20 @@
             },
         }
         return {
-            **self.raw,
+            **self.raw_config,
             "name": f"{self.spec.fleet.name}-{number}",
             "limits": limits,
-            "listen": text(self.listens[number]),
-            "settings": {**self.raw["settings"], "NInstances": gateways, "MyNumber": number % gateways},
+            "listen": text(self.listen_addresses[number]),
+            "settings": {
+                **self.raw_config["settings"],
+                "NInstances": ingress_count,
+                "MyNumber": number % ingress_count,
+            },
         }
 
-    def operators(self, number: int) -> str:
-        """The operator's file of one instance."""
-        members = self.members
+    def render_operator_file(self, number: int) -> str:
+        """Return the operator's file of instance `number`, its placeholders replaced."""
+        members = self.member_addresses
         filled = {
             "{instance}": str(number),
             "{name}": f"{self.spec.fleet.name}-{number}",
@@ -101,52 +105,59 @@
             "{member}": text(members[number]) if members else "",
             "{seeds}": ", ".join(f'"{text(at)}"' for at in members[:3]),
         }
-        found = self.operator
+        found = self.operator_template
         for name, value in filled.items():
             found = found.replace(name, value)
         return found
 
-    def check(self) -> None:
-        """Whether each instance could start with this. Raises ConfigError."""
+    def validate(self) -> None:
+        """Decode the configuration of every instance. Raises ConfigError."""
         for number in range(self.spec.fleet.instances):
-            self.decoded(number, self.spec.fleet.instances)
-
-    def decoded(self, number: int, count: int) -> Config:
-        return decode(self.config(number, count), {}, decode_text(self.operators(number), self.spec.fleet.operator))
+            self.decode_config(number, self.spec.fleet.instances)
+
+    def decode_config(self, number: int, count: int) -> Config:
+        """Decode the configuration of instance `number` as the instance would at its start. Raises ConfigError."""
+        return decode(
+            self.build_config(number, count),
+            {},
+            decode_text(self.render_operator_file(number), self.spec.fleet.operator),
+        )
 
-    def write(self, number: int, count: int) -> None:
+    def write_instance_files(self, number: int, count: int) -> None:
+        """Write both files of instance `number` into the run folder. Raises OSError."""
         run = self.spec.run
-        put(run / f"{number}.json", json.dumps(self.config(number, count)))
-        put(run / f"{number}.toml", self.operators(number))
+        write_atomically(run / f"{number}.json", json.dumps(self.build_config(number, count)))
+        write_atomically(run / f"{number}.toml", self.render_operator_file(number))
 
 
-def put(path: Path, data: str) -> None:
-    """In its place at once, or not at all. Raises OSError."""
-    fresh = path.with_name(path.name + ".new")
-    fresh.write_text(data, encoding="utf-8")
-    fresh.chmod(0o600)
-    os.replace(fresh, path)
+def write_atomically(path: Path, data: str) -> None:
+    """Replace the file atomically; on failure the old one remains. Raises OSError."""
+    temporary = path.with_name(path.name + ".new")
+    temporary.write_text(data, encoding="utf-8")
+    temporary.chmod(0o600)
+    os.replace(temporary, path)
 
 
-class Kept(msgspec.Struct, forbid_unknown_fields=True):
-    """`state.json`: what was changed in service, for the next supervisor."""
+class SavedState(msgspec.Struct, forbid_unknown_fields=True):
+    """Contents of `state.json`: changes made at run time, for the next supervisor."""
 
-    described: int  # instances that the description had when `count` was set
+    described: int  # number of instances in the description when `count` was set
     count: int
     stopped: list[int] = []  # stopped by the operator
     boot: str = ""
-    clock: float = 0.0  # s from the monotonic clock of this boot to the time of day that the fleet goes by
+    clock: float = 0.0  # offset in seconds from the monotonic clock of this boot to the fleet's time of day
 
 
-def kept(run: Path, described: int, now: float, monotonic: float) -> tuple[Kept, str]:
-    """What the last supervisor left, and why it was not used if it was there.
+def load_state(run: Path, described: int, now: float, monotonic: float) -> tuple[SavedState, str]:
+    """Load the state that the last supervisor saved.
 
-    The fleet's clock is set once a boot: a time of day that steps later must not put instances that start after the
-    step under other names of the counter than those that run."""
-    boot = BOOT.read_text().strip()
-    fresh = Kept(described, described, [], boot, now - monotonic)
+    Returns it with an empty text, or a new state with the error that made the saved one unusable. The fleet's clock is
+    set once per boot: if the time of day steps later, instances started after the step must use the same names at the
+    counter as those already running."""
+    boot = BOOT_ID_PATH.read_text().strip()
+    fresh = SavedState(described, described, [], boot, now - monotonic)
     try:
-        found = msgspec.json.decode((run / "state.json").read_bytes(), type=Kept)
+        found = msgspec.json.decode((run / "state.json").read_bytes(), type=SavedState)
     except FileNotFoundError:
         return fresh, ""
     except (OSError, msgspec.MsgspecError) as error:
@@ -159,6 +170,6 @@
     return found, ""
 
 
-def keep(run: Path, state: Kept) -> None:
-    """Raises OSError."""
-    put(run / "state.json", msgspec.json.encode(state).decode())
+def save_state(run: Path, state: SavedState) -> None:
+    """Write `state.json`. Raises OSError."""
+    write_atomically(run / "state.json", msgspec.json.encode(state).decode())
--- a/brackenpulley/fleet/reload.py
+++ b/brackenpulley/fleet/reload.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..address import ConfigError
-from .files import Base
+from .files import SharedConfig
 from .spec import load
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     """Checked whole first; then each instance reads its file. One that can't, or does not say so in time, takes the
     others back with it. What an instance takes only at its start waits for a restart, and is shown as old till then."""
 
-    def __init__(self, supervisor: Supervisor, old: Base, new: Base) -> None:
+    def __init__(self, supervisor: Supervisor, old: SharedConfig, new: SharedConfig) -> None:
         self._supervisor, self._old, self._new = supervisor, old, new
         self.until = supervisor.loop.clock() + PATIENCE
         self.waits: dict[int, int] = {}  # instance: the process that was asked
@@ -33,7 +33,7 @@
         for name in ("name", "run"):
             if getattr(spec.fleet, name) != getattr(held, name):
                 raise ConfigError(f"fleet.{name}: {getattr(spec.fleet, name)!r} cannot be changed in service")
-        self = cls(supervisor, supervisor.base, Base.read(spec))
+        self = cls(supervisor, supervisor.shared_config, SharedConfig.read(spec))
         self._put(self._new)
         for number, place in supervisor.places.items():
             if place.process is not None and place.one.told:
@@ -41,22 +41,22 @@
                 place.process.send(signal.SIGHUP)
         return self
 
-    def _put(self, base: Base) -> None:
+    def _put(self, shared_config: SharedConfig) -> None:
         """Raises ConfigError where the disk does not take it; then the old files stand."""
         supervisor = self._supervisor
         running = [number for number, place in supervisor.places.items() if place.process is not None]
         try:
             for number in running:
-                if number < len(base.listens):
-                    base.write(number, supervisor.spec.fleet.instances)
+                if number < len(shared_config.listen_addresses):
+                    shared_config.write_instance_files(number, supervisor.spec.fleet.instances)
         except OSError as error:
             for number in running:
                 try:
-                    self._old.write(number, supervisor.spec.fleet.instances)
+                    self._old.write_instance_files(number, supervisor.spec.fleet.instances)
                 except OSError:
                     break  # its file is the old one or the new one, whole; SIGHUP was sent to nobody
             raise ConfigError(f"fleet.run: {error.strerror or error}") from None
-        supervisor.base = base
+        supervisor.shared_config = shared_config
 
     def heard(self, number: int, said: str) -> None:
         if self.waits.pop(number, None) is not None and said != "ok":
@@ -96,7 +96,7 @@
             old=[
                 n
                 for n, place in sorted(s.places.items())
-                if place.process is not None and place.process.mark != s.base.mark
+                if place.process is not None and place.process.mark != s.shared_config.start_digest
             ],
         )
         return True
--- a/brackenpulley/fleet/run.py
+++ b/brackenpulley/fleet/run.py
@@ -9,7 +9,7 @@
 from ..metrics import Metrics
 from ..net.loop import Loop
 from ..serve import make_logger
-from .files import Base
+from .files import SharedConfig
 from .lines import Ring
 from .spec import Fleet
 from .stream import Stream
@@ -34,7 +34,7 @@
 
 def supervise(path: str, spec: Fleet) -> int:
     """Until the fleet has ended. Raises ConfigError before anything was started."""
-    base = Base.read(spec)
+    shared_config = SharedConfig.read(spec)
     metrics = Metrics()
     loop = Loop(time.monotonic, metrics, None)
     try:
@@ -44,7 +44,7 @@
     ring = Ring(spec.log.keep)
     loop.log = log = make_logger(Sink(stream, ring))
     try:
-        supervisor = Supervisor(path, base, loop, log, stream, ring)
+        supervisor = Supervisor(path, shared_config, loop, log, stream, ring)
     except OSError as error:
         raise ConfigError(f"fleet.run: {spec.fleet.run}: {error.strerror}") from None
     loop.add_signal_handler(signal.SIGTERM, supervisor.end)
--- a/brackenpulley/fleet/sharing.py
+++ b/brackenpulley/fleet/sharing.py
@@ -1,19 +1,19 @@
-"""Which part of the whole each instance of a group may use; the sum never passes the whole. No I/O.
+"""Division of the fleet's quotas among a group's instances; the sum of the shares never exceeds the whole. No I/O.
 
-An instance that was told a count of n uses 1/n. A smaller count widens its part, and it is told only where the parts
-of all that may still be running leave the room for it; a greater one narrows it and is told at once. A new process
-starts with a count that fits beside what the others may be using then, so those are narrowed, and have said so, before
-it is started. What an instance may be using is the widest of
+An instance with a count of n uses a share of 1/n. A smaller count raises its share and is sent only when the shares of
+all processes that may still be running leave room for it; a greater one reduces its share and is sent at once. A new
+process starts with a count that fits beside what the others may be using, so those are first reduced, and have
+acknowledged that, before it starts. The share that an instance may be using is the largest of
 
     the count that it was started with, or a greater one that it acknowledged (its floor);
-    any count that it was told since the last one it acknowledged, until that one's lease is over.
+    any count sent to it since the last one it acknowledged, until the lease of that count has expired.
 
-A count under the floor is leased: without a newer word the instance goes back to its floor by itself. Words carry a
-serial number, and the lease's end as an instant of the host's monotonic clock, so that a word that arrives late, or
-twice, changes nothing.
+A count below the floor is leased: without a newer update the instance returns to its floor by itself. Updates carry a
+serial number, and the end of the lease as a time of the host's monotonic clock, so that an update that arrives late or
+twice has no effect.
 
-Only the kernel's word that a process has ended gives its part free. One that is silent, stopped or out of reach keeps
-it: no view of who answers ever widens anything."""
+A share is released only when the kernel reports that the process has ended. An instance that is silent, stopped or
+unreachable keeps its share: no view of which instances respond ever raises another one's share."""
 
 from __future__ import annotations
 
@@ -21,27 +21,33 @@
 from fractions import Fraction
 from math import inf
 
-MARGIN = 1.0  # s after the end of a lease for which it is still held to be in use
+LEASE_MARGIN_SECONDS = 1.0  # for so long after its end a lease is still assumed to be in use
 
 
 @dataclass(slots=True)
-class Held:
-    floor: int
-    told: int  # the last count that went out
-    sure: int  # the least of those that it may have taken since, and the last one acknowledged
-    until: float = -inf  # the latest end of a lease that went out
-    asked: float = -inf  # when the last word went out
-    serial: int = 0  # of the last word
-    waits: bool = False  # for its acknowledgement
+class InstanceShare:
+    """What the supervisor knows of one instance's count."""
 
-    def least(self, now: float) -> int:
-        """The least count that it may be using."""
-        return min(self.floor, self.told, self.sure) if now < self.until + MARGIN else self.floor
+    floor: int
+    sent_count: int  # last count that was sent
+    least_pending_count: int  # least of the last acknowledged count and those sent since
+    lease_end: float = -inf  # latest end of any lease that was sent
+    sent_at: float = -inf  # when the last update was sent
+    serial: int = 0  # of the last update
+    is_pending: bool = False  # whether the last update is not acknowledged yet
+
+    def get_least_count(self, now: float) -> int:
+        """Return the least count that the instance may be using."""
+        return (
+            min(self.floor, self.sent_count, self.least_pending_count)
+            if now < self.lease_end + LEASE_MARGIN_SECONDS
+            else self.floor
+        )
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
-    """Tell this instance its count; where that is under its floor, good until `until` (s, monotonic)."""
+class CountUpdate:
+    """A count to send to one instance; below the instance's floor it is leased until `until` (s, monotonic)."""
 
     number: int
     serial: int
@@ -50,75 +56,89 @@
 
 
 class Sharing:
-    """`serial` is greater than any that an earlier supervisor used: nanoseconds of the monotonic clock will do."""
+    """Tracks the counts of all instances.
+
+    `serial` must exceed any serial of an earlier supervisor; nanoseconds of the monotonic clock do. `lease` is in
+    seconds."""
 
     def __init__(self, lease: float, serial: int = 0) -> None:
         self.lease, self.fence, self._serial = lease, serial, serial
-        self._held: dict[int, Held] = {}
+        self._shares: dict[int, InstanceShare] = {}
+
+    def record_start(self, number: int, count: int) -> None:
+        """Record that a process was started with this count."""
+        self._shares[number] = InstanceShare(count, count, count)
 
-    def begun(self, number: int, count: int) -> None:
-        """A process was started with this count."""
-        self._held[number] = Held(count, count, count)
+    def record_adoption(self, number: int, floor: int, count: int, until: float) -> None:
+        """Record the count of a process of an earlier supervisor, which now rejects that supervisor's updates.
 
-    def found(self, number: int, floor: int, count: int, until: float) -> None:
-        """A process of an earlier supervisor says what it uses, fenced against that one's words; or it does not
-        answer, and counts as using the whole."""
-        self._held[number] = Held(floor, count, count, until)
+        A process that does not respond is recorded with a count of 1: the whole."""
+        self._shares[number] = InstanceShare(floor, count, count, until)
 
-    def ended(self, number: int) -> None:
-        self._held.pop(number, None)
+    def record_end(self, number: int) -> None:
+        """Release the share of a process that has ended."""
+        self._shares.pop(number, None)
 
-    def acknowledged(self, number: int, serial: int) -> None:
-        held = self._held.get(number)
-        if held is not None and serial == held.serial and held.waits:
-            held.sure, held.waits = held.told, False
-            held.floor = max(held.floor, held.told)
+    def record_acknowledgement(self, number: int, serial: int) -> None:
+        """Record that the instance applied the update `serial`; older serials are ignored."""
+        share = self._shares.get(number)
+        if share is not None and serial == share.serial and share.is_pending:
+            share.least_pending_count, share.is_pending = share.sent_count, False
+            share.floor = max(share.floor, share.sent_count)
 
-    def counts(self, now: float) -> dict[int, int]:
-        """The least count that each may be using."""
-        return {number: held.least(now) for number, held in self._held.items()}
+    def get_counts(self, now: float) -> dict[int, int]:
+        """Return the least count that each instance may be using."""
+        return {number: share.get_least_count(now) for number, share in self._shares.items()}
 
-    def used(self, now: float, without: int = -1) -> Fraction:
-        """What all of them may be using, at most."""
+    def compute_used(self, now: float, excluded: int = -1) -> Fraction:
+        """Return the largest sum of shares that may be in use, without that of instance `excluded`."""
         return sum(
-            (Fraction(1, held.least(now)) for number, held in self._held.items() if number != without), Fraction(0)
+            (Fraction(1, share.get_least_count(now)) for number, share in self._shares.items() if number != excluded),
+            Fraction(0),
         )
 
-    def room(self, now: float, count: int) -> bool:
-        """A new process may start with this count."""
-        return self.used(now) + Fraction(1, count) <= 1
-
-    def words(self, now: float, target: int) -> list[Word]:
-        """What to tell whom on the way to a fleet of `target`; leases are renewed at a third of their time."""
-        found = []
-        for number, held in self._held.items():
-            want = target
-            if want < held.least(now) and self.used(now, number) + Fraction(1, want) > 1:
-                want = min(max(held.told, held.sure), held.floor)  # no room yet: what it has, for longer
-            leased = want < held.floor
-            again = self.lease / 9 if held.waits else self.lease / 3 if leased else inf
-            if want == held.told and (held.waits or leased or want == held.floor) and now < held.asked + again:
+    def has_room(self, now: float, count: int) -> bool:
+        """Return whether a new process may start with this count."""
+        return self.compute_used(now) + Fraction(1, count) <= 1
+
+    def prepare_updates(self, now: float, target: int) -> list[CountUpdate]:
+        """Return the updates to send now on the way to `target` instances; leases are renewed after a third of them."""
+        updates = []
+        for number, share in self._shares.items():
+            wanted = target
+            if wanted < share.get_least_count(now) and self.compute_used(now, number) + Fraction(1, wanted) > 1:
+                # There is no room yet: renew the present count.
+                wanted = min(max(share.sent_count, share.least_pending_count), share.floor)
+            is_leased = wanted < share.floor
+            resend_after = self.lease / 9 if share.is_pending else self.lease / 3 if is_leased else inf
+            if (
+                wanted == share.sent_count
+                and (share.is_pending or is_leased or wanted == share.floor)
+                and now < share.sent_at + resend_after
+            ):
                 continue
-            if want == held.told == held.floor and not held.waits:
+            if wanted == share.sent_count == share.floor and not share.is_pending:
                 continue
             self._serial += 1
-            held.sure = min(held.sure, held.told) if held.waits else held.sure
-            held.told, held.asked, held.serial, held.waits = want, now, self._serial, True
-            if leased:
-                held.until = max(held.until, now + self.lease)
-            found.append(Word(number, held.serial, want, now + self.lease if leased else now))
-        return found
+            share.least_pending_count = (
+                min(share.least_pending_count, share.sent_count) if share.is_pending else share.least_pending_count
+            )
+            share.sent_count, share.sent_at, share.serial, share.is_pending = wanted, now, self._serial, True
+            if is_leased:
+                share.lease_end = max(share.lease_end, now + self.lease)
+            updates.append(CountUpdate(number, share.serial, wanted, now + self.lease if is_leased else now))
+        return updates
 
 
-class Told:
-    """The instance's side: its count now. `floor` is the count it was started with."""
+class CountLease:
+    """The instance's side: its present count. `floor` begins as the count it was started with."""
 
     def __init__(self, floor: int) -> None:
         self.floor = self._count = floor
         self.serial, self.until = 0, -inf
 
-    def hear(self, serial: int, count: int, until: float) -> bool:
-        """False where a newer word has been heard already."""
+    def update(self, serial: int, count: int, until: float) -> bool:
+        """Apply an update. Returns False if one with the same or a later serial was applied before."""
         if serial <= self.serial:
             return False
         self.serial, self._count, self.until = serial, count, until
@@ -126,8 +146,9 @@
         return True
 
     def fence(self, serial: int) -> None:
-        """A new supervisor asks: what its predecessor sent and has not arrived yet counts for nothing."""
+        """Reject updates up to `serial`: those that the last supervisor sent and that have not arrived yet."""
         self.serial = max(self.serial, serial)
 
-    def count(self, now: float) -> int:
+    def get_count(self, now: float) -> int:
+        """Return the count to use at `now` (s, monotonic)."""
         return self._count if now < self.until else self.floor
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -22,7 +22,7 @@
 from ..net.loop import READ, Loop
 from ..net.pool import Pool
 from .caller import Call
-from .files import Base, keep, kept
+from .files import SharedConfig, load_state, save_state
 from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Do, Drain, Instance, Times
 from .lines import Ring, merged
 from .notify import CREDENTIALS, LARGEST, Notifier, parse, sender, watchdog
@@ -30,7 +30,7 @@
 from .reload import Reload
 from .rolling import Rolling, spaced
 from .routes import fleet_routes
-from .sharing import Sharing, Word
+from .sharing import CountUpdate, Sharing
 from .spec import Fleet, check_count
 from .stream import Stream
 
@@ -56,18 +56,27 @@
 
 
 class Supervisor:
-    def __init__(self, path: str, base: Base, loop: Loop, log: Any, stream: Stream, ring: Ring) -> None:
+    def __init__(
+        self, path: str, shared_config: SharedConfig, loop: Loop, log: Any, stream: Stream, ring: Ring
+    ) -> None:
         """Raises ConfigError where another supervisor has the fleet."""
-        self.path, self.base, self.loop, self.log, self.stream, self.ring = path, base, loop, log, stream, ring
+        self.path, self.shared_config, self.loop, self.log, self.stream, self.ring = (
+            path,
+            shared_config,
+            loop,
+            log,
+            stream,
+            ring,
+        )
         self.metrics: Metrics = loop.metrics
-        self.run = base.spec.run
+        self.run = shared_config.spec.run
         self.run.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.lock = FileLock(self.run / "lock", f"the supervisor of fleet {base.spec.fleet.name}", ConfigError)
+        self.lock = FileLock(self.run / "lock", f"the supervisor of fleet {shared_config.spec.fleet.name}", ConfigError)
         self.rng = random.Random()
-        self.state, said = kept(self.run, base.spec.fleet.instances, time.time(), time.monotonic())
+        self.state, said = load_state(self.run, shared_config.spec.fleet.instances, time.time(), time.monotonic())
         if said:
             log.error("state", error=said)
-        self.sharing = Sharing(base.spec.share.lease_s, time.monotonic_ns())
+        self.sharing = Sharing(shared_config.spec.share.lease_s, time.monotonic_ns())
         self.places: dict[int, Place] = {}
         self.rolling: Rolling | None = None
         self.reloading: Reload | None = None
@@ -84,7 +93,7 @@
 
     @property
     def spec(self) -> Fleet:
-        return self.base.spec
+        return self.shared_config.spec
 
     # Start and end.
 
@@ -176,7 +185,7 @@
     def _place(self, number: int) -> Place:
         s = self.spec
         times = Times(s.start.ready_s, s.stop.deadline_s, s.stop.notice_s, s.watch.watchdog_s)
-        listens = self.base.listens
+        listens = self.shared_config.listen_addresses
         at = listens[number] if number < len(listens) else ("127.0.0.1", 0)
         output = Output(self.loop, self.run / f"{number}.log", lambda line: self._line(number, line))
         place = self.places[number] = Place(Instance(number, times, s.restart_policy, self.rng), at, output)
@@ -195,7 +204,7 @@
             return
         place.process = process
         place.one.adopted(now, pid)
-        self.sharing.found(number, 1, 1, 0.0)  # until it says what it uses it counts as using the whole
+        self.sharing.record_adoption(number, 1, 1, 0.0)  # until it says what it uses it counts as using the whole
         self.metrics.add("adopted")
         self.log.info("adopted", instance=number, pid=pid)
         self._ask_share(place, pid)
@@ -216,7 +225,7 @@
                 self.loop.call_in(LOOK_SOON, lambda: self._ask_share(place, pid))
                 return
             told = json.loads(body)
-            self.sharing.found(number, int(told["floor"]), int(told["count"]), float(told["until"]))
+            self.sharing.record_adoption(number, int(told["floor"]), int(told["count"]), float(told["until"]))
             self.soon()
 
         place.words = Call(
@@ -255,8 +264,8 @@
                 place.output.close()
                 del self.places[place.one.number]
         target = self.target(now)
-        for word in self.sharing.words(now, target):
-            self._tell(word)
+        for update in self.sharing.prepare_updates(now, target):
+            self._tell(update)
         self._start_due(now, target)
         if self.rolling is not None and not self.rolling.over:
             for number in self.rolling.step(now, lambda n: self.places[n].one):
@@ -295,7 +304,7 @@
                 return
             if place.one.state != DUE:
                 continue
-            if not self.sharing.room(now, target):
+            if not self.sharing.has_room(now, target):
                 self.metrics.add("starts_held_for_shares")
                 return
             under_way += 1
@@ -311,9 +320,9 @@
             "NOTIFY_SOCKET": str(self.run / "notify.sock"),
             FLEET: str(self.run),
             PLACE: str(number),
-            MARK: self.base.mark,
+            MARK: self.shared_config.start_digest,
             CLOCK: repr(self.state.clock),
-            PLACES: str(self.base.gateways(len(self.base.listens))),
+            PLACES: str(self.shared_config.compute_ingress_count(len(self.shared_config.listen_addresses))),
         }
         for name in (
             "BALANCER_NAME",
@@ -329,13 +338,15 @@
         if self.spec.watch.watchdog_s:
             env["WATCHDOG_USEC"] = str(int(self.spec.watch.watchdog_s * 1e6))
         try:
-            place.at = self.base.listens[number]
-            self.base.write(number, count)
+            place.at = self.shared_config.listen_addresses[number]
+            self.shared_config.write_instance_files(number, count)
             child = spawn(env, place.output)
             if (sockets := self.spec.limits.sockets) is not None:
                 most = resource.prlimit(child.pid, resource.RLIMIT_NOFILE)[1]
                 resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (min(sockets, most), most))
-            place.process = Process(self.loop, child.pid, self.base.mark, child, lambda how: self._ended(number, how))
+            place.process = Process(
+                self.loop, child.pid, self.shared_config.start_digest, child, lambda how: self._ended(number, how)
+            )
         except (OSError, IndexError) as error:  # no disk, no processes, no descriptors
             self.metrics.add("starts_failed")
             place.one.unspawned(now, str(error))
@@ -343,7 +354,7 @@
             return
         place.health, place.last, place.look_at = {}, "", 0.0
         place.one.spawned(now, child.pid)
-        self.sharing.begun(number, count)
+        self.sharing.record_start(number, count)
         self.metrics.add("starts")
         self.log.info("started", instance=number, pid=child.pid, sharing=count)
 
@@ -351,7 +362,7 @@
         place, now = self.places[number], self.loop.clock()
         place.output.read()
         before, pid = place.one.state, place.one.pid
-        self.sharing.ended(number)
+        self.sharing.record_end(number)
         place.process = None
         if how.startswith("exit") and place.last:
             how = f"{how}: {place.last}"
@@ -408,8 +419,8 @@
             self.loop, (host, place.at[1]), "GET", "/ready", b"", min(PATIENCE, self.spec.watch.probe_s), heard
         )
 
-    def _tell(self, word: Word) -> None:
-        place = self.places.get(word.number)
+    def _tell(self, update: CountUpdate) -> None:
+        place = self.places.get(update.number)
         if place is None or place.process is None:
             return
         if place.words is not None:
@@ -419,13 +430,13 @@
         def heard(status: int, body: bytes) -> None:
             place.words = None
             if status == 200 and place.one.pid == pid:
-                self.sharing.acknowledged(word.number, word.serial)
+                self.sharing.record_acknowledgement(update.number, update.serial)
                 self.soon()
 
         body = json.dumps(
-            {"serial": word.serial, "count": word.count, "until": word.until, "part": self.spec.fleet.part}
+            {"serial": update.serial, "count": update.count, "until": update.until, "part": self.spec.fleet.part}
         )
-        place.words = Call(self.loop, self._sock(word.number), "POST", "/v1/gateways", body.encode(), PATIENCE, heard)
+        place.words = Call(self.loop, self._sock(update.number), "POST", "/v1/gateways", body.encode(), PATIENCE, heard)
 
     # What comes in.
 
@@ -503,7 +514,7 @@
     def scale(self, count: int) -> None:
         check_count(self.spec, count)
         for number in range(self.state.count, count):
-            self.base.decoded(number, count)
+            self.shared_config.decode_config(number, count)
         self.log.info("scaling", was=self.state.count, to=count)
         self.state.count = count
         self._fit()
@@ -530,7 +541,7 @@
 
     def _keep(self) -> None:
         try:
-            keep(self.run, self.state)
+            save_state(self.run, self.state)
         except OSError as error:
             self.metrics.add("state_unkept")
             self.log.error("state", error=str(error))
@@ -551,7 +562,7 @@
 
     def status(self) -> dict[str, Any]:
         now = self.loop.clock()
-        counts = self.sharing.counts(now)
+        counts = self.sharing.get_counts(now)
         rows = []
         for number, place in sorted(self.places.items()):
             one = place.one
@@ -568,7 +579,7 @@
                     "why": one.why or None,
                     "said": one.said or None,
                     "adopted": place.process is not None and place.process.adopted,
-                    "old": place.process is not None and place.process.mark != self.base.mark,
+                    "old": place.process is not None and place.process.mark != self.shared_config.start_digest,
                     "health": place.health or None,
                     "healthSeconds": round(now - place.health_at, 3) if place.health else None,
                 }
--- a/brackenpulley/members/service.py
+++ b/brackenpulley/members/service.py
@@ -98,7 +98,7 @@
 
     def _changed(self, change: Changed) -> None:
         if self.service.protocol is not None:
-            self.gateways.seen(self.service.protocol.size)
+            self.gateways.set_live_members(self.service.protocol.size)
 
     def key(self, step: str, key: str, mark: str) -> dict[str, Any]:
         """One of the three steps of a change of keys. Raises RingError."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,7 +32,7 @@
 )
 from brackenpulley.fleet.lines import Backlog, Ring, Splitter, merged
 from brackenpulley.fleet.rolling import Rolling, spaced
-from brackenpulley.fleet.sharing import MARGIN, Sharing, Told
+from brackenpulley.fleet.sharing import LEASE_MARGIN_SECONDS, CountLease, Sharing
 from brackenpulley.fleet.spec import decode
 from brackenpulley.health.measurements import LAG_WINDOW_SECONDS, LoopLag, Measurements, Thresholds
 
@@ -288,52 +288,52 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.serial = rng, 0.0, 0
         self.sharing = Sharing(9.0)
-        self.living: dict[int, Told] = {}
-        self.net: list[tuple[str, int, Told, Any]] = []
+        self.living: dict[int, CountLease] = {}
+        self.net: list[tuple[str, int, CountLease, Any]] = []
         self.next = 0
 
     def check(self) -> None:
-        used = sum((Fraction(1, told.count(self.now)) for told in self.living.values()), Fraction(0))
+        used = sum((Fraction(1, lease.get_count(self.now)) for lease in self.living.values()), Fraction(0))
         assert used <= 1, (used, self.now)
 
     def start(self, target: int) -> None:
-        if self.sharing.room(self.now, target):
-            self.living[self.next] = Told(target)
-            self.sharing.begun(self.next, target)
+        if self.sharing.has_room(self.now, target):
+            self.living[self.next] = CountLease(target)
+            self.sharing.record_start(self.next, target)
             self.next += 1
 
     def end(self) -> None:
         if self.living:
             number = self.rng.choice(sorted(self.living))
             del self.living[number]
-            self.sharing.ended(number)
+            self.sharing.record_end(number)
 
     def tell(self, target: int) -> None:
-        for word in self.sharing.words(self.now, target):
+        for word in self.sharing.prepare_updates(self.now, target):
             for _ in range(self.rng.choice((0, 1, 1, 1, 2))):
                 self.net.append(("word", word.number, self.living[word.number], word))
 
     def arrive(self) -> None:
         if not self.net:
             return
-        kind, number, told, what = self.net.pop(self.rng.randrange(len(self.net)))
-        if self.living.get(number) is not told:
+        kind, number, lease, what = self.net.pop(self.rng.randrange(len(self.net)))
+        if self.living.get(number) is not lease:
             return
         if kind == "answer":
-            self.sharing.acknowledged(number, what)
-        elif told.hear(what.serial, what.count, what.until):
-            self.net += [("answer", number, told, what.serial)] * self.rng.choice((0, 1, 1))
+            self.sharing.record_acknowledgement(number, what)
+        elif lease.update(what.serial, what.count, what.until):
+            self.net += [("answer", number, lease, what.serial)] * self.rng.choice((0, 1, 1))
 
     def successor(self) -> None:
         """The supervisor is killed; the next one asks those that live, or takes them to use the whole."""
         self.serial += 1_000_000
         self.sharing = Sharing(9.0, self.serial)
-        for number, told in self.living.items():
+        for number, lease in self.living.items():
             if self.rng.random() < 0.8:
-                told.fence(self.serial)
-                self.sharing.found(number, told.floor, told.count(self.now), told.until)
+                lease.fence(self.serial)
+                self.sharing.record_adoption(number, lease.floor, lease.get_count(self.now), lease.until)
             else:
-                self.sharing.found(number, 1, 1, 0.0)
+                self.sharing.record_adoption(number, 1, 1, 0.0)
 
 
 @given(
@@ -377,10 +377,10 @@
 
 
 def test_a_word_from_before_the_last_supervisor_is_stale() -> None:
-    told = Told(4)
-    assert told.hear(1_000_001, 8, 0.0)
-    assert not told.hear(5, 2, inf)
-    assert told.count(0.0) == 8
+    lease = CountLease(4)
+    assert lease.update(1_000_001, 8, 0.0)
+    assert not lease.update(5, 2, inf)
+    assert lease.get_count(0.0) == 8
 
 
 def test_survivors_widen_after_an_end_and_narrow_before_a_start() -> None:
@@ -394,27 +394,27 @@
         group.tell(2)
         for _ in range(10):
             group.arrive()
-    assert [told.count(group.now) for told in group.living.values()] == [2, 2]
+    assert [lease.get_count(group.now) for lease in group.living.values()] == [2, 2]
     group.now += 9.1  # without a newer word
-    assert [told.count(group.now) for told in group.living.values()] == [4, 4]
-    group.now += MARGIN
+    assert [lease.get_count(group.now) for lease in group.living.values()] == [4, 4]
+    group.now += LEASE_MARGIN_SECONDS
     group.tell(2)
-    assert not group.sharing.room(group.now, 3)
+    assert not group.sharing.has_room(group.now, 3)
     for _ in range(3):
         group.tell(3)
         for _ in range(10):
             group.arrive()
-    assert group.sharing.room(group.now, 3)
+    assert group.sharing.has_room(group.now, 3)
 
 
 def test_a_silent_instance_keeps_its_part_for_ever() -> None:
     sharing = Sharing(9.0)
-    sharing.begun(0, 2)
-    sharing.begun(1, 2)
+    sharing.record_start(0, 2)
+    sharing.record_start(1, 2)
     for now in range(0, 1000, 7):
-        assert all(word.number >= 0 and word.count >= 2 for word in sharing.words(float(now), 1))
-    sharing.ended(1)
-    assert [word.count for word in sharing.words(1000.0, 1)] == [1]
+        assert all(word.number >= 0 and word.count >= 2 for word in sharing.prepare_updates(float(now), 1))
+    sharing.record_end(1)
+    assert [word.count for word in sharing.prepare_updates(1000.0, 1)] == [1]
 
 
 # Cold servers.
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -18,7 +18,7 @@
 from benchmarks.fleet import Trial, cold_start, trial
 from benchmarks.plan_changes import ROOT
 from brackenpulley.control.client import Control, ControlError
-from brackenpulley.fleet.files import kept
+from brackenpulley.fleet.files import load_state
 from brackenpulley.fleet.notify import parse
 from brackenpulley.fleet.process import search
 from brackenpulley.serve import wall_clock
@@ -305,11 +305,11 @@
 
 def test_a_step_of_the_time_of_day_does_not_divide_a_fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Names of the counter go by the fleet's clock: whoever starts after the step must use those of before."""
-    from brackenpulley.fleet.files import keep
+    from brackenpulley.fleet.files import save_state
 
-    first, _ = kept(tmp_path, 3, 1_000_000.0, 50.0)
-    keep(tmp_path, first)
-    later, _ = kept(tmp_path, 3, 1_000_000.0 + 3600 + 10, 60.0)
+    first, _ = load_state(tmp_path, 3, 1_000_000.0, 50.0)
+    save_state(tmp_path, first)
+    later, _ = load_state(tmp_path, 3, 1_000_000.0 + 3600 + 10, 60.0)
     assert later.clock == first.clock == 999_950.0
     monkeypatch.setenv("BRACKENPULLEY_CLOCK", repr(later.clock))
     real = time.time
@@ -317,5 +317,5 @@
     monkeypatch.setattr(time, "time", lambda: real() + 3600)
     assert abs(wall_clock()() - before) < 1.0
     first.boot = "another"
-    keep(tmp_path, first)
-    assert kept(tmp_path, 3, 1_000_000.0 + 3610, 60.0)[0].clock == 1_003_550.0
+    save_state(tmp_path, first)
+    assert load_state(tmp_path, 3, 1_000_000.0 + 3610, 60.0)[0].clock == 1_003_550.0
