--- a/brackenpulley/fleet/instance.py
+++ b/brackenpulley/fleet/instance.py
@@ -1,17 +1,17 @@
-"""One place of the fleet and the process in it: what happens to the process comes in, what to do comes out. No I/O.
+"""State machine of one instance: takes the events of its process and returns the actions to carry out. No I/O.
 
     state    | meaning                                  | leaves it by
     ---------+------------------------------------------+----------------------------------------------------------
     down     | no process, none wanted                  | start
-    due      | wanted; waits for its turn to be started | spawned
-    starting | a process, not ready yet                 | READY=1 and /ready: ready; too late: killed; its end: waiting
-    ready    | it takes messages                        | its end: waiting; /ready says no: starting; no sign: killed
-    draining | /ready says no, for the front to notice  | the notice's end: stopping
+    due      | waits for its turn to be started         | spawned
+    starting | a process that is not ready yet          | READY=1 and /ready: ready; timeout: killed; its end: waiting
+    ready    | it takes messages                        | its end: waiting; /ready fails: starting; watchdog: killed
+    draining | /ready fails so that the front notices   | end of the notice period: stopping
     stopping | SIGTERM was sent                         | its end: down or due; the deadline: SIGKILL
-    waiting  | it ended by itself                       | the back-off's end: due
+    waiting  | it ended by itself                       | end of the back-off: due
     crashed  | it ended too often: a crash loop         | start
 
-Whoever hears of an end calls `ended`, whatever the state: only the kernel's word ends a life."""
+The supervisor calls `record_end` for every end, whatever the state: only the kernel's report ends a process's life."""
 
 from __future__ import annotations
 
@@ -22,187 +22,192 @@
 
 from .backoff import Backoff, RestartPolicy
 
-DOWN, DUE, STARTING, READY, DRAINING, STOPPING, WAITING, CRASHED = (
-    "down",
-    "due",
-    "starting",
-    "ready",
-    "draining",
-    "stopping",
-    "waiting",
-    "crashed",
-)
+DOWN = "down"
+DUE = "due"
+STARTING = "starting"
+READY = "ready"
+DRAINING = "draining"
+STOPPING = "stopping"
+WAITING = "waiting"
+CRASHED = "crashed"
 ALIVE = (STARTING, READY, DRAINING, STOPPING)
-UNREADY = 3  # looks in a row without a yes after which a ready one is none
+MAX_FAILED_PROBES = 3  # consecutive failed probes after which a ready instance counts as unready
 
 
 @dataclass(slots=True, frozen=True)
 class Times:
-    """Seconds."""
+    """Time limits in seconds."""
 
-    ready: float = 15.0
-    deadline: float = 15.0
-    notice: float = 1.0
-    watchdog: float = 5.0  # 0 = off
+    ready: float = 15.0  # from the start to being ready
+    deadline: float = 15.0  # from SIGTERM to SIGKILL
+    notice: float = 1.0  # between the start of the drain and SIGTERM, for the front to notice
+    watchdog: float = 5.0  # without a notification; 0 = off
 
 
 @dataclass(slots=True, frozen=True)
 class Signal:
+    """Send the signal `number` to the process."""
+
     number: int
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """Ask it to say no at /ready and to take what still comes."""
+    """Ask the instance to fail /ready while it still accepts messages."""
 
 
-Do = Signal | Drain
+Action = Signal | Drain
 
 
 class Instance:
-    """`life` counts processes: 0 = none yet."""
+    """One numbered place of the fleet and its process. `generation` counts its processes; 0 = none yet."""
 
     def __init__(self, number: int, times: Times, restart_policy: RestartPolicy, rng: random.Random) -> None:
         self.number, self.times = number, times
         self.backoff = Backoff(restart_policy, rng)
-        self.state, self.since, self.why = DOWN, 0.0, ""
-        self.pid = self.life = self.restarts = 0
-        self.ready_at = -inf  # the start of its present time of being ready
-        self.told = False  # READY=1 has come from this process
-        self.said = ""  # its STATUS=
-        self._sign, self._due, self._noes = 0.0, inf, 0
-        self._again = False  # what is being stopped is to be started again
-        self._ending = ""  # why we are ending it by force
+        self.state, self.since, self.reason = DOWN, 0.0, ""
+        self.pid = self.generation = self.restarts = 0
+        self.ready_at = -inf  # when it last became ready
+        self.is_notified_ready = False  # whether READY=1 has come from this process
+        self.status_text = ""  # last STATUS= of the process
+        self._notified_at, self._deadline, self._failed_probes = 0.0, inf, 0
+        self._restart_wanted = False  # start again once it has ended
+        self._kill_reason = ""  # why SIGKILL was sent
 
     @property
-    def beginning(self) -> bool:
-        """A start is under way, for which its time still runs."""
-        return self.state == STARTING and self._due < inf
+    def is_starting(self) -> bool:
+        """Whether a start is under way whose time limit still runs."""
+        return self.state == STARTING and self._deadline < inf
 
-    # The operator.
+    # Requests of the operator.
 
     def start(self, now: float) -> None:
+        """Start the process, or start it again once the present stop is complete."""
         if self.state in (DOWN, CRASHED, WAITING):
             self.backoff.reset()
-            self._to(now, DUE)
+            self._enter(now, DUE)
         elif self.state in (DRAINING, STOPPING):
-            self._again = True
+            self._restart_wanted = True
 
-    def stop(self, now: float, drain: bool = True) -> list[Do]:
-        """In order: drained, then SIGTERM, then SIGKILL."""
-        self._again = False
+    def stop(self, now: float, drain: bool = True) -> list[Action]:
+        """Stop the process: drain, then SIGTERM, then SIGKILL. `drain=False` skips the drain."""
+        self._restart_wanted = False
         if self.state in (DOWN, DUE, WAITING, CRASHED):
-            self._to(now, DOWN)
+            self._enter(now, DOWN)
         elif self.state == READY and drain and self.times.notice:
-            self._to(now, DRAINING)
-            self._due = now + self.times.notice
+            self._enter(now, DRAINING)
+            self._deadline = now + self.times.notice
             return [Drain()]
         elif self.state in (STARTING, READY) or self.state == DRAINING and not drain:
-            return self._term(now)
+            return self._terminate(now)
         return []
 
-    def restart(self, now: float) -> list[Do]:
-        """The same, and a new process afterwards."""
+    def restart(self, now: float) -> list[Action]:
+        """Stop the process and start a new one afterwards."""
         if self.state not in ALIVE:
             self.start(now)
             return []
-        done = self.stop(now)
-        self._again = True
-        return done
-
-    # The process.
-
-    def spawned(self, now: float, pid: int) -> None:
-        self.life, self.pid, self.why, self._ending = self.life + 1, pid, "", ""
-        self.told, self.said, self._sign, self._noes = False, "", now, 0
-        self._to(now, STARTING)
-        self._due = now + self.times.ready
-
-    def adopted(self, now: float, pid: int) -> None:
-        """A process that an earlier supervisor started: it said that it is ready to that one."""
-        self.spawned(now, pid)
-        self.told = True
-
-    def unspawned(self, now: float, why: str) -> None:
-        """It could not be started at all."""
-        self._failed(now, why, 0.0)
-
-    def notified(self, now: float, fields: dict[str, str]) -> None:
-        """A datagram of its process."""
-        self._sign = now
+        actions = self.stop(now)
+        self._restart_wanted = True
+        return actions
+
+    # Events of the process.
+
+    def record_spawn(self, now: float, pid: int) -> None:
+        """Record that a new process was started."""
+        self.generation, self.pid, self.reason, self._kill_reason = self.generation + 1, pid, "", ""
+        self.is_notified_ready, self.status_text, self._notified_at, self._failed_probes = False, "", now, 0
+        self._enter(now, STARTING)
+        self._deadline = now + self.times.ready
+
+    def record_adoption(self, now: float, pid: int) -> None:
+        """Record a process that an earlier supervisor started; it sent READY=1 to that one."""
+        self.record_spawn(now, pid)
+        self.is_notified_ready = True
+
+    def record_spawn_failure(self, now: float, reason: str) -> None:
+        """Record that the process could not be started at all."""
+        self._record_failure(now, reason, 0.0)
+
+    def record_notification(self, now: float, fields: dict[str, str]) -> None:
+        """Record a notification datagram of the process."""
+        self._notified_at = now
         if fields.get("READY") == "1":
-            self.told = True
+            self.is_notified_ready = True
         if "STATUS" in fields:
-            self.said = fields["STATUS"][:200]
-
-    def looked(self, now: float, yes: bool) -> None:
-        """What /ready said; no answer is a no."""
-        if yes and self.told and self.state == STARTING:
-            self._noes, self.ready_at = 0, now
-            self._to(now, READY)
-            self._due = inf
+            self.status_text = fields["STATUS"][:200]
+
+    def record_probe(self, now: float, is_ready: bool) -> None:
+        """Record the result of a probe of /ready; no response counts as not ready."""
+        if is_ready and self.is_notified_ready and self.state == STARTING:
+            self._failed_probes, self.ready_at = 0, now
+            self._enter(now, READY)
+            self._deadline = inf
         elif self.state == READY:
-            self._noes = 0 if yes else self._noes + 1
-            if self._noes >= UNREADY:  # alive, and nothing for the front: it has no list, or is not heard
-                self.why = "/ready says no"
-                self._to(now, STARTING)
-                self._due = inf  # it may take its time: it has been ready, and the watchdog looks after it
-
-    def ended(self, now: float, how: str) -> None:
-        """The kernel says that the process is no more; `how` as in 'exit 2' or 'SIGKILL'."""
-        lived = now - self.ready_at if self.state in (READY, DRAINING) else 0.0
+            self._failed_probes = 0 if is_ready else self._failed_probes + 1
+            # Alive but of no use to the front: it has no inventory, or its listener cannot be reached.
+            if self._failed_probes >= MAX_FAILED_PROBES:
+                self.reason = "/ready failed"
+                self._enter(now, STARTING)
+                self._deadline = inf  # no time limit: it has been ready before, and the watchdog covers it
+
+    def record_end(self, now: float, description: str) -> None:
+        """Record that the process has ended; `description` is for example 'exit 2' or 'SIGKILL'."""
+        uptime = now - self.ready_at if self.state in (READY, DRAINING) else 0.0
         state, self.pid = self.state, 0
         if state in (DRAINING, STOPPING):
-            self._to(now, DUE if self._again else DOWN)
-            self._again = False
-            self.why = self._ending
+            self._enter(now, DUE if self._restart_wanted else DOWN)
+            self._restart_wanted = False
+            self.reason = self._kill_reason
         elif state in ALIVE:
-            self._failed(now, self._ending or how, lived)
+            self._record_failure(now, self._kill_reason or description, uptime)
 
-    def tick(self, now: float) -> list[Do]:
+    def tick(self, now: float) -> list[Action]:
+        """Apply the timeouts that are due and return the actions they need."""
         if (
             self.state in (STARTING, READY)
             and self.times.watchdog
-            and self.told
-            and not self._ending
-            and (now - self._sign >= self.times.watchdog)
+            and self.is_notified_ready
+            and not self._kill_reason
+            and (now - self._notified_at >= self.times.watchdog)
         ):
-            return self._kill(now, f"no life sign for {self.times.watchdog:g} s")
-        if now < self._due:
+            return self._kill(now, f"no notification for {self.times.watchdog:g} s")
+        if now < self._deadline:
             return []
         if self.state == WAITING:
-            self._to(now, DUE)
-        elif self.state == STARTING and not self._ending:
+            self._enter(now, DUE)
+        elif self.state == STARTING and not self._kill_reason:
             return self._kill(now, f"not ready within {self.times.ready:g} s")
         elif self.state == DRAINING:
-            return self._term(now)
-        elif self.state == STOPPING and not self._ending:
+            return self._terminate(now)
+        elif self.state == STOPPING and not self._kill_reason:
             return self._kill(now, f"not gone {self.times.deadline:g} s after SIGTERM")
         return []
 
     def next_tick(self) -> float:
-        sign = inf
-        if self.state in (STARTING, READY) and self.times.watchdog and self.told and not self._ending:
-            sign = self._sign + self.times.watchdog
-        return min(self._due, sign)
-
-    def _term(self, now: float) -> list[Do]:
-        self._to(now, STOPPING)
-        self._due = now + self.times.deadline
+        """Return the time of the next timeout; infinity if none is set."""
+        watchdog_end = inf
+        if self.state in (STARTING, READY) and self.times.watchdog and self.is_notified_ready and not self._kill_reason:
+            watchdog_end = self._notified_at + self.times.watchdog
+        return min(self._deadline, watchdog_end)
+
+    def _terminate(self, now: float) -> list[Action]:
+        self._enter(now, STOPPING)
+        self._deadline = now + self.times.deadline
         return [Signal(signal.SIGTERM, "stop")]
 
-    def _kill(self, now: float, why: str) -> list[Do]:
-        self._ending, self._due = why, inf
-        return [Signal(signal.SIGKILL, why)]
+    def _kill(self, now: float, reason: str) -> list[Action]:
+        self._kill_reason, self._deadline = reason, inf
+        return [Signal(signal.SIGKILL, reason)]
 
-    def _failed(self, now: float, why: str, lived: float) -> None:
-        wait = self.backoff.record_end(now, lived)
+    def _record_failure(self, now: float, reason: str, uptime: float) -> None:
+        wait = self.backoff.record_end(now, uptime)
         self.restarts += 1
-        self.why = why
-        self._to(now, CRASHED if wait is None else WAITING)
+        self.reason = reason
+        self._enter(now, CRASHED if wait is None else WAITING)
         if wait is not None:
-            self._due = now + wait
+            self._deadline = now + wait
 
-    def _to(self, now: float, state: str) -> None:
-        self.state, self.since, self._due = state, now, inf
+    def _enter(self, now: float, state: str) -> None:
+        self.state, self.since, self._deadline = state, now, inf
--- a/brackenpulley/fleet/reload.py
+++ b/brackenpulley/fleet/reload.py
@@ -36,7 +36,7 @@
         self = cls(supervisor, supervisor.shared_config, SharedConfig.read(spec))
         self._put(self._new)
         for number, place in supervisor.places.items():
-            if place.process is not None and place.one.told:
+            if place.process is not None and place.one.is_notified_ready:
                 self.waits[number] = place.one.pid
                 place.process.send(signal.SIGHUP)
         return self
--- a/brackenpulley/fleet/rolling.py
+++ b/brackenpulley/fleet/rolling.py
@@ -43,10 +43,10 @@
             except KeyError:  # scaled away meanwhile
                 del self.under_way[number]
                 continue
-            if one.state in (WAITING, CRASHED) or one.life > life + 1:
-                self.failed = self.failed or f"instance {number}: {one.why or 'ended again'}"
+            if one.state in (WAITING, CRASHED) or one.generation > life + 1:
+                self.failed = self.failed or f"instance {number}: {one.reason or 'ended again'}"
                 del self.under_way[number]
-            elif one.life == life + 1 and one.state == READY and now - one.ready_at >= self.notice:
+            elif one.generation == life + 1 and one.state == READY and now - one.ready_at >= self.notice:
                 del self.under_way[number]
                 self.done.append(number)
         if self.failed or not self.left:
@@ -62,7 +62,7 @@
                 continue
             if one.state not in ALIVE:  # nothing runs there that could be replaced
                 continue
-            self.under_way[number] = one.life
+            self.under_way[number] = one.generation
             begin.append(number)
         return begin
 
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -23,7 +23,7 @@
 from ..net.pool import Pool
 from .caller import Call
 from .files import SharedConfig, load_state, save_state
-from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Do, Drain, Instance, Times
+from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Action, Drain, Instance, Times
 from .lines import Ring, merged
 from .notify import CREDENTIALS, LARGEST, Notifier, parse, sender, watchdog
 from .process import CLOCK, FLEET, MARK, PLACE, PLACES, Output, Process, search, spawn
@@ -203,7 +203,7 @@
             process.close()
             return
         place.process = process
-        place.one.adopted(now, pid)
+        place.one.record_adoption(now, pid)
         self.sharing.record_adoption(number, 1, 1, 0.0)  # until it says what it uses it counts as using the whole
         self.metrics.add("adopted")
         self.log.info("adopted", instance=number, pid=pid)
@@ -298,7 +298,7 @@
         return max(1, count)
 
     def _start_due(self, now: float, target: int) -> None:
-        under_way = sum(place.one.beginning for place in self.places.values())
+        under_way = sum(place.one.is_starting for place in self.places.values())
         for _, place in sorted(self.places.items()):
             if under_way >= self.spec.start.at_once:
                 return
@@ -349,11 +349,11 @@
             )
         except (OSError, IndexError) as error:  # no disk, no processes, no descriptors
             self.metrics.add("starts_failed")
-            place.one.unspawned(now, str(error))
+            place.one.record_spawn_failure(now, str(error))
             self.log.error("not started", instance=number, error=str(error), state=place.one.state)
             return
         place.health, place.last, place.look_at = {}, "", 0.0
-        place.one.spawned(now, child.pid)
+        place.one.record_spawn(now, child.pid)
         self.sharing.record_start(number, count)
         self.metrics.add("starts")
         self.log.info("started", instance=number, pid=child.pid, sharing=count)
@@ -366,20 +366,20 @@
         place.process = None
         if how.startswith("exit") and place.last:
             how = f"{how}: {place.last}"
-        place.one.ended(now, how)
+        place.one.record_end(now, how)
         if place.one.state in (WAITING, CRASHED):
             self.metrics.add("ended_by_themselves")
-            self.log.warning("ended", instance=number, pid=pid, why=place.one.why, state=place.one.state)
+            self.log.warning("ended", instance=number, pid=pid, why=place.one.reason, state=place.one.state)
         else:
             self.log.info(
-                "stopped", instance=number, pid=pid, was=before, state=place.one.state, why=place.one.why or None
+                "stopped", instance=number, pid=pid, was=before, state=place.one.state, why=place.one.reason or None
             )
         if place.one.state == CRASHED:
             self.metrics.add("crash_loops")
-            self.log.error("crash loop", instance=number, why=place.one.why, restarts=place.one.restarts)
+            self.log.error("crash loop", instance=number, why=place.one.reason, restarts=place.one.restarts)
         self.soon()
 
-    def _do(self, place: Place, actions: list[Do]) -> None:
+    def _do(self, place: Place, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Drain):
                 Call(
@@ -394,12 +394,17 @@
             elif place.process is not None:
                 if action.number == signal.SIGKILL:
                     self.metrics.add("killed")
-                    self.log.error("killing", instance=place.one.number, pid=place.one.pid, why=action.why)
+                    self.log.error("killing", instance=place.one.number, pid=place.one.pid, why=action.reason)
                 place.process.send(action.number)
 
     def _look(self, place: Place, now: float) -> None:
         one = place.one
-        if place.looking is not None or one.state not in (STARTING, READY) or not one.told or now < place.look_at:
+        if (
+            place.looking is not None
+            or one.state not in (STARTING, READY)
+            or not one.is_notified_ready
+            or now < place.look_at
+        ):
             return
         place.look_at = now + (self.spec.watch.probe_s if one.state == READY else LOOK_SOON)
         pid = one.pid
@@ -409,7 +414,7 @@
             if one.pid != pid:
                 return
             before = one.state
-            one.looked(self.loop.clock(), status == 200)
+            one.record_probe(self.loop.clock(), status == 200)
             if before != one.state:
                 self.log.info(one.state if one.state == READY else "unready", instance=one.number, pid=pid)
                 self.soon()
@@ -452,8 +457,8 @@
             if place is None:
                 self.metrics.add("notices_of_strangers")
                 continue
-            now, told = self.loop.clock(), place.one.told
-            place.one.notified(now, fields)
+            now, told = self.loop.clock(), place.one.is_notified_ready
+            place.one.record_notification(now, fields)
             if "X_HEALTH" in fields:
                 try:
                     place.health, place.health_at = json.loads(fields["X_HEALTH"]), now
@@ -461,7 +466,7 @@
                     self.metrics.add("notices_unreadable")
             if self.reloading is not None and "X_RELOAD" in fields:
                 self.reloading.heard(place.one.number, fields["X_RELOAD"])
-            if place.one.told and not told:
+            if place.one.is_notified_ready and not told:
                 self.soon()
 
     def _line(self, number: int, line: str) -> None:
@@ -574,10 +579,10 @@
                     "listen": f"{place.at[0]}:{place.at[1]}",
                     "seconds": round(now - one.since, 3),
                     "restarts": one.restarts,
-                    "life": one.life,
+                    "life": one.generation,
                     "sharing": counts.get(number),
-                    "why": one.why or None,
-                    "said": one.said or None,
+                    "why": one.reason or None,
+                    "said": one.status_text or None,
                     "adopted": place.process is not None and place.process.adopted,
                     "old": place.process is not None and place.process.mark != self.shared_config.start_digest,
                     "health": place.health or None,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -78,24 +78,24 @@
 def started(now: float = 0.0) -> Instance:
     one = Instance(0, TIMES, RESTART_POLICY, random.Random(1))
     one.start(now)
-    one.spawned(now, 100)
+    one.record_spawn(now, 100)
     return one
 
 
 def ready(now: float = 0.0) -> Instance:
     one = started(now)
-    one.notified(now, {"READY": "1"})
-    one.looked(now, True)
+    one.record_notification(now, {"READY": "1"})
+    one.record_probe(now, True)
     return one
 
 
 def test_ready_needs_the_datagram_and_the_answer() -> None:
     one = started()
-    one.looked(1.0, True)
+    one.record_probe(1.0, True)
     assert one.state == STARTING  # /ready alone may be another program at its address
-    one.notified(1.0, {"READY": "1"})
+    one.record_notification(1.0, {"READY": "1"})
     assert one.state == STARTING
-    one.looked(1.1, True)
+    one.record_probe(1.1, True)
     assert one.state == READY
 
 
@@ -104,17 +104,17 @@
     assert one.tick(9.9) == []
     assert one.tick(10.0) == [Signal(signal.SIGKILL, "not ready within 10 s")]
     assert one.tick(11.0) == []
-    one.ended(11.0, "SIGKILL")
-    assert (one.state, one.why) == (WAITING, "not ready within 10 s")
+    one.record_end(11.0, "SIGKILL")
+    assert (one.state, one.reason) == (WAITING, "not ready within 10 s")
 
 
 def test_silence_of_the_watchdog_kills_and_a_sign_puts_it_off() -> None:
     one = ready()
-    one.notified(3.0, {"WATCHDOG": "1"})
+    one.record_notification(3.0, {"WATCHDOG": "1"})
     assert one.next_tick() == 7.0
     assert one.tick(6.9) == []
-    assert one.tick(7.0) == [Signal(signal.SIGKILL, "no life sign for 4 s")]
-    one.ended(7.1, "SIGKILL")
+    assert one.tick(7.0) == [Signal(signal.SIGKILL, "no notification for 4 s")]
+    one.record_end(7.1, "SIGKILL")
     assert one.state == WAITING
 
 
@@ -122,12 +122,12 @@
     one = ready()
     for n in range(3):
         assert one.state == READY
-        one.looked(1.0 + n, False)
+        one.record_probe(1.0 + n, False)
     assert one.state == STARTING
     for n in range(100):  # for as long as it lives it is left alone
-        one.notified(4.0 + n, {"WATCHDOG": "1"})
+        one.record_notification(4.0 + n, {"WATCHDOG": "1"})
         assert one.tick(4.0 + n) == []
-    one.looked(200.0, True)
+    one.record_probe(200.0, True)
     assert one.state == READY
 
 
@@ -139,7 +139,7 @@
     assert one.tick(6.0) == [Signal(signal.SIGTERM, "stop")]
     assert one.state == STOPPING
     assert one.tick(11.0) == [Signal(signal.SIGKILL, "not gone 5 s after SIGTERM")]
-    one.ended(11.1, "SIGKILL")
+    one.record_end(11.1, "SIGKILL")
     assert one.state == DOWN
 
 
@@ -147,31 +147,31 @@
     one = ready()
     one.restart(1.0)
     one.tick(2.0)
-    one.ended(2.5, "exit 0")
+    one.record_end(2.5, "exit 0")
     assert one.state == DUE
     one = ready()
     one.restart(1.0)
     one.stop(1.5)
     one.tick(2.0)
-    one.ended(2.5, "exit 0")
+    one.record_end(2.5, "exit 0")
     assert one.state == DOWN
 
 
 def test_a_crash_loop_is_given_up_until_the_operator_starts_it() -> None:
     one = started()
     for n in range(2):
-        one.ended(float(n), "exit 2")
+        one.record_end(float(n), "exit 2")
         assert one.state == WAITING
         one.tick(n + 0.99)
         assert one.state == DUE
-        one.spawned(n + 0.99, 101 + n)
-    one.ended(3.0, "exit 2")
+        one.record_spawn(n + 0.99, 101 + n)
+    one.record_end(3.0, "exit 2")
     assert one.state == CRASHED
     assert one.next_tick() == inf
     one.start(100.0)
     assert one.state == DUE
-    one.spawned(100.0, 200)
-    one.ended(100.1, "exit 2")
+    one.record_spawn(100.0, 200)
+    one.record_end(100.1, "exit 2")
     assert one.state == WAITING
 
 
@@ -204,11 +204,11 @@
         return getattr(one, what)(now)
     if one.pid:
         {
-            "ended": lambda: one.ended(now, "exit 1"),
-            "READY": lambda: one.notified(now, {"READY": "1"}),
-            "sign": lambda: one.notified(now, {"WATCHDOG": "1"}),
-            "yes": lambda: one.looked(now, True),
-            "no": lambda: one.looked(now, False),
+            "ended": lambda: one.record_end(now, "exit 1"),
+            "READY": lambda: one.record_notification(now, {"READY": "1"}),
+            "sign": lambda: one.record_notification(now, {"WATCHDOG": "1"}),
+            "yes": lambda: one.record_probe(now, True),
+            "no": lambda: one.record_probe(now, False),
         }[what]()
     return None
 
@@ -226,11 +226,11 @@
         assert not signals or one.pid
         if one.state == DUE:
             pid += 1
-            one.spawned(now, pid)
+            one.record_spawn(now, pid)
         assert (one.pid > 0) == (one.state in (STARTING, READY, DRAINING, STOPPING))
-        if one.state in (DRAINING, STOPPING, WAITING) and not one._ending:
+        if one.state in (DRAINING, STOPPING, WAITING) and not one._kill_reason:
             assert one.next_tick() < inf
-        if one.state == STARTING and not one._ending:
+        if one.state == STARTING and not one._kill_reason:
             assert one.next_tick() < inf or one.ready_at > -inf
 
 
@@ -244,11 +244,11 @@
     for n in (0, 1):
         fleet[n].restart(0.0)
         fleet[n].tick(1.0)
-        fleet[n].ended(1.5, "exit 0")
-        fleet[n].spawned(1.5, 300 + n)
+        fleet[n].record_end(1.5, "exit 0")
+        fleet[n].record_spawn(1.5, 300 + n)
     assert roll.step(2.0, fleet.__getitem__) == []
-    fleet[0].notified(2.0, {"READY": "1"})
-    fleet[0].looked(2.0, True)
+    fleet[0].record_notification(2.0, {"READY": "1"})
+    fleet[0].record_probe(2.0, True)
     assert roll.step(2.5, fleet.__getitem__) == []  # the front may not have noticed
     assert roll.step(3.0, fleet.__getitem__) == [2]
     assert roll.done == [0]
@@ -260,9 +260,9 @@
     assert roll.step(0.0, fleet.__getitem__) == [0]
     fleet[0].restart(0.0)
     fleet[0].tick(1.0)
-    fleet[0].ended(1.5, "exit 0")
-    fleet[0].spawned(1.5, 300)
-    fleet[0].ended(1.6, "exit 2: listen: taken")
+    fleet[0].record_end(1.5, "exit 0")
+    fleet[0].record_spawn(1.5, 300)
+    fleet[0].record_end(1.6, "exit 2: listen: taken")
     assert roll.step(2.0, fleet.__getitem__) == []
     assert roll.over and roll.left == [1, 2, 3]
     assert roll.failed == "instance 0: exit 2: listen: taken"
