--- a/brackenpulley/fleet/lines.py
+++ b/brackenpulley/fleet/lines.py
@@ -1,7 +1,7 @@
-"""Log lines of many processes as one stream, whatever becomes of its readers. No I/O.
+"""Merging of the log lines of many processes into one stream, independent of its readers. No I/O.
 
-Nothing here waits: a line has a greatest length, what can be looked back on and what waits for the reader are bounded,
-and what does not fit is dropped, oldest first, and counted in the stream itself."""
+Nothing here blocks: line length, history and backlog are bounded. Lines that do not fit are dropped, oldest first, and
+their number is written to the stream itself."""
 
 from __future__ import annotations
 
@@ -11,38 +11,39 @@
 
 import structlog
 
-LONGEST = 8192  # bytes of a line; the rest of a longer one is dropped
-CHUNK = 4096  # bytes: a write of so many to a pipe that can be written to never blocks (PIPE_BUF, pipe(7))
+MAX_LINE_BYTES = 8192  # the rest of a longer line is dropped
+CHUNK_BYTES = 4096  # a write of PIPE_BUF bytes to a writable pipe never blocks, see pipe(7)
 _render = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False)
 
 
 class Splitter:
-    """Bytes of one pipe to lines."""
+    """Splits the bytes of one pipe into lines."""
 
     def __init__(self) -> None:
-        self._rest = b""
-        self._over = False
+        self._incomplete = b""
+        self._is_truncating = False
 
     def feed(self, data: bytes) -> list[str]:
-        *whole, self._rest = (self._rest + data).split(b"\n")
+        """Add bytes and return the lines that they complete."""
+        *complete, self._incomplete = (self._incomplete + data).split(b"\n")
         found = []
-        for line in whole:
-            if not self._over and line:
-                found.append(line[:LONGEST].decode("utf-8", "replace"))
-            self._over = False
-        if len(self._rest) > LONGEST:
-            if not self._over:
-                found.append(self._rest[:LONGEST].decode("utf-8", "replace"))
-            self._rest, self._over = b"", True
+        for line in complete:
+            if not self._is_truncating and line:
+                found.append(line[:MAX_LINE_BYTES].decode("utf-8", "replace"))
+            self._is_truncating = False
+        if len(self._incomplete) > MAX_LINE_BYTES:
+            if not self._is_truncating:
+                found.append(self._incomplete[:MAX_LINE_BYTES].decode("utf-8", "replace"))
+            self._incomplete, self._is_truncating = b"", True
         return found
 
-    def end(self) -> list[str]:
-        """What stands there without its end."""
-        return self.feed(b"\n") if self._rest else []
+    def flush(self) -> list[str]:
+        """Return the last line if it has no line end."""
+        return self.feed(b"\n") if self._incomplete else []
 
 
-def merged(line: str, timestamp: str, instance: int, pid: int) -> str:
-    """An instance's line with its number and process; what is no line of a log becomes the text of one."""
+def add_instance_fields(line: str, timestamp: str, instance: int, pid: int) -> str:
+    """Return the line with the instance's number and pid; other output becomes the text of an `output` event."""
     if line.startswith("timestamp="):
         return f"{line} instance={instance} pid={pid}"
     fields: dict[str, Any] = {
@@ -58,24 +59,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Line:
+    """A line of the merged log."""
+
     serial: int
     instance: int  # -1 = the supervisor
     text: str
 
 
-class Ring:
-    """The last lines, for those who look back."""
+class LineHistory:
+    """The last `keep` lines, for `fleet logs`."""
 
     def __init__(self, keep: int) -> None:
         self._lines: deque[Line] = deque(maxlen=keep)
         self.serial = 0
 
     def add(self, instance: int, text: str) -> None:
+        """Append a line; the oldest one is dropped when the history is full."""
         self.serial += 1
         self._lines.append(Line(self.serial, instance, text))
 
-    def after(self, serial: int, most: int, instance: int | None = None) -> tuple[list[Line], int]:
-        """Up to `most` of the oldest lines after this one, and how many between were already let go."""
+    def lines_after(self, serial: int, most: int, instance: int | None = None) -> tuple[list[Line], int]:
+        """Return up to `most` of the oldest lines after `serial`, and how many after it were already dropped."""
         first = self._lines[0].serial if self._lines else self.serial + 1
         found = []
         for line in self._lines:
@@ -85,41 +89,46 @@
                     break
         return found, max(0, first - 1 - serial)
 
-    def last(self, most: int, instance: int | None = None) -> list[Line]:
+    def last_lines(self, most: int, instance: int | None = None) -> list[Line]:
+        """Return the `most` newest lines, of one instance if given."""
         lines = [line for line in self._lines if instance is None or line.instance == instance]
         return lines[-most:]
 
 
 class Backlog:
-    """What waits for one reader: at most `size` bytes, whole lines."""
+    """Whole lines that wait for one reader, at most `max_bytes` in total."""
 
-    def __init__(self, size: int = 1 << 20) -> None:
-        self.size, self.dropped, self._said = size, 0, 0
+    def __init__(self, max_bytes: int = 1 << 20) -> None:
+        self.max_bytes, self.dropped, self._reported_dropped = max_bytes, 0, 0
         self._lines: deque[bytes] = deque()
         self._bytes = 0
-        self._part = b""  # of the line under way: never dropped, or two lines would run together
+        self._unwritten = b""  # of lines partly written: never dropped, or two lines would run together
 
     def __len__(self) -> int:
-        return self._bytes + len(self._part)
+        return self._bytes + len(self._unwritten)
 
     def put(self, text: str) -> None:
+        """Append a line and drop the oldest ones that no longer fit."""
         data = text.encode() + b"\n"
         self._lines.append(data)
         self._bytes += len(data)
-        while self._bytes > self.size:
+        while self._bytes > self.max_bytes:
             self._bytes -= len(self._lines.popleft())
             self.dropped += 1
 
-    def next(self) -> bytes:
-        """At most CHUNK bytes; b"" = nothing waits."""
-        if not self._part and self.dropped > self._said:
-            self._part = f'level=warning event="log lines dropped" lines={self.dropped - self._said}\n'.encode()
-            self._said = self.dropped
-        while len(self._part) < CHUNK and self._lines:
+    def next_chunk(self) -> bytes:
+        """Return up to CHUNK_BYTES bytes to write; b"" if nothing waits."""
+        if not self._unwritten and self.dropped > self._reported_dropped:
+            self._unwritten = (
+                f'level=warning event="log lines dropped" lines={self.dropped - self._reported_dropped}\n'.encode()
+            )
+            self._reported_dropped = self.dropped
+        while len(self._unwritten) < CHUNK_BYTES and self._lines:
             line = self._lines.popleft()
             self._bytes -= len(line)
-            self._part += line
-        return self._part[:CHUNK]
+            self._unwritten += line
+        return self._unwritten[:CHUNK_BYTES]
 
-    def written(self, count: int) -> None:
-        self._part = self._part[count:]
+    def mark_written(self, count: int) -> None:
+        """Remove the first `count` bytes of the last chunk."""
+        self._unwritten = self._unwritten[count:]
--- a/brackenpulley/fleet/notify.py
+++ b/brackenpulley/fleet/notify.py
@@ -1,4 +1,6 @@
-"""Readiness and life signs between a process and who watches it: sd_notify(3), one datagram of NAME=VALUE lines."""
+"""The sd_notify(3) protocol: a process reports readiness and status in datagrams of NAME=VALUE lines.
+
+The supervisor receives them from its instances and sends its own to systemd; instances send them from `health`."""
 
 from __future__ import annotations
 
@@ -7,12 +9,12 @@
 import struct
 from collections.abc import Mapping
 
-LARGEST = 4096  # bytes of a datagram
+MAX_DATAGRAM_BYTES = 4096
 CREDENTIALS = struct.Struct("3i")  # process, user, group: struct ucred of unix(7)
 
 
-def parse(data: bytes) -> dict[str, str]:
-    """Lines without '=' are passed over, as systemd does; of a name told twice the last counts."""
+def parse_fields(data: bytes) -> dict[str, str]:
+    """Parse a datagram. As in systemd, lines without '=' are ignored and the last value of a repeated name counts."""
     text = data.decode("utf-8", "replace")
     return {
         name: value
@@ -22,16 +24,16 @@
     }
 
 
-def sender(ancillary: list[tuple[int, int, bytes]]) -> int:
-    """The process that sent a datagram, as the kernel says; 0 where it does not."""
+def sender_pid(ancillary: list[tuple[int, int, bytes]]) -> int:
+    """Return the pid of a datagram's sender from the credentials that the kernel attached; 0 if there are none."""
     for level, kind, data in ancillary:
         if level == socket.SOL_SOCKET and kind == socket.SCM_CREDENTIALS and len(data) >= CREDENTIALS.size:
             return int(CREDENTIALS.unpack(data[: CREDENTIALS.size])[0])
     return 0
 
 
-def watchdog(env: Mapping[str, str]) -> float:
-    """s between life signs that the watcher expects at most; 0 = none. WATCHDOG_PID must be ours where it is told."""
+def watchdog_timeout(env: Mapping[str, str]) -> float:
+    """Return the watchdog timeout in seconds; 0 if there is none, or if WATCHDOG_PID names another process."""
     text, pid = env.get("WATCHDOG_USEC", ""), env.get("WATCHDOG_PID", "")
     if not text.isdigit() or pid and pid != str(os.getpid()):
         return 0.0
@@ -39,31 +41,33 @@
 
 
 class Notifier:
-    """Owns its socket. Without NOTIFY_SOCKET, or with nobody there, nothing is sent and nothing fails."""
+    """Sends notifications to NOTIFY_SOCKET. Without that variable, or without a receiver, nothing is sent or raised."""
 
     def __init__(self, env: Mapping[str, str]) -> None:
         name = env.get("NOTIFY_SOCKET", "")
-        self.at = "\0" + name[1:] if name.startswith("@") else name
-        self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) if self.at[:1] in ("/", "\0") else None
+        self.address = "\0" + name[1:] if name.startswith("@") else name
+        self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) if self.address[:1] in ("/", "\0") else None
         if self._sock is not None:
             self._sock.setblocking(False)
-        self.unheard = 0  # datagrams that could not be sent
+        self.unsent = 0  # datagrams that could not be sent
 
     @property
-    def on(self) -> bool:
+    def is_enabled(self) -> bool:
+        """Whether NOTIFY_SOCKET names a socket."""
         return self._sock is not None
 
-    def say(self, **fields: str | int) -> None:
-        """For example say(READY=1, STATUS="serving"). A full or missing socket never holds the caller up."""
+    def notify(self, **fields: str | int) -> None:
+        """Send fields, such as notify(READY=1, STATUS="serving"). Never blocks, even on a full socket."""
         if self._sock is None:
             return
         text = "\n".join(f"{name}={str(value).replace(chr(10), ' ')}" for name, value in fields.items())
         try:
-            self._sock.sendto(text.encode()[:LARGEST], self.at)
+            self._sock.sendto(text.encode()[:MAX_DATAGRAM_BYTES], self.address)
         except OSError:
-            self.unheard += 1
+            self.unsent += 1
 
     def close(self) -> None:
+        """Close the socket; later notifications are not sent."""
         if self._sock is not None:
             self._sock.close()
             self._sock = None
--- a/brackenpulley/fleet/routes.py
+++ b/brackenpulley/fleet/routes.py
@@ -64,13 +64,13 @@
         instance = whole(request, "instance", 0, 0, 999) if text else None
         most = whole(request, "most", 200, 1, 2000)
         after = request.query.get("after")
-        ring = supervisor.ring
+        history = supervisor.history
         if after is None:
-            lines, missed = ring.last(most, instance), 0
+            lines, missed = history.last_lines(most, instance), 0
         else:
-            lines, missed = ring.after(whole(request, "after", 0, 0, 1 << 60), most, instance)
+            lines, missed = history.lines_after(whole(request, "after", 0, 0, 1 << 60), most, instance)
         return {
-            "last": lines[-1].serial if lines else ring.serial if after is None else int(after),
+            "last": lines[-1].serial if lines else history.serial if after is None else int(after),
             "missed": missed,
             "lines": [{"serial": line.serial, "instance": line.instance, "text": line.text} for line in lines],
         }
--- a/brackenpulley/fleet/run.py
+++ b/brackenpulley/fleet/run.py
@@ -10,7 +10,7 @@
 from ..net.loop import Loop
 from ..serve import make_logger
 from .files import SharedConfig
-from .lines import Ring
+from .lines import LineHistory
 from .spec import Fleet
 from .stream import Stream
 from .supervisor import Supervisor
@@ -19,13 +19,13 @@
 class Sink:
     """The supervisor's own lines, into the same stream as its instances'."""
 
-    def __init__(self, stream: Stream, ring: Ring) -> None:
-        self._stream, self._ring = stream, ring
+    def __init__(self, stream: Stream, history: LineHistory) -> None:
+        self._stream, self._history = stream, history
 
     def write(self, text: str) -> None:
         for line in text.splitlines():
             if line:
-                self._ring.add(-1, line)
+                self._history.add(-1, line)
                 self._stream.put(line)
 
     def flush(self) -> None:
@@ -41,10 +41,10 @@
         stream = Stream(loop, metrics, spec.log.path)
     except OSError as error:
         raise ConfigError(f"log.path: {spec.log.path}: {error.strerror}") from None
-    ring = Ring(spec.log.keep)
-    loop.log = log = make_logger(Sink(stream, ring))
+    history = LineHistory(spec.log.keep)
+    loop.log = log = make_logger(Sink(stream, history))
     try:
-        supervisor = Supervisor(path, shared_config, loop, log, stream, ring)
+        supervisor = Supervisor(path, shared_config, loop, log, stream, history)
     except OSError as error:
         raise ConfigError(f"fleet.run: {spec.fleet.run}: {error.strerror}") from None
     loop.add_signal_handler(signal.SIGTERM, supervisor.end)
--- a/brackenpulley/fleet/stream.py
+++ b/brackenpulley/fleet/stream.py
@@ -44,11 +44,11 @@
 
     def _pump(self, events: int) -> None:
         """A pipe that is not full takes a chunk without waiting, and is asked again; a file takes all."""
-        while data := self.backlog.next():
+        while data := self.backlog.next_chunk():
             if not self.path and not events and not self._wait():
                 return
             try:
-                self.backlog.written(os.write(self._out.fileno(), data))
+                self.backlog.mark_written(os.write(self._out.fileno(), data))
                 self.failing = ""
             except OSError as error:  # a full disk, or a reader that is gone: the lines wait, the oldest fall out
                 self.failing = error.strerror or str(error)
@@ -99,9 +99,9 @@
         self._rest()
         self._closed = True
         if self.path:
-            while data := self.backlog.next():
+            while data := self.backlog.next_chunk():
                 try:
-                    self.backlog.written(os.write(self._out.fileno(), data))
+                    self.backlog.mark_written(os.write(self._out.fileno(), data))
                 except OSError:
                     break
             os.close(self._out.fileno())
@@ -110,8 +110,8 @@
 
         poll = select.poll()
         poll.register(1, select.POLLOUT)
-        while (data := self.backlog.next()) and poll.poll(0):
+        while (data := self.backlog.next_chunk()) and poll.poll(0):
             try:
-                self.backlog.written(os.write(1, data))
+                self.backlog.mark_written(os.write(1, data))
             except OSError:
                 break
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -24,8 +24,8 @@
 from .caller import Call
 from .files import SharedConfig, load_state, save_state
 from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Action, Drain, Instance, Times
-from .lines import Ring, merged
-from .notify import CREDENTIALS, LARGEST, Notifier, parse, sender, watchdog
+from .lines import LineHistory, add_instance_fields
+from .notify import CREDENTIALS, MAX_DATAGRAM_BYTES, Notifier, parse_fields, sender_pid, watchdog_timeout
 from .process import CLOCK, FLEET, MARK, PLACE, PLACES, Output, Process, search, spawn
 from .reload import Reload
 from .rolling import Rolling, spaced
@@ -57,16 +57,16 @@
 
 class Supervisor:
     def __init__(
-        self, path: str, shared_config: SharedConfig, loop: Loop, log: Any, stream: Stream, ring: Ring
+        self, path: str, shared_config: SharedConfig, loop: Loop, log: Any, stream: Stream, history: LineHistory
     ) -> None:
         """Raises ConfigError where another supervisor has the fleet."""
-        self.path, self.shared_config, self.loop, self.log, self.stream, self.ring = (
+        self.path, self.shared_config, self.loop, self.log, self.stream, self.history = (
             path,
             shared_config,
             loop,
             log,
             stream,
-            ring,
+            history,
         )
         self.metrics: Metrics = loop.metrics
         self.run = shared_config.spec.run
@@ -84,7 +84,7 @@
         self.ending = False
         self.born = loop.clock()
         self.own = Notifier(os.environ)
-        self._own_watchdog = watchdog(os.environ)
+        self._own_watchdog = watchdog_timeout(os.environ)
         self._own_sign = 0.0
         self._said_ready = False
         self._notify: socket.socket | None = None
@@ -136,7 +136,7 @@
         if not self.ending:
             self.ending = True
             self.rolling = None
-            self.own.say(STOPPING=1)
+            self.own.notify(STOPPING=1)
             self.log.info("ending", fleet=self.spec.fleet.name)
         for place in self.places.values():
             self._do(place, place.one.stop(now, drain))
@@ -449,10 +449,10 @@
         assert self._notify is not None
         for _ in range(DATAGRAMS):
             try:
-                data, ancillary, _, _ = self._notify.recvmsg(LARGEST, socket.CMSG_SPACE(CREDENTIALS.size))
+                data, ancillary, _, _ = self._notify.recvmsg(MAX_DATAGRAM_BYTES, socket.CMSG_SPACE(CREDENTIALS.size))
             except OSError:
                 return
-            pid, fields = sender(ancillary), parse(data)
+            pid, fields = sender_pid(ancillary), parse_fields(data)
             place = next((p for p in self.places.values() if p.process is not None and p.one.pid == pid), None)
             if place is None:
                 self.metrics.add("notices_of_strangers")
@@ -474,10 +474,10 @@
         pid = place.one.pid if place is not None else 0
         if place is not None:
             place.last = line[:200]
-        self.put(number, merged(line, time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()), number, pid))
+        self.put(number, add_instance_fields(line, time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()), number, pid))
 
     def put(self, number: int, text: str) -> None:
-        self.ring.add(number, text)
+        self.history.add(number, text)
         self.stream.put(text)
 
     # The operator.
@@ -559,11 +559,11 @@
         settled = ready + states.count(CRASHED) >= wanted and ready > 0
         if settled and not self._said_ready and not self.ending:
             self._said_ready = True
-            self.own.say(READY=1, STATUS=f"{ready} of {wanted} ready")
+            self.own.notify(READY=1, STATUS=f"{ready} of {wanted} ready")
             self.log.info("fleet ready", ready=ready, instances=wanted, seconds=round(now - self.born, 3))
         if self._own_watchdog and now - self._own_sign >= self._own_watchdog / 3:
             self._own_sign = now
-            self.own.say(WATCHDOG=1, STATUS=f"{ready} of {wanted} ready")
+            self.own.notify(WATCHDOG=1, STATUS=f"{ready} of {wanted} ready")
 
     def status(self) -> dict[str, Any]:
         now = self.loop.clock()
--- a/brackenpulley/health/service.py
+++ b/brackenpulley/health/service.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..fleet.notify import Notifier, watchdog
+from ..fleet.notify import Notifier, watchdog_timeout
 from .measurements import LoopLag, Measurements, Thresholds
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     def __init__(self, daemon: Daemon) -> None:
         self.daemon, self.loop = daemon, daemon.loop
         self.notifier = Notifier(os.environ)
-        watchdog_seconds = watchdog(os.environ)
+        watchdog_seconds = watchdog_timeout(os.environ)
         self.tick_seconds = min(TICK_SECONDS, watchdog_seconds / 4) if watchdog_seconds else TICK_SECONDS
         self.sends_watchdog = watchdog_seconds > 0
         self.lag, self.thresholds = LoopLag(), Thresholds()
@@ -60,12 +60,12 @@
                 fields["READY"] = 1
         if now - self._sampled_at >= SAMPLE_SECONDS:
             self._sample(now)
-            if self.notifier.on:
+            if self.notifier.is_enabled:
                 status = self.status()
                 fields["STATUS"] = "; ".join(status["troubles"]) or "well"
                 fields["X_HEALTH"] = json.dumps(status)
         if fields:
-            self.notifier.say(**fields)
+            self.notifier.notify(**fields)
         wait = self.tick_seconds if self.is_ready or now - self.daemon.started_at > 5.0 else STARTUP_TICK_SECONDS
         self._tick_due = now + wait
         self.loop.call_in(wait, self._tick)
@@ -95,12 +95,12 @@
 
     def notify_reloaded(self, outcome: str) -> None:
         """Notify the supervisor of a reload; `outcome` is "ok" or the error."""
-        self.notifier.say(RELOADING=1)
-        self.notifier.say(READY=1, X_RELOAD=outcome)
+        self.notifier.notify(RELOADING=1)
+        self.notifier.notify(READY=1, X_RELOAD=outcome)
 
     def notify_stopping(self) -> None:
         """Notify the supervisor that shutdown has begun."""
-        self.notifier.say(STOPPING=1)
+        self.notifier.notify(STOPPING=1)
 
     def stop(self) -> None:
         """Stop the ticks and close the notification socket."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -30,7 +30,7 @@
     Signal,
     Times,
 )
-from brackenpulley.fleet.lines import Backlog, Ring, Splitter, merged
+from brackenpulley.fleet.lines import Backlog, LineHistory, Splitter, add_instance_fields
 from brackenpulley.fleet.rolling import Rolling, spaced
 from brackenpulley.fleet.sharing import LEASE_MARGIN_SECONDS, CountLease, Sharing
 from brackenpulley.fleet.spec import decode
@@ -465,7 +465,7 @@
     ],
 )
 def test_notices_are_read_as_systemd_reads_them(data: bytes, fields: dict[str, str]) -> None:
-    assert notify.parse(data) == fields
+    assert notify.parse_fields(data) == fields
 
 
 def test_lines_are_cut_joined_and_named() -> None:
@@ -474,8 +474,8 @@
     assert splitter.feed(b"amp=2 event=b\n") == ["timestamp=2 event=b"]
     found = splitter.feed(b"x" * 20_000 + b"\nnext\n")
     assert found == ["x" * 8192, "next"]
-    assert merged("timestamp=1 event=a", "now", 3, 77) == "timestamp=1 event=a instance=3 pid=77"
-    assert merged("Traceback (x):", "now", 3, 77) == (
+    assert add_instance_fields("timestamp=1 event=a", "now", 3, 77) == "timestamp=1 event=a instance=3 pid=77"
+    assert add_instance_fields("Traceback (x):", "now", 3, 77) == (
         'timestamp=now level=info event=output text="Traceback (x):" instance=3 pid=77'
     )
 
@@ -486,8 +486,8 @@
         backlog.put(f"line {n}")
         assert len(backlog) <= 1100
     out = b""
-    while data := backlog.next():
-        backlog.written(min(len(data), 7))
+    while data := backlog.next_chunk():
+        backlog.mark_written(min(len(data), 7))
         out += data[:7]
     lines = out.decode().splitlines()
     assert f'level=warning event="log lines dropped" lines={backlog.dropped}' in lines
@@ -496,13 +496,13 @@
 
 
 def test_the_ring_says_what_it_let_go() -> None:
-    ring = Ring(10)
+    history = LineHistory(10)
     for n in range(25):
-        ring.add(n % 2, str(n))
-    lines, missed = ring.after(3, 4)
+        history.add(n % 2, str(n))
+    lines, missed = history.lines_after(3, 4)
     assert [line.text for line in lines] == ["15", "16", "17", "18"] and missed == 12
-    assert [line.text for line in ring.last(2, 1)] == ["21", "23"]
-    assert ring.after(25, 5) == ([], 0)
+    assert [line.text for line in history.last_lines(2, 1)] == ["21", "23"]
+    assert history.lines_after(25, 5) == ([], 0)
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 4.0), st.floats(0.0, 2.0)), min_size=1, max_size=80))
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -19,7 +19,7 @@
 from benchmarks.plan_changes import ROOT
 from brackenpulley.control.client import Control, ControlError
 from brackenpulley.fleet.files import load_state
-from brackenpulley.fleet.notify import parse
+from brackenpulley.fleet.notify import parse_fields
 from brackenpulley.fleet.process import search
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.clients import Firm
@@ -218,7 +218,7 @@
     while not any("READY" in fields for fields in seen) and time.monotonic() < end:
         one.turn(0.02)
         try:
-            seen.append(parse(above.recv(4096)))
+            seen.append(parse_fields(above.recv(4096)))
         except BlockingIOError:
             pass
     assert any(fields.get("READY") == "1" for fields in seen)
@@ -228,7 +228,7 @@
     one.until(lambda s: one.supervisor is not None and one.supervisor.poll() is not None, 20, "end")
     while True:
         try:
-            seen.append(parse(above.recv(4096)))
+            seen.append(parse_fields(above.recv(4096)))
         except BlockingIOError:
             break
     assert any(fields.get("STOPPING") == "1" for fields in seen)
