--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -33,7 +33,7 @@
 from brackenpulley.control.client import Control, ControlError
 from brackenpulley.fleet.caller import Call
 from brackenpulley.fleet.files import SharedConfig
-from brackenpulley.fleet.process import search
+from brackenpulley.fleet.process import find_processes
 from brackenpulley.fleet.spec import load as spec_of
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
@@ -241,7 +241,7 @@
                 self.supervisor.wait(30)
             except subprocess.TimeoutExpired:
                 self.supervisor.kill()
-        for one in search(self.folder / "run"):
+        for one in find_processes(self.folder / "run"):
             os.kill(one.pid, signal.SIGKILL)
         for listener in (
             self.discovery.listener,
@@ -342,7 +342,7 @@
             found["health"] = [r["health"] for r in made.status()["places"]][:3]
             made.supervisor.terminate()
             found["exit"] = made.supervisor.wait(30)
-            found["orphans"] = len(search(made.folder / "run"))
+            found["orphans"] = len(find_processes(made.folder / "run"))
         faults = made.faults()
         faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.tries)] if n]
         faults += [f"cold server, {c['what']}: {c['worst']:.2f} of what it bears" for c in made.colds if c["fell"]]
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -318,7 +318,7 @@
 ) -> None:
     """End what a supervisor that is gone left behind. Not while one runs."""
     spec = _spec(file)
-    from ..fleet.process import search
+    from ..fleet.process import find_processes
     from ..lock import FileLock
 
     try:
@@ -327,14 +327,14 @@
         raise fail(str(error), 1) from None
     except FileNotFoundError:
         raise fail(f"fleet.run: {spec.fleet.run}: no fleet has run there", 1) from None
-    found = search(Path(spec.fleet.run))
+    found = find_processes(Path(spec.fleet.run))
     for number in (signal.SIGTERM, signal.SIGKILL):
-        for one in search(Path(spec.fleet.run)):
+        for one in find_processes(Path(spec.fleet.run)):
             with contextlib.suppress(ProcessLookupError):
                 os.kill(one.pid, number)
         end = time.monotonic() + deadline
-        while search(Path(spec.fleet.run)) and time.monotonic() < end:
+        while find_processes(Path(spec.fleet.run)) and time.monotonic() < end:
             time.sleep(0.05)
     lock.close()
-    rows = [{"instance": one.place, "pid": one.pid} for one in found]
+    rows = [{"instance": one.number, "pid": one.pid} for one in found]
     show(rows, as_json, ["ended instance", "pid"], [[row["instance"], row["pid"]] for row in rows])
--- a/brackenpulley/fleet/reload.py
+++ b/brackenpulley/fleet/reload.py
@@ -38,7 +38,7 @@
         for number, place in supervisor.places.items():
             if place.process is not None and place.one.is_notified_ready:
                 self.waits[number] = place.one.pid
-                place.process.send(signal.SIGHUP)
+                place.process.send_signal(signal.SIGHUP)
         return self
 
     def _put(self, shared_config: SharedConfig) -> None:
@@ -82,7 +82,7 @@
                 s.log.error("reload", error=str(error))
             for place in s.places.values():
                 if place.process is not None:
-                    place.process.send(signal.SIGHUP)
+                    place.process.send_signal(signal.SIGHUP)
             s.reloaded = self.failed
             return True
         s.metrics.add("reloads")
@@ -96,7 +96,7 @@
             old=[
                 n
                 for n, place in sorted(s.places.items())
-                if place.process is not None and place.process.mark != s.shared_config.start_digest
+                if place.process is not None and place.process.start_digest != s.shared_config.start_digest
             ],
         )
         return True
--- a/brackenpulley/fleet/rolling.py
+++ b/brackenpulley/fleet/rolling.py
@@ -1,7 +1,7 @@
-"""A restart of many, a few at a time, that stops where one does not come back. No I/O.
+"""Rolling restart: a few instances at a time, ended early if one does not become ready again. No I/O.
 
-An instance is through once a new process of it has been ready for the notice's time, so that the front uses it again
-before the next ones go."""
+An instance counts as restarted once its new process has been ready for the notice period, so that the front uses it
+again before the next ones stop."""
 
 from __future__ import annotations
 
@@ -11,66 +11,76 @@
 from .instance import ALIVE, CRASHED, READY, WAITING, Instance
 
 
-def spaced(numbers: list[int], at_once: int) -> list[int]:
-    """An order in which those that are away together are far from each other: a firm's set is neighbouring numbers
-    (PROTOCOL, spread and first), and a set that is away as a whole leaves its firm without an ingress."""
+def space_out(numbers: list[int], at_once: int) -> list[int]:
+    """Return an order in which instances that are down together have distant numbers.
+
+    A firm is assigned to neighbouring numbers (`spread` and `first` of the protocol); if all of these are down at once,
+    the firm has no ingress."""
     stride = max(1, len(numbers) // at_once)
-    return [numbers[place] for offset in range(stride) for place in range(offset, len(numbers), stride)]
+    return [numbers[position] for offset in range(stride) for position in range(offset, len(numbers), stride)]
 
 
 @dataclass(slots=True)
-class Rolling:
-    left: list[int]  # not touched yet, in order
+class RollingRestart:
+    """Progress of one rolling restart."""
+
+    remaining: list[int]  # not restarted yet, in order
     at_once: int
-    notice: float  # s
+    notice_seconds: float
     began: float
-    under_way: dict[int, int] = field(default_factory=dict)  # number: the life that was ended
-    done: list[int] = field(default_factory=list)
-    failed: str = ""
+    in_progress: dict[int, int] = field(default_factory=dict)  # number -> generation that was stopped
+    restarted: list[int] = field(default_factory=list)
+    failure: str = ""
     ended: float = 0.0
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
+        """Whether the restart is complete or has failed."""
         return bool(self.ended)
 
-    def step(self, now: float, look: Callable[[int], Instance]) -> list[int]:
-        """Those to restart now. `look` raises KeyError for one that is no longer there."""
-        if self.over:
+    def step(self, now: float, get_instance: Callable[[int], Instance]) -> list[int]:
+        """Return the numbers to restart now. `get_instance` raises KeyError for an instance that was scaled away."""
+        if self.is_over:
             return []
-        for number, life in list(self.under_way.items()):
+        for number, generation in list(self.in_progress.items()):
             try:
-                one = look(number)
-            except KeyError:  # scaled away meanwhile
-                del self.under_way[number]
+                instance = get_instance(number)
+            except KeyError:  # scaled away in the meantime
+                del self.in_progress[number]
                 continue
-            if one.state in (WAITING, CRASHED) or one.generation > life + 1:
-                self.failed = self.failed or f"instance {number}: {one.reason or 'ended again'}"
-                del self.under_way[number]
-            elif one.generation == life + 1 and one.state == READY and now - one.ready_at >= self.notice:
-                del self.under_way[number]
-                self.done.append(number)
-        if self.failed or not self.left:
-            if not self.under_way:
+            if instance.state in (WAITING, CRASHED) or instance.generation > generation + 1:
+                self.failure = self.failure or f"instance {number}: {instance.reason or 'ended again'}"
+                del self.in_progress[number]
+            elif (
+                instance.generation == generation + 1
+                and instance.state == READY
+                and now - instance.ready_at >= self.notice_seconds
+            ):
+                del self.in_progress[number]
+                self.restarted.append(number)
+        if self.failure or not self.remaining:
+            if not self.in_progress:
                 self.ended = now
             return []
-        begin = []
-        while self.left and len(self.under_way) < self.at_once:
-            number = self.left.pop(0)
+        to_restart = []
+        while self.remaining and len(self.in_progress) < self.at_once:
+            number = self.remaining.pop(0)
             try:
-                one = look(number)
+                instance = get_instance(number)
             except KeyError:
                 continue
-            if one.state not in ALIVE:  # nothing runs there that could be replaced
+            if instance.state not in ALIVE:  # no process to replace
                 continue
-            self.under_way[number] = one.generation
-            begin.append(number)
-        return begin
+            self.in_progress[number] = instance.generation
+            to_restart.append(number)
+        return to_restart
 
     def status(self) -> dict[str, object]:
+        """Return the progress, for the control API."""
         return {
-            "underWay": sorted(self.under_way),
-            "done": self.done,
-            "left": self.left,
-            "failed": self.failed or None,
-            "over": self.over,
+            "underWay": sorted(self.in_progress),
+            "done": self.restarted,
+            "left": self.remaining,
+            "failed": self.failure or None,
+            "over": self.is_over,
         }
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -26,9 +26,19 @@
 from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Action, Drain, Instance, Times
 from .lines import LineHistory, add_instance_fields
 from .notify import CREDENTIALS, MAX_DATAGRAM_BYTES, Notifier, parse_fields, sender_pid, watchdog_timeout
-from .process import CLOCK, FLEET, MARK, PLACE, PLACES, Output, Process, search, spawn
+from .process import (
+    CLOCK_VARIABLE,
+    DIGEST_VARIABLE,
+    FLEET_VARIABLE,
+    INSTANCE_VARIABLE,
+    PLACES_VARIABLE,
+    OutputPipe,
+    Process,
+    find_processes,
+    spawn,
+)
 from .reload import Reload
-from .rolling import Rolling, spaced
+from .rolling import RollingRestart, space_out
 from .routes import fleet_routes
 from .sharing import CountUpdate, Sharing
 from .spec import Fleet, check_count
@@ -43,7 +53,7 @@
 class Place:
     """An instance with what belongs to it here."""
 
-    def __init__(self, one: Instance, at: Address, output: Output) -> None:
+    def __init__(self, one: Instance, at: Address, output: OutputPipe) -> None:
         self.one, self.at, self.output = one, at, output
         self.process: Process | None = None
         self.health: dict[str, Any] = {}
@@ -78,7 +88,7 @@
             log.error("state", error=said)
         self.sharing = Sharing(shared_config.spec.share.lease_s, time.monotonic_ns())
         self.places: dict[int, Place] = {}
-        self.rolling: Rolling | None = None
+        self.rolling: RollingRestart | None = None
         self.reloading: Reload | None = None
         self.reloaded = ""  # why the last one failed
         self.ending = False
@@ -100,8 +110,8 @@
     def start(self) -> None:
         self._listen()
         self._fit()
-        for found in search(self.run):
-            self._adopt(found.pid, found.place, found.mark)
+        for found in find_processes(self.run):
+            self._adopt(found.pid, found.number, found.start_digest)
         now = self.loop.clock()
         for number, place in self.places.items():
             if place.one.state == DOWN and number not in self.state.stopped and not place.gone:
@@ -187,7 +197,7 @@
         times = Times(s.start.ready_s, s.stop.deadline_s, s.stop.notice_s, s.watch.watchdog_s)
         listens = self.shared_config.listen_addresses
         at = listens[number] if number < len(listens) else ("127.0.0.1", 0)
-        output = Output(self.loop, self.run / f"{number}.log", lambda line: self._line(number, line))
+        output = OutputPipe(self.loop, self.run / f"{number}.log", lambda line: self._line(number, line))
         place = self.places[number] = Place(Instance(number, times, s.restart_policy, self.rng), at, output)
         return place
 
@@ -199,7 +209,7 @@
         except ProcessLookupError:
             return
         if place.process is not None:  # a place has one process: the older one stays
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGKILL)
             process.close()
             return
         place.process = process
@@ -267,10 +277,10 @@
         for update in self.sharing.prepare_updates(now, target):
             self._tell(update)
         self._start_due(now, target)
-        if self.rolling is not None and not self.rolling.over:
+        if self.rolling is not None and not self.rolling.is_over:
             for number in self.rolling.step(now, lambda n: self.places[n].one):
                 self._do(self.places[number], self.places[number].one.restart(now))
-            if self.rolling.over:
+            if self.rolling.is_over:
                 self.log.info("rolled", **self.rolling.status())
         if self.reloading is not None and self.reloading.step(now):
             self.reloading = None
@@ -282,7 +292,7 @@
         return (
             self.ending
             or any(state not in (READY, DOWN, CRASHED) for state in states)
-            or (self.rolling is not None and not self.rolling.over)
+            or (self.rolling is not None and not self.rolling.is_over)
         )
 
     def target(self, now: float) -> int:
@@ -318,11 +328,11 @@
             "BALANCER_CONFIG": str(self.run / f"{number}.json"),
             "BALANCER_CONTROL": f"unix:{self._sock(number)}",
             "NOTIFY_SOCKET": str(self.run / "notify.sock"),
-            FLEET: str(self.run),
-            PLACE: str(number),
-            MARK: self.shared_config.start_digest,
-            CLOCK: repr(self.state.clock),
-            PLACES: str(self.shared_config.compute_ingress_count(len(self.shared_config.listen_addresses))),
+            FLEET_VARIABLE: str(self.run),
+            INSTANCE_VARIABLE: str(number),
+            DIGEST_VARIABLE: self.shared_config.start_digest,
+            CLOCK_VARIABLE: repr(self.state.clock),
+            PLACES_VARIABLE: str(self.shared_config.compute_ingress_count(len(self.shared_config.listen_addresses))),
         }
         for name in (
             "BALANCER_NAME",
@@ -395,7 +405,7 @@
                 if action.number == signal.SIGKILL:
                     self.metrics.add("killed")
                     self.log.error("killing", instance=place.one.number, pid=place.one.pid, why=action.reason)
-                place.process.send(action.number)
+                place.process.send_signal(action.number)
 
     def _look(self, place: Place, now: float) -> None:
         one = place.one
@@ -507,11 +517,11 @@
         self._keep()
         return found
 
-    def restart_some(self, numbers: list[int] | None, at_once: int) -> Rolling:
+    def restart_some(self, numbers: list[int] | None, at_once: int) -> RollingRestart:
         found = [n for n in self.chosen(numbers) if n not in self.state.stopped]
-        if self.rolling is not None and not self.rolling.over:
+        if self.rolling is not None and not self.rolling.is_over:
             raise ConfigError("restart: one is under way already")
-        self.rolling = Rolling(spaced(found, at_once), at_once, self.spec.stop.notice_s, self.loop.clock())
+        self.rolling = RollingRestart(space_out(found, at_once), at_once, self.spec.stop.notice_s, self.loop.clock())
         self.log.info("rolling", instances=len(found), at_once=at_once)
         self.soon()
         return self.rolling
@@ -583,8 +593,8 @@
                     "sharing": counts.get(number),
                     "why": one.reason or None,
                     "said": one.status_text or None,
-                    "adopted": place.process is not None and place.process.adopted,
-                    "old": place.process is not None and place.process.mark != self.shared_config.start_digest,
+                    "adopted": place.process is not None and place.process.is_adopted,
+                    "old": place.process is not None and place.process.start_digest != self.shared_config.start_digest,
                     "health": place.health or None,
                     "healthSeconds": round(now - place.health_at, 3) if place.health else None,
                 }
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,7 +31,7 @@
     Times,
 )
 from brackenpulley.fleet.lines import Backlog, LineHistory, Splitter, add_instance_fields
-from brackenpulley.fleet.rolling import Rolling, spaced
+from brackenpulley.fleet.rolling import RollingRestart, space_out
 from brackenpulley.fleet.sharing import LEASE_MARGIN_SECONDS, CountLease, Sharing
 from brackenpulley.fleet.spec import decode
 from brackenpulley.health.measurements import LAG_WINDOW_SECONDS, LoopLag, Measurements, Thresholds
@@ -239,7 +239,7 @@
 
 def test_rolling_goes_on_only_when_the_last_ones_are_ready_and_noticed() -> None:
     fleet = {n: ready() for n in range(5)}
-    roll = Rolling(list(range(5)), 2, 1.0, 0.0)
+    roll = RollingRestart(list(range(5)), 2, 1.0, 0.0)
     assert roll.step(0.0, fleet.__getitem__) == [0, 1]
     for n in (0, 1):
         fleet[n].restart(0.0)
@@ -251,12 +251,12 @@
     fleet[0].record_probe(2.0, True)
     assert roll.step(2.5, fleet.__getitem__) == []  # the front may not have noticed
     assert roll.step(3.0, fleet.__getitem__) == [2]
-    assert roll.done == [0]
+    assert roll.restarted == [0]
 
 
 def test_rolling_stops_at_the_first_failure_and_says_what_is_left() -> None:
     fleet = {n: ready() for n in range(4)}
-    roll = Rolling(list(range(4)), 1, 1.0, 0.0)
+    roll = RollingRestart(list(range(4)), 1, 1.0, 0.0)
     assert roll.step(0.0, fleet.__getitem__) == [0]
     fleet[0].restart(0.0)
     fleet[0].tick(1.0)
@@ -264,14 +264,14 @@
     fleet[0].record_spawn(1.5, 300)
     fleet[0].record_end(1.6, "exit 2: listen: taken")
     assert roll.step(2.0, fleet.__getitem__) == []
-    assert roll.over and roll.left == [1, 2, 3]
-    assert roll.failed == "instance 0: exit 2: listen: taken"
+    assert roll.is_over and roll.remaining == [1, 2, 3]
+    assert roll.failure == "instance 0: exit 2: listen: taken"
 
 
 @given(st.integers(1, 100), st.integers(1, 30))
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_those_away_together_are_far_apart(count: int, at_once: int) -> None:
-    order = spaced(list(range(count)), at_once)
+    order = space_out(list(range(count)), at_once)
     assert sorted(order) == list(range(count))
     stride = max(1, count // at_once)
     for start in range(len(order)):  # whichever ones of the order are under way
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -20,7 +20,7 @@
 from brackenpulley.control.client import Control, ControlError
 from brackenpulley.fleet.files import load_state
 from brackenpulley.fleet.notify import parse_fields
-from brackenpulley.fleet.process import search
+from brackenpulley.fleet.process import find_processes
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.clients import Firm
 
@@ -141,7 +141,7 @@
     assert f"held by the supervisor of fleet trial, process {first.supervisor.pid}" in again.stderr
     assert command(first, "stop", "--supervisor").returncode == 0
     assert first.supervisor.wait(20) == 0
-    assert search(first.folder / "run") == []
+    assert find_processes(first.folder / "run") == []
     assert second.status()["ready"] == 1
 
 
@@ -156,7 +156,7 @@
     one.supervisor.kill()
     one.supervisor.wait()
     os.kill(pids[2], signal.SIGKILL)  # one ends while nobody looks
-    assert sorted(f.pid for f in search(one.folder / "run") if f.place < 2) == sorted(pids[:2])
+    assert sorted(f.pid for f in find_processes(one.folder / "run") if f.number < 2) == sorted(pids[:2])
     one.run()
     one.all_ready(3, 30, "taken over, at the size it was scaled to")
     status = one.status()
@@ -172,7 +172,7 @@
     one.supervisor.kill()
     one.supervisor.wait()
     done = command(one, "reap", "--json")
-    assert len(json.loads(done.stdout)) == 3 and search(one.folder / "run") == []
+    assert len(json.loads(done.stdout)) == 3 and find_processes(one.folder / "run") == []
 
 
 @pytest.mark.parametrize("target", ["a full disk", "a reader that does not read"])
