--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -83,7 +83,7 @@
         SharedConfig.read(spec)
     except ConfigError as error:
         raise fail(str(error)) from None
-    at = spec.listens()
+    at = spec.parse_listen_addresses()
     found = {
         "fleet": spec.fleet.name,
         "instances": spec.fleet.instances,
--- a/brackenpulley/fleet/files.py
+++ b/brackenpulley/fleet/files.py
@@ -15,7 +15,7 @@
 from ..config import Config, decode
 from ..members.transport import text
 from ..operator import decode_text
-from .spec import Fleet, digest
+from .spec import Fleet, compute_digest
 
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
@@ -32,7 +32,10 @@
     member_addresses: list[Address] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.listen_addresses, self.member_addresses = self.spec.listens(), self.spec.members()
+        self.listen_addresses, self.member_addresses = (
+            self.spec.parse_listen_addresses(),
+            self.spec.parse_member_addresses(),
+        )
 
     @classmethod
     def read(cls, spec: Fleet) -> SharedConfig:
@@ -56,7 +59,7 @@
         shared_config = cls(spec, raw, operator)
         # Keys that SIGHUP applies at run time are left out: a changed discovery does not make an instance outdated.
         compared = {key: value for key, value in raw.items() if key not in ("discovery", "counter", "known")}
-        shared_config.start_digest = digest(
+        shared_config.start_digest = compute_digest(
             json.dumps(compared, sort_keys=True),
             operator,
             json.dumps(
--- a/brackenpulley/fleet/reload.py
+++ b/brackenpulley/fleet/reload.py
@@ -1,4 +1,4 @@
-"""A description taken anew in service: all instances, or none."""
+"""Reload of the fleet description at run time, applied by all instances or by none. Used by the supervisor."""
 
 from __future__ import annotations
 
@@ -12,37 +12,41 @@
 if TYPE_CHECKING:
     from .supervisor import Supervisor
 
-PATIENCE = 5.0  # s for each instance to say that it took its file
+RELOAD_TIMEOUT_SECONDS = 5.0  # for the instances to report that they applied their files
 
 
 class Reload:
-    """Checked whole first; then each instance reads its file. One that can't, or does not say so in time, takes the
-    others back with it. What an instance takes only at its start waits for a restart, and is shown as old till then."""
+    """One reload: the description is validated as a whole, then each instance reads its new files.
+
+    If an instance fails or does not report in time, all return to the old files. What an instance reads only at its
+    start waits for a restart; until then the instance is shown as old."""
 
     def __init__(self, supervisor: Supervisor, old: SharedConfig, new: SharedConfig) -> None:
         self._supervisor, self._old, self._new = supervisor, old, new
-        self.until = supervisor.loop.clock() + PATIENCE
-        self.waits: dict[int, int] = {}  # instance: the process that was asked
-        self.failed = ""
+        self.deadline = supervisor.loop.clock() + RELOAD_TIMEOUT_SECONDS
+        self.pending: dict[int, int] = {}  # instance number -> pid of the process that was signalled
+        self.failure = ""
 
     @classmethod
-    def begun(cls, supervisor: Supervisor) -> Reload:
-        """Raises ConfigError; then nobody was asked anything."""
+    def begin(cls, supervisor: Supervisor) -> Reload:
+        """Validate the description, write the files and signal the instances.
+
+        Raises ConfigError, before any instance was signalled."""
         spec = load(supervisor.path)
-        held = supervisor.spec.fleet
+        current = supervisor.spec.fleet
         for name in ("name", "run"):
-            if getattr(spec.fleet, name) != getattr(held, name):
+            if getattr(spec.fleet, name) != getattr(current, name):
                 raise ConfigError(f"fleet.{name}: {getattr(spec.fleet, name)!r} cannot be changed in service")
-        self = cls(supervisor, supervisor.shared_config, SharedConfig.read(spec))
-        self._put(self._new)
+        reload = cls(supervisor, supervisor.shared_config, SharedConfig.read(spec))
+        reload._apply(reload._new)
         for number, place in supervisor.places.items():
             if place.process is not None and place.one.is_notified_ready:
-                self.waits[number] = place.one.pid
+                reload.pending[number] = place.one.pid
                 place.process.send_signal(signal.SIGHUP)
-        return self
+        return reload
 
-    def _put(self, shared_config: SharedConfig) -> None:
-        """Raises ConfigError where the disk does not take it; then the old files stand."""
+    def _apply(self, shared_config: SharedConfig) -> None:
+        """Write the files of all running instances. Raises ConfigError and restores the old files if that fails."""
         supervisor = self._supervisor
         running = [number for number, place in supervisor.places.items() if place.process is not None]
         try:
@@ -54,49 +58,52 @@
                 try:
                     self._old.write_instance_files(number, supervisor.spec.fleet.instances)
                 except OSError:
-                    break  # its file is the old one or the new one, whole; SIGHUP was sent to nobody
+                    break  # each file is whole, old or new, and no instance was signalled
             raise ConfigError(f"fleet.run: {error.strerror or error}") from None
         supervisor.shared_config = shared_config
 
-    def heard(self, number: int, said: str) -> None:
-        if self.waits.pop(number, None) is not None and said != "ok":
-            self.failed = self.failed or f"instance {number}: {said}"
+    def record_result(self, number: int, outcome: str) -> None:
+        """Record the X_RELOAD notification of an instance: `ok` or an error."""
+        if self.pending.pop(number, None) is not None and outcome != "ok":
+            self.failure = self.failure or f"instance {number}: {outcome}"
 
     def step(self, now: float) -> bool:
-        """Whether it is over."""
-        s = self._supervisor
-        for number, pid in list(self.waits.items()):
-            place = s.places.get(number)
-            if place is None or place.one.pid != pid:  # it ended: its next process reads the new file
-                del self.waits[number]
-        if self.waits and now >= self.until:
-            self.failed = self.failed or f"instance {min(self.waits)}: did not answer within {PATIENCE:g} s"
-        if self.waits and not self.failed:
+        """Complete or revert the reload once its outcome is known. Returns whether it is over."""
+        supervisor = self._supervisor
+        for number, pid in list(self.pending.items()):
+            place = supervisor.places.get(number)
+            if place is None or place.one.pid != pid:  # it ended; its next process reads the new file
+                del self.pending[number]
+        if self.pending and now >= self.deadline:
+            self.failure = (
+                self.failure or f"instance {min(self.pending)}: did not answer within {RELOAD_TIMEOUT_SECONDS:g} s"
+            )
+        if self.pending and not self.failure:
             return False
-        if self.failed:
-            s.metrics.add("reloads_failed")
-            s.log.error("reload", error=self.failed, taken="by nobody")
+        if self.failure:
+            supervisor.metrics.add("reloads_failed")
+            supervisor.log.error("reload", error=self.failure, taken="by nobody")
             try:
-                self._put(self._old)
+                self._apply(self._old)
             except ConfigError as error:
-                s.log.error("reload", error=str(error))
-            for place in s.places.values():
+                supervisor.log.error("reload", error=str(error))
+            for place in supervisor.places.values():
                 if place.process is not None:
                     place.process.send_signal(signal.SIGHUP)
-            s.reloaded = self.failed
+            supervisor.reload_error = self.failure
             return True
-        s.metrics.add("reloads")
-        s.reloaded = ""
-        s.stream.reopen()
-        if self._new.spec.fleet.instances != s.state.described:
-            s.state.described = self._new.spec.fleet.instances
-            s.scale(s.state.described)
-        s.log.info(
+        supervisor.metrics.add("reloads")
+        supervisor.reload_error = ""
+        supervisor.stream.reopen()
+        if self._new.spec.fleet.instances != supervisor.state.described:
+            supervisor.state.described = self._new.spec.fleet.instances
+            supervisor.scale(supervisor.state.described)
+        supervisor.log.info(
             "reloaded",
             old=[
-                n
-                for n, place in sorted(s.places.items())
-                if place.process is not None and place.process.start_digest != s.shared_config.start_digest
+                number
+                for number, place in sorted(supervisor.places.items())
+                if place.process is not None and place.process.start_digest != supervisor.shared_config.start_digest
             ],
         )
         return True
--- a/brackenpulley/fleet/routes.py
+++ b/brackenpulley/fleet/routes.py
@@ -1,4 +1,6 @@
-"""The supervisor's control API: the daemons' decoding, table and errors, over a Unix socket of the owner alone."""
+"""Control API of the supervisor, on a Unix socket that only its owner can open.
+
+Decoding, routing and errors are those of the ingress's control API."""
 
 from __future__ import annotations
 
@@ -16,59 +18,72 @@
 T = TypeVar("T")
 
 
-class SomeCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    instances: list[int] | None = None  # none named = all
+class InstancesCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of start and stop."""
+
+    instances: list[int] | None = None  # None = all
 
 
 class RestartCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of restart: which instances, and how many at once."""
+
     instances: list[int] | None = None
     at_once: int = msgspec.field(name="atOnce", default=1)
 
 
 class ScaleCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of scale: the wanted number of instances."""
+
     instances: int
 
 
-def guard(call: Callable[[], T]) -> T:
+def convert_errors(operation: Callable[[], T]) -> T:
+    """Run `operation` and raise its ConfigError as an ApiError: 409 if one is under way already, otherwise 400."""
     try:
-        return call()
+        return operation()
     except ConfigError as error:
         field, _, text = str(error).partition(": ")
         raise ApiError(409 if field in ("restart", "reload") else 400, field, text) from None
 
 
 def fleet_routes(routes: Routes, supervisor: Supervisor) -> None:
+    """Add the paths under /v1/fleet."""
+
     def start(request: Request) -> Any:
-        return {"instances": guard(lambda: supervisor.start_some(decode(request.body, SomeCall).instances))}
+        return {
+            "instances": convert_errors(lambda: supervisor.start_some(decode(request.body, InstancesCall).instances))
+        }
 
     def stop(request: Request) -> Any:
-        return {"instances": guard(lambda: supervisor.stop_some(decode(request.body, SomeCall).instances))}
+        return {
+            "instances": convert_errors(lambda: supervisor.stop_some(decode(request.body, InstancesCall).instances))
+        }
 
     def restart(request: Request) -> Any:
-        told = decode(request.body, RestartCall)
-        if not 1 <= told.at_once <= 1000:
-            raise ApiError(400, "atOnce", f"{told.at_once} is no whole number from 1 to 1000")
-        return 202, guard(lambda: supervisor.restart_some(told.instances, told.at_once)).status()
+        call = decode(request.body, RestartCall)
+        if not 1 <= call.at_once <= 1000:
+            raise ApiError(400, "atOnce", f"{call.at_once} is no whole number from 1 to 1000")
+        return 202, convert_errors(lambda: supervisor.restart_some(call.instances, call.at_once)).status()
 
     def scale(request: Request) -> Any:
-        told = decode(request.body, ScaleCall)
-        guard(lambda: supervisor.scale(told.instances))
-        return 202, {"instances": told.instances}
+        call = decode(request.body, ScaleCall)
+        convert_errors(lambda: supervisor.scale(call.instances))
+        return 202, {"instances": call.instances}
 
     def reload(request: Request) -> Any:
-        found = guard(supervisor.reload)
-        return 202, {"asked": sorted(found.waits)}
+        reload_run = convert_errors(supervisor.reload)
+        return 202, {"asked": sorted(reload_run.pending)}
 
     def logs(request: Request) -> Any:
         text = request.query.get("instance", "")
         instance = whole(request, "instance", 0, 0, 999) if text else None
-        most = whole(request, "most", 200, 1, 2000)
+        limit = whole(request, "most", 200, 1, 2000)
         after = request.query.get("after")
         history = supervisor.history
         if after is None:
-            lines, missed = history.last_lines(most, instance), 0
+            lines, missed = history.last_lines(limit, instance), 0
         else:
-            lines, missed = history.lines_after(whole(request, "after", 0, 0, 1 << 60), most, instance)
+            lines, missed = history.lines_after(whole(request, "after", 0, 0, 1 << 60), limit, instance)
         return {
             "last": lines[-1].serial if lines else history.serial if after is None else int(after),
             "missed": missed,
--- a/brackenpulley/fleet/run.py
+++ b/brackenpulley/fleet/run.py
@@ -1,4 +1,4 @@
-"""`fleet run`: the parts of a supervisor put together."""
+"""Builds and runs a supervisor, for the command `fleet run`."""
 
 from __future__ import annotations
 
@@ -17,23 +17,25 @@
 
 
 class Sink:
-    """The supervisor's own lines, into the same stream as its instances'."""
+    """File-like object that writes the supervisor's own log lines to the stream of its instances' lines."""
 
     def __init__(self, stream: Stream, history: LineHistory) -> None:
         self._stream, self._history = stream, history
 
     def write(self, text: str) -> None:
+        """Append each non-empty line of `text`."""
         for line in text.splitlines():
             if line:
                 self._history.add(-1, line)
                 self._stream.put(line)
 
     def flush(self) -> None:
+        """Do nothing: the stream writes on its own."""
         pass
 
 
 def supervise(path: str, spec: Fleet) -> int:
-    """Until the fleet has ended. Raises ConfigError before anything was started."""
+    """Run the fleet until it has ended and return the exit status. Raises ConfigError before anything is started."""
     shared_config = SharedConfig.read(spec)
     metrics = Metrics()
     loop = Loop(time.monotonic, metrics, None)
--- a/brackenpulley/fleet/stream.py
+++ b/brackenpulley/fleet/stream.py
@@ -1,4 +1,4 @@
-"""The one stream of log lines: to standard output, or to a file. Nobody waits for it: see `lines.Backlog`."""
+"""Non-blocking output of the merged log to standard output or to a file. Lines wait in `lines.Backlog`."""
 
 from __future__ import annotations
 
@@ -10,101 +10,103 @@
 from .lines import Backlog
 from .process import Descriptor
 
-AGAIN = 1.0  # s until a file that took nothing is tried again
+RETRY_SECONDS = 1.0  # after a failed write
 
 
 class Stream:
-    """Owns the file where there is one; standard output stays open."""
+    """Writes log lines to the file `path`, which it owns, or to standard output, which stays open."""
 
     def __init__(self, loop: Loop, metrics: Metrics, path: str = "") -> None:
-        """Raises OSError where the file cannot be opened at the start."""
+        """Raises OSError if the file cannot be opened."""
         self.loop, self.metrics, self.path = loop, metrics, path
         self.backlog = Backlog()
-        self.failing = ""
-        self._out = Descriptor(1)
-        self._waits = self._timed = self._closed = False
+        self.last_error = ""
+        self._output = Descriptor(1)
+        self._is_registered = self._is_retry_scheduled = self._is_closed = False
         if path:
-            self._out = Descriptor(self._opened())
+            self._output = Descriptor(self._open())
 
-    def _opened(self) -> int:
+    def _open(self) -> int:
         return os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o640)
 
     def reopen(self) -> None:
-        """The file has been moved away (logrotate): on into a new one."""
+        """Open the file anew, after logrotate has moved it. Raises OSError."""
         if self.path:
-            fresh = self._opened()
-            os.close(self._out.fileno())
-            self._out = Descriptor(fresh)
+            descriptor = self._open()
+            os.close(self._output.fileno())
+            self._output = Descriptor(descriptor)
 
     def put(self, text: str) -> None:
-        if not self._closed:
+        """Append a line; ignored after `close`."""
+        if not self._is_closed:
             self.backlog.put(text)
-            if not self._waits and not self._timed:
-                self._pump(0)
+            if not self._is_registered and not self._is_retry_scheduled:
+                self._write_waiting(0)
 
-    def _pump(self, events: int) -> None:
-        """A pipe that is not full takes a chunk without waiting, and is asked again; a file takes all."""
+    def _write_waiting(self, events: int) -> None:
+        """Write waiting lines: one chunk per event to a pipe, which cannot block then; all of them to a file."""
         while data := self.backlog.next_chunk():
-            if not self.path and not events and not self._wait():
+            if not self.path and not events and not self._register():
                 return
             try:
-                self.backlog.mark_written(os.write(self._out.fileno(), data))
-                self.failing = ""
-            except OSError as error:  # a full disk, or a reader that is gone: the lines wait, the oldest fall out
-                self.failing = error.strerror or str(error)
+                self.backlog.mark_written(os.write(self._output.fileno(), data))
+                self.last_error = ""
+            except OSError as error:  # disk full or reader gone: lines wait and the oldest are dropped
+                self.last_error = error.strerror or str(error)
                 self.metrics.add("log_writes_failed")
-                self._rest()
-                self._later()
+                self._unregister()
+                self._schedule_retry()
                 return
             events = 0
-        self._rest()
+        self._unregister()
 
-    def _wait(self) -> bool:
-        """True where the output can't be waited for, so that it may be written to at once: a regular file."""
-        if not self._waits:
+    def _register(self) -> bool:
+        """Wait for the output to be writable. Returns True for a regular file, which may be written to at once."""
+        if not self._is_registered:
             try:
-                self.loop.register(self._out, WRITE, self._pump)
+                self.loop.register(self._output, WRITE, self._write_waiting)
             except (OSError, ValueError):
                 return True
-            self._waits = True
+            self._is_registered = True
         return False
 
-    def _rest(self) -> None:
-        if self._waits:
-            self._waits = False
-            self.loop.unregister(self._out)
+    def _unregister(self) -> None:
+        if self._is_registered:
+            self._is_registered = False
+            self.loop.unregister(self._output)
 
-    def _later(self) -> None:
-        self._timed = True
+    def _schedule_retry(self) -> None:
+        self._is_retry_scheduled = True
 
-        def again() -> None:
-            self._timed = False
-            if not self._closed:
-                self._pump(0)
+        def retry() -> None:
+            self._is_retry_scheduled = False
+            if not self._is_closed:
+                self._write_waiting(0)
 
-        self.loop.call_in(AGAIN, again)
+        self.loop.call_in(RETRY_SECONDS, retry)
 
     def status(self) -> dict[str, Any]:
+        """Return the state of the output, for the control API."""
         return {
             "to": self.path or "standard output",
             "waiting": len(self.backlog),
             "dropped": self.backlog.dropped,
-            "failing": self.failing or None,
+            "failing": self.last_error or None,
         }
 
     def close(self) -> None:
-        """What waits still goes out where that needs no waiting."""
-        if self._closed:
+        """Write what can be written without blocking, and close the file."""
+        if self._is_closed:
             return
-        self._rest()
-        self._closed = True
+        self._unregister()
+        self._is_closed = True
         if self.path:
             while data := self.backlog.next_chunk():
                 try:
-                    self.backlog.mark_written(os.write(self._out.fileno(), data))
+                    self.backlog.mark_written(os.write(self._output.fileno(), data))
                 except OSError:
                     break
-            os.close(self._out.fileno())
+            os.close(self._output.fileno())
             return
         import select
 
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -90,7 +90,7 @@
         self.places: dict[int, Place] = {}
         self.rolling: RollingRestart | None = None
         self.reloading: Reload | None = None
-        self.reloaded = ""  # why the last one failed
+        self.reload_error = ""  # why the last one failed
         self.ending = False
         self.born = loop.clock()
         self.own = Notifier(os.environ)
@@ -475,7 +475,7 @@
                 except ValueError:
                     self.metrics.add("notices_unreadable")
             if self.reloading is not None and "X_RELOAD" in fields:
-                self.reloading.heard(place.one.number, fields["X_RELOAD"])
+                self.reloading.record_result(place.one.number, fields["X_RELOAD"])
             if place.one.is_notified_ready and not told:
                 self.soon()
 
@@ -544,7 +544,7 @@
         """Take the description and its files anew: all instances, or none. Raises ConfigError."""
         if self.reloading is not None:
             raise ConfigError("reload: one is under way already")
-        self.reloading = Reload.begun(self)
+        self.reloading = Reload.begin(self)
         return self.reloading
 
     def reload_by_signal(self) -> None:
@@ -610,7 +610,7 @@
             "places": rows,
             "rolling": self.rolling.status() if self.rolling is not None else None,
             "reloading": self.reloading is not None,
-            "reloadFailed": self.reloaded or None,
+            "reloadFailed": self.reload_error or None,
             "log": self.stream.status(),
             "clockStepSeconds": round(time.time() - time.monotonic() - self.state.clock, 3),
             "counters": self.metrics.as_dict(),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -44,7 +44,7 @@
 
 def test_a_description_gives_each_instance_an_address() -> None:
     spec = decode(GOOD)
-    assert spec.listens() == [("127.0.0.1", port) for port in (9100, 9101, 9102, 9103)]
+    assert spec.parse_listen_addresses() == [("127.0.0.1", port) for port in (9100, 9101, 9102, 9103)]
     assert spec.control == "/run/hall/supervisor.sock"
 
 
