--- a/brackenpulley/fleet/run.py
+++ b/brackenpulley/fleet/run.py
@@ -1,4 +1,4 @@
-"""`fleet run`: the parts of a supervisor put together."""
+"""Builds and runs a supervisor, for the command `fleet run`."""
 
 from __future__ import annotations
 
@@ -9,42 +9,44 @@
 from ..metrics import Metrics
 from ..net.loop import Loop
 from ..serve import make_logger
-from .files import Base
-from .lines import Ring
+from .files import SharedConfig
+from .lines import LineHistory
 from .spec import Fleet
 from .stream import Stream
 from .supervisor import Supervisor
 
 
 class Sink:
-    """The supervisor's own lines, into the same stream as its instances'."""
+    """File-like object that writes the supervisor's own log lines to the stream of its instances' lines."""
 
-    def __init__(self, stream: Stream, ring: Ring) -> None:
-        self._stream, self._ring = stream, ring
+    def __init__(self, stream: Stream, history: LineHistory) -> None:
+        self._stream, self._history = stream, history
 
     def write(self, text: str) -> None:
+        """Append each non-empty line of `text`."""
         for line in text.splitlines():
             if line:
-                self._ring.add(-1, line)
+                self._history.add(-1, line)
                 self._stream.put(line)
 
     def flush(self) -> None:
+        """Do nothing: the stream writes on its own."""
         pass
 
 
 def supervise(path: str, spec: Fleet) -> int:
-    """Until the fleet has ended. Raises ConfigError before anything was started."""
-    base = Base.read(spec)
+    """Run the fleet until it has ended and return the exit status. Raises ConfigError before anything is started."""
+    shared_config = SharedConfig.read(spec)
     metrics = Metrics()
     loop = Loop(time.monotonic, metrics, None)
     try:
         stream = Stream(loop, metrics, spec.log.path)
     except OSError as error:
         raise ConfigError(f"log.path: {spec.log.path}: {error.strerror}") from None
-    ring = Ring(spec.log.keep)
-    loop.log = log = make_logger(Sink(stream, ring))
+    history = LineHistory(spec.log.keep)
+    loop.log = log = make_logger(Sink(stream, history))
     try:
-        supervisor = Supervisor(path, base, loop, log, stream, ring)
+        supervisor = Supervisor(path, shared_config, loop, log, stream, history)
     except OSError as error:
         raise ConfigError(f"fleet.run: {spec.fleet.run}: {error.strerror}") from None
     loop.add_signal_handler(signal.SIGTERM, supervisor.end)
--- a/brackenpulley/fleet/supervisor.py
+++ b/brackenpulley/fleet/supervisor.py
@@ -22,15 +22,25 @@
 from ..net.loop import READ, Loop
 from ..net.pool import Pool
 from .caller import Call
-from .files import Base, keep, kept
-from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Do, Drain, Instance, Times
-from .lines import Ring, merged
-from .notify import CREDENTIALS, LARGEST, Notifier, parse, sender, watchdog
-from .process import CLOCK, FLEET, MARK, PLACE, PLACES, Output, Process, search, spawn
+from .files import SharedConfig, load_state, save_state
+from .instance import ALIVE, CRASHED, DOWN, DUE, READY, STARTING, WAITING, Action, Drain, Instance, Times
+from .lines import LineHistory, add_instance_fields
+from .notify import CREDENTIALS, MAX_DATAGRAM_BYTES, Notifier, parse_fields, sender_pid, watchdog_timeout
+from .process import (
+    CLOCK_VARIABLE,
+    DIGEST_VARIABLE,
+    FLEET_VARIABLE,
+    INSTANCE_VARIABLE,
+    PLACES_VARIABLE,
+    OutputPipe,
+    Process,
+    find_processes,
+    spawn,
+)
 from .reload import Reload
-from .rolling import Rolling, spaced
+from .rolling import RollingRestart, space_out
 from .routes import fleet_routes
-from .sharing import Sharing, Word
+from .sharing import CountUpdate, Sharing
 from .spec import Fleet, check_count
 from .stream import Stream
 
@@ -43,7 +53,7 @@
 class Place:
     """An instance with what belongs to it here."""
 
-    def __init__(self, one: Instance, at: Address, output: Output) -> None:
+    def __init__(self, one: Instance, at: Address, output: OutputPipe) -> None:
         self.one, self.at, self.output = one, at, output
         self.process: Process | None = None
         self.health: dict[str, Any] = {}
@@ -56,26 +66,35 @@
 
 
 class Supervisor:
-    def __init__(self, path: str, base: Base, loop: Loop, log: Any, stream: Stream, ring: Ring) -> None:
+    def __init__(
+        self, path: str, shared_config: SharedConfig, loop: Loop, log: Any, stream: Stream, history: LineHistory
+    ) -> None:
         """Raises ConfigError where another supervisor has the fleet."""
-        self.path, self.base, self.loop, self.log, self.stream, self.ring = path, base, loop, log, stream, ring
+        self.path, self.shared_config, self.loop, self.log, self.stream, self.history = (
+            path,
+            shared_config,
+            loop,
+            log,
+            stream,
+            history,
+        )
         self.metrics: Metrics = loop.metrics
-        self.run = base.spec.run
+        self.run = shared_config.spec.run
         self.run.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.lock = FileLock(self.run / "lock", f"the supervisor of fleet {base.spec.fleet.name}", ConfigError)
+        self.lock = FileLock(self.run / "lock", f"the supervisor of fleet {shared_config.spec.fleet.name}", ConfigError)
         self.rng = random.Random()
-        self.state, said = kept(self.run, base.spec.fleet.instances, time.time(), time.monotonic())
+        self.state, said = load_state(self.run, shared_config.spec.fleet.instances, time.time(), time.monotonic())
         if said:
             log.error("state", error=said)
-        self.sharing = Sharing(base.spec.share.lease_s, time.monotonic_ns())
+        self.sharing = Sharing(shared_config.spec.share.lease_s, time.monotonic_ns())
         self.places: dict[int, Place] = {}
-        self.rolling: Rolling | None = None
+        self.rolling: RollingRestart | None = None
         self.reloading: Reload | None = None
-        self.reloaded = ""  # why the last one failed
+        self.reload_error = ""  # why the last one failed
         self.ending = False
         self.born = loop.clock()
         self.own = Notifier(os.environ)
-        self._own_watchdog = watchdog(os.environ)
+        self._own_watchdog = watchdog_timeout(os.environ)
         self._own_sign = 0.0
         self._said_ready = False
         self._notify: socket.socket | None = None
@@ -84,15 +103,15 @@
 
     @property
     def spec(self) -> Fleet:
-        return self.base.spec
+        return self.shared_config.spec
 
     # Start and end.
 
     def start(self) -> None:
         self._listen()
         self._fit()
-        for found in search(self.run):
-            self._adopt(found.pid, found.place, found.mark)
+        for found in find_processes(self.run):
+            self._adopt(found.pid, found.number, found.start_digest)
         now = self.loop.clock()
         for number, place in self.places.items():
             if place.one.state == DOWN and number not in self.state.stopped and not place.gone:
@@ -127,7 +146,7 @@
         if not self.ending:
             self.ending = True
             self.rolling = None
-            self.own.say(STOPPING=1)
+            self.own.notify(STOPPING=1)
             self.log.info("ending", fleet=self.spec.fleet.name)
         for place in self.places.values():
             self._do(place, place.one.stop(now, drain))
@@ -176,10 +195,10 @@
     def _place(self, number: int) -> Place:
         s = self.spec
         times = Times(s.start.ready_s, s.stop.deadline_s, s.stop.notice_s, s.watch.watchdog_s)
-        listens = self.base.listens
+        listens = self.shared_config.listen_addresses
         at = listens[number] if number < len(listens) else ("127.0.0.1", 0)
-        output = Output(self.loop, self.run / f"{number}.log", lambda line: self._line(number, line))
-        place = self.places[number] = Place(Instance(number, times, s.pace, self.rng), at, output)
+        output = OutputPipe(self.loop, self.run / f"{number}.log", lambda line: self._line(number, line))
+        place = self.places[number] = Place(Instance(number, times, s.restart_policy, self.rng), at, output)
         return place
 
     def _adopt(self, pid: int, number: int, mark: str) -> None:
@@ -190,12 +209,12 @@
         except ProcessLookupError:
             return
         if place.process is not None:  # a place has one process: the older one stays
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGKILL)
             process.close()
             return
         place.process = process
-        place.one.adopted(now, pid)
-        self.sharing.found(number, 1, 1, 0.0)  # until it says what it uses it counts as using the whole
+        place.one.record_adoption(now, pid)
+        self.sharing.record_adoption(number, 1, 1, 0.0)  # until it says what it uses it counts as using the whole
         self.metrics.add("adopted")
         self.log.info("adopted", instance=number, pid=pid)
         self._ask_share(place, pid)
@@ -216,7 +235,7 @@
                 self.loop.call_in(LOOK_SOON, lambda: self._ask_share(place, pid))
                 return
             told = json.loads(body)
-            self.sharing.found(number, int(told["floor"]), int(told["count"]), float(told["until"]))
+            self.sharing.record_adoption(number, int(told["floor"]), int(told["count"]), float(told["until"]))
             self.soon()
 
         place.words = Call(
@@ -255,13 +274,13 @@
                 place.output.close()
                 del self.places[place.one.number]
         target = self.target(now)
-        for word in self.sharing.words(now, target):
-            self._tell(word)
+        for update in self.sharing.prepare_updates(now, target):
+            self._tell(update)
         self._start_due(now, target)
-        if self.rolling is not None and not self.rolling.over:
+        if self.rolling is not None and not self.rolling.is_over:
             for number in self.rolling.step(now, lambda n: self.places[n].one):
                 self._do(self.places[number], self.places[number].one.restart(now))
-            if self.rolling.over:
+            if self.rolling.is_over:
                 self.log.info("rolled", **self.rolling.status())
         if self.reloading is not None and self.reloading.step(now):
             self.reloading = None
@@ -273,7 +292,7 @@
         return (
             self.ending
             or any(state not in (READY, DOWN, CRASHED) for state in states)
-            or (self.rolling is not None and not self.rolling.over)
+            or (self.rolling is not None and not self.rolling.is_over)
         )
 
     def target(self, now: float) -> int:
@@ -289,13 +308,13 @@
         return max(1, count)
 
     def _start_due(self, now: float, target: int) -> None:
-        under_way = sum(place.one.beginning for place in self.places.values())
+        under_way = sum(place.one.is_starting for place in self.places.values())
         for _, place in sorted(self.places.items()):
             if under_way >= self.spec.start.at_once:
                 return
             if place.one.state != DUE:
                 continue
-            if not self.sharing.room(now, target):
+            if not self.sharing.has_room(now, target):
                 self.metrics.add("starts_held_for_shares")
                 return
             under_way += 1
@@ -309,11 +328,11 @@
             "BALANCER_CONFIG": str(self.run / f"{number}.json"),
             "BALANCER_CONTROL": f"unix:{self._sock(number)}",
             "NOTIFY_SOCKET": str(self.run / "notify.sock"),
-            FLEET: str(self.run),
-            PLACE: str(number),
-            MARK: self.base.mark,
-            CLOCK: repr(self.state.clock),
-            PLACES: str(self.base.gateways(len(self.base.listens))),
+            FLEET_VARIABLE: str(self.run),
+            INSTANCE_VARIABLE: str(number),
+            DIGEST_VARIABLE: self.shared_config.start_digest,
+            CLOCK_VARIABLE: repr(self.state.clock),
+            PLACES_VARIABLE: str(self.shared_config.compute_ingress_count(len(self.shared_config.listen_addresses))),
         }
         for name in (
             "BALANCER_NAME",
@@ -329,21 +348,23 @@
         if self.spec.watch.watchdog_s:
             env["WATCHDOG_USEC"] = str(int(self.spec.watch.watchdog_s * 1e6))
         try:
-            place.at = self.base.listens[number]
-            self.base.write(number, count)
+            place.at = self.shared_config.listen_addresses[number]
+            self.shared_config.write_instance_files(number, count)
             child = spawn(env, place.output)
             if (sockets := self.spec.limits.sockets) is not None:
                 most = resource.prlimit(child.pid, resource.RLIMIT_NOFILE)[1]
                 resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (min(sockets, most), most))
-            place.process = Process(self.loop, child.pid, self.base.mark, child, lambda how: self._ended(number, how))
+            place.process = Process(
+                self.loop, child.pid, self.shared_config.start_digest, child, lambda how: self._ended(number, how)
+            )
         except (OSError, IndexError) as error:  # no disk, no processes, no descriptors
             self.metrics.add("starts_failed")
-            place.one.unspawned(now, str(error))
+            place.one.record_spawn_failure(now, str(error))
             self.log.error("not started", instance=number, error=str(error), state=place.one.state)
             return
         place.health, place.last, place.look_at = {}, "", 0.0
-        place.one.spawned(now, child.pid)
-        self.sharing.begun(number, count)
+        place.one.record_spawn(now, child.pid)
+        self.sharing.record_start(number, count)
         self.metrics.add("starts")
         self.log.info("started", instance=number, pid=child.pid, sharing=count)
 
@@ -351,24 +372,24 @@
         place, now = self.places[number], self.loop.clock()
         place.output.read()
         before, pid = place.one.state, place.one.pid
-        self.sharing.ended(number)
+        self.sharing.record_end(number)
         place.process = None
         if how.startswith("exit") and place.last:
             how = f"{how}: {place.last}"
-        place.one.ended(now, how)
+        place.one.record_end(now, how)
         if place.one.state in (WAITING, CRASHED):
             self.metrics.add("ended_by_themselves")
-            self.log.warning("ended", instance=number, pid=pid, why=place.one.why, state=place.one.state)
+            self.log.warning("ended", instance=number, pid=pid, why=place.one.reason, state=place.one.state)
         else:
             self.log.info(
-                "stopped", instance=number, pid=pid, was=before, state=place.one.state, why=place.one.why or None
+                "stopped", instance=number, pid=pid, was=before, state=place.one.state, why=place.one.reason or None
             )
         if place.one.state == CRASHED:
             self.metrics.add("crash_loops")
-            self.log.error("crash loop", instance=number, why=place.one.why, restarts=place.one.restarts)
+            self.log.error("crash loop", instance=number, why=place.one.reason, restarts=place.one.restarts)
         self.soon()
 
-    def _do(self, place: Place, actions: list[Do]) -> None:
+    def _do(self, place: Place, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Drain):
                 Call(
@@ -383,12 +404,17 @@
             elif place.process is not None:
                 if action.number == signal.SIGKILL:
                     self.metrics.add("killed")
-                    self.log.error("killing", instance=place.one.number, pid=place.one.pid, why=action.why)
-                place.process.send(action.number)
+                    self.log.error("killing", instance=place.one.number, pid=place.one.pid, why=action.reason)
+                place.process.send_signal(action.number)
 
     def _look(self, place: Place, now: float) -> None:
         one = place.one
-        if place.looking is not None or one.state not in (STARTING, READY) or not one.told or now < place.look_at:
+        if (
+            place.looking is not None
+            or one.state not in (STARTING, READY)
+            or not one.is_notified_ready
+            or now < place.look_at
+        ):
             return
         place.look_at = now + (self.spec.watch.probe_s if one.state == READY else LOOK_SOON)
         pid = one.pid
@@ -398,7 +424,7 @@
             if one.pid != pid:
                 return
             before = one.state
-            one.looked(self.loop.clock(), status == 200)
+            one.record_probe(self.loop.clock(), status == 200)
             if before != one.state:
                 self.log.info(one.state if one.state == READY else "unready", instance=one.number, pid=pid)
                 self.soon()
@@ -408,24 +434,24 @@
             self.loop, (host, place.at[1]), "GET", "/ready", b"", min(PATIENCE, self.spec.watch.probe_s), heard
         )
 
-    def _tell(self, word: Word) -> None:
-        place = self.places.get(word.number)
+    def _tell(self, update: CountUpdate) -> None:
+        place = self.places.get(update.number)
         if place is None or place.process is None:
             return
         if place.words is not None:
-            place.words.drop()
+            place.words.cancel()
         pid = place.one.pid
 
         def heard(status: int, body: bytes) -> None:
             place.words = None
             if status == 200 and place.one.pid == pid:
-                self.sharing.acknowledged(word.number, word.serial)
+                self.sharing.record_acknowledgement(update.number, update.serial)
                 self.soon()
 
         body = json.dumps(
-            {"serial": word.serial, "count": word.count, "until": word.until, "part": self.spec.fleet.part}
+            {"serial": update.serial, "count": update.count, "until": update.until, "part": self.spec.fleet.part}
         )
-        place.words = Call(self.loop, self._sock(word.number), "POST", "/v1/gateways", body.encode(), PATIENCE, heard)
+        place.words = Call(self.loop, self._sock(update.number), "POST", "/v1/gateways", body.encode(), PATIENCE, heard)
 
     # What comes in.
 
@@ -433,24 +459,24 @@
         assert self._notify is not None
         for _ in range(DATAGRAMS):
             try:
-                data, ancillary, _, _ = self._notify.recvmsg(LARGEST, socket.CMSG_SPACE(CREDENTIALS.size))
+                data, ancillary, _, _ = self._notify.recvmsg(MAX_DATAGRAM_BYTES, socket.CMSG_SPACE(CREDENTIALS.size))
             except OSError:
                 return
-            pid, fields = sender(ancillary), parse(data)
+            pid, fields = sender_pid(ancillary), parse_fields(data)
             place = next((p for p in self.places.values() if p.process is not None and p.one.pid == pid), None)
             if place is None:
                 self.metrics.add("notices_of_strangers")
                 continue
-            now, told = self.loop.clock(), place.one.told
-            place.one.notified(now, fields)
+            now, told = self.loop.clock(), place.one.is_notified_ready
+            place.one.record_notification(now, fields)
             if "X_HEALTH" in fields:
                 try:
                     place.health, place.health_at = json.loads(fields["X_HEALTH"]), now
                 except ValueError:
                     self.metrics.add("notices_unreadable")
             if self.reloading is not None and "X_RELOAD" in fields:
-                self.reloading.heard(place.one.number, fields["X_RELOAD"])
-            if place.one.told and not told:
+                self.reloading.record_result(place.one.number, fields["X_RELOAD"])
+            if place.one.is_notified_ready and not told:
                 self.soon()
 
     def _line(self, number: int, line: str) -> None:
@@ -458,10 +484,10 @@
         pid = place.one.pid if place is not None else 0
         if place is not None:
             place.last = line[:200]
-        self.put(number, merged(line, time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()), number, pid))
+        self.put(number, add_instance_fields(line, time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()), number, pid))
 
     def put(self, number: int, text: str) -> None:
-        self.ring.add(number, text)
+        self.history.add(number, text)
         self.stream.put(text)
 
     # The operator.
@@ -491,11 +517,11 @@
         self._keep()
         return found
 
-    def restart_some(self, numbers: list[int] | None, at_once: int) -> Rolling:
+    def restart_some(self, numbers: list[int] | None, at_once: int) -> RollingRestart:
         found = [n for n in self.chosen(numbers) if n not in self.state.stopped]
-        if self.rolling is not None and not self.rolling.over:
+        if self.rolling is not None and not self.rolling.is_over:
             raise ConfigError("restart: one is under way already")
-        self.rolling = Rolling(spaced(found, at_once), at_once, self.spec.stop.notice_s, self.loop.clock())
+        self.rolling = RollingRestart(space_out(found, at_once), at_once, self.spec.stop.notice_s, self.loop.clock())
         self.log.info("rolling", instances=len(found), at_once=at_once)
         self.soon()
         return self.rolling
@@ -503,7 +529,7 @@
     def scale(self, count: int) -> None:
         check_count(self.spec, count)
         for number in range(self.state.count, count):
-            self.base.decoded(number, count)
+            self.shared_config.decode_config(number, count)
         self.log.info("scaling", was=self.state.count, to=count)
         self.state.count = count
         self._fit()
@@ -518,7 +544,7 @@
         """Take the description and its files anew: all instances, or none. Raises ConfigError."""
         if self.reloading is not None:
             raise ConfigError("reload: one is under way already")
-        self.reloading = Reload.begun(self)
+        self.reloading = Reload.begin(self)
         return self.reloading
 
     def reload_by_signal(self) -> None:
@@ -530,7 +556,7 @@
 
     def _keep(self) -> None:
         try:
-            keep(self.run, self.state)
+            save_state(self.run, self.state)
         except OSError as error:
             self.metrics.add("state_unkept")
             self.log.error("state", error=str(error))
@@ -543,15 +569,15 @@
         settled = ready + states.count(CRASHED) >= wanted and ready > 0
         if settled and not self._said_ready and not self.ending:
             self._said_ready = True
-            self.own.say(READY=1, STATUS=f"{ready} of {wanted} ready")
+            self.own.notify(READY=1, STATUS=f"{ready} of {wanted} ready")
             self.log.info("fleet ready", ready=ready, instances=wanted, seconds=round(now - self.born, 3))
         if self._own_watchdog and now - self._own_sign >= self._own_watchdog / 3:
             self._own_sign = now
-            self.own.say(WATCHDOG=1, STATUS=f"{ready} of {wanted} ready")
+            self.own.notify(WATCHDOG=1, STATUS=f"{ready} of {wanted} ready")
 
     def status(self) -> dict[str, Any]:
         now = self.loop.clock()
-        counts = self.sharing.counts(now)
+        counts = self.sharing.get_counts(now)
         rows = []
         for number, place in sorted(self.places.items()):
             one = place.one
@@ -563,12 +589,12 @@
                     "listen": f"{place.at[0]}:{place.at[1]}",
                     "seconds": round(now - one.since, 3),
                     "restarts": one.restarts,
-                    "life": one.life,
+                    "life": one.generation,
                     "sharing": counts.get(number),
-                    "why": one.why or None,
-                    "said": one.said or None,
-                    "adopted": place.process is not None and place.process.adopted,
-                    "old": place.process is not None and place.process.mark != self.base.mark,
+                    "why": one.reason or None,
+                    "said": one.status_text or None,
+                    "adopted": place.process is not None and place.process.is_adopted,
+                    "old": place.process is not None and place.process.start_digest != self.shared_config.start_digest,
                     "health": place.health or None,
                     "healthSeconds": round(now - place.health_at, 3) if place.health else None,
                 }
@@ -584,7 +610,7 @@
             "places": rows,
             "rolling": self.rolling.status() if self.rolling is not None else None,
             "reloading": self.reloading is not None,
-            "reloadFailed": self.reloaded or None,
+            "reloadFailed": self.reload_error or None,
             "log": self.stream.status(),
             "clockStepSeconds": round(time.time() - time.monotonic() - self.state.clock, 3),
             "counters": self.metrics.as_dict(),
--- a/brackenpulley/members/service.py
+++ b/brackenpulley/members/service.py
@@ -103,7 +103,7 @@
 
     def _handle_change(self, change: Changed) -> None:
         if self.service.protocol is not None:
-            self.ingress_count.seen(self.service.protocol.size)
+            self.ingress_count.set_live_members(self.service.protocol.size)
 
     def change_keys(self, step: str, key: str, mark: str) -> dict[str, Any]:
         """Carry out one step of a key rotation, `add`, `use` or `remove`, and return the marks of all keys.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
 
 from brackenpulley.address import ConfigError
 from brackenpulley.fleet import notify
-from brackenpulley.fleet.backoff import Backoff, Pace
-from brackenpulley.fleet.cold import HEARD, YOUNG, Crowd
+from brackenpulley.fleet.backoff import Backoff, RestartPolicy
+from brackenpulley.fleet.cold import REPORT_LIFETIME_SECONDS, STARTUP_SECONDS, IngressCountEstimate
 from brackenpulley.fleet.instance import (
     CRASHED,
     DOWN,
@@ -30,21 +30,21 @@
     Signal,
     Times,
 )
-from brackenpulley.fleet.lines import Backlog, Ring, Splitter, merged
-from brackenpulley.fleet.rolling import Rolling, spaced
-from brackenpulley.fleet.sharing import MARGIN, Sharing, Told
+from brackenpulley.fleet.lines import Backlog, LineHistory, Splitter, add_instance_fields
+from brackenpulley.fleet.rolling import RollingRestart, space_out
+from brackenpulley.fleet.sharing import LEASE_MARGIN_SECONDS, CountLease, Sharing
 from brackenpulley.fleet.spec import decode
 from brackenpulley.health.measurements import LAG_WINDOW_SECONDS, LoopLag, Measurements, Thresholds
 
 GOOD: dict[str, Any] = {
     "fleet": {"name": "hall", "run": "/run/hall", "config": "c.json", "listen": "127.0.0.1:9100-9103", "instances": 3}
 }
-TIMES, PACE = Times(10.0, 5.0, 1.0, 4.0), Pace(0.5, 8.0, 0.5, 3, 60.0)
+TIMES, RESTART_POLICY = Times(10.0, 5.0, 1.0, 4.0), RestartPolicy(0.5, 8.0, 0.5, 3, 60.0)
 
 
 def test_a_description_gives_each_instance_an_address() -> None:
     spec = decode(GOOD)
-    assert spec.listens() == [("127.0.0.1", port) for port in (9100, 9101, 9102, 9103)]
+    assert spec.parse_listen_addresses() == [("127.0.0.1", port) for port in (9100, 9101, 9102, 9103)]
     assert spec.control == "/run/hall/supervisor.sock"
 
 
@@ -76,26 +76,26 @@
 
 
 def started(now: float = 0.0) -> Instance:
-    one = Instance(0, TIMES, PACE, random.Random(1))
+    one = Instance(0, TIMES, RESTART_POLICY, random.Random(1))
     one.start(now)
-    one.spawned(now, 100)
+    one.record_spawn(now, 100)
     return one
 
 
 def ready(now: float = 0.0) -> Instance:
     one = started(now)
-    one.notified(now, {"READY": "1"})
-    one.looked(now, True)
+    one.record_notification(now, {"READY": "1"})
+    one.record_probe(now, True)
     return one
 
 
 def test_ready_needs_the_datagram_and_the_answer() -> None:
     one = started()
-    one.looked(1.0, True)
+    one.record_probe(1.0, True)
     assert one.state == STARTING  # /ready alone may be another program at its address
-    one.notified(1.0, {"READY": "1"})
+    one.record_notification(1.0, {"READY": "1"})
     assert one.state == STARTING
-    one.looked(1.1, True)
+    one.record_probe(1.1, True)
     assert one.state == READY
 
 
@@ -104,17 +104,17 @@
     assert one.tick(9.9) == []
     assert one.tick(10.0) == [Signal(signal.SIGKILL, "not ready within 10 s")]
     assert one.tick(11.0) == []
-    one.ended(11.0, "SIGKILL")
-    assert (one.state, one.why) == (WAITING, "not ready within 10 s")
+    one.record_end(11.0, "SIGKILL")
+    assert (one.state, one.reason) == (WAITING, "not ready within 10 s")
 
 
 def test_silence_of_the_watchdog_kills_and_a_sign_puts_it_off() -> None:
     one = ready()
-    one.notified(3.0, {"WATCHDOG": "1"})
+    one.record_notification(3.0, {"WATCHDOG": "1"})
     assert one.next_tick() == 7.0
     assert one.tick(6.9) == []
-    assert one.tick(7.0) == [Signal(signal.SIGKILL, "no life sign for 4 s")]
-    one.ended(7.1, "SIGKILL")
+    assert one.tick(7.0) == [Signal(signal.SIGKILL, "no notification for 4 s")]
+    one.record_end(7.1, "SIGKILL")
     assert one.state == WAITING
 
 
@@ -122,12 +122,12 @@
     one = ready()
     for n in range(3):
         assert one.state == READY
-        one.looked(1.0 + n, False)
+        one.record_probe(1.0 + n, False)
     assert one.state == STARTING
     for n in range(100):  # for as long as it lives it is left alone
-        one.notified(4.0 + n, {"WATCHDOG": "1"})
+        one.record_notification(4.0 + n, {"WATCHDOG": "1"})
         assert one.tick(4.0 + n) == []
-    one.looked(200.0, True)
+    one.record_probe(200.0, True)
     assert one.state == READY
 
 
@@ -139,7 +139,7 @@
     assert one.tick(6.0) == [Signal(signal.SIGTERM, "stop")]
     assert one.state == STOPPING
     assert one.tick(11.0) == [Signal(signal.SIGKILL, "not gone 5 s after SIGTERM")]
-    one.ended(11.1, "SIGKILL")
+    one.record_end(11.1, "SIGKILL")
     assert one.state == DOWN
 
 
@@ -147,45 +147,45 @@
     one = ready()
     one.restart(1.0)
     one.tick(2.0)
-    one.ended(2.5, "exit 0")
+    one.record_end(2.5, "exit 0")
     assert one.state == DUE
     one = ready()
     one.restart(1.0)
     one.stop(1.5)
     one.tick(2.0)
-    one.ended(2.5, "exit 0")
+    one.record_end(2.5, "exit 0")
     assert one.state == DOWN
 
 
 def test_a_crash_loop_is_given_up_until_the_operator_starts_it() -> None:
     one = started()
     for n in range(2):
-        one.ended(float(n), "exit 2")
+        one.record_end(float(n), "exit 2")
         assert one.state == WAITING
         one.tick(n + 0.99)
         assert one.state == DUE
-        one.spawned(n + 0.99, 101 + n)
-    one.ended(3.0, "exit 2")
+        one.record_spawn(n + 0.99, 101 + n)
+    one.record_end(3.0, "exit 2")
     assert one.state == CRASHED
     assert one.next_tick() == inf
     one.start(100.0)
     assert one.state == DUE
-    one.spawned(100.0, 200)
-    one.ended(100.1, "exit 2")
+    one.record_spawn(100.0, 200)
+    one.record_end(100.1, "exit 2")
     assert one.state == WAITING
 
 
 @given(st.integers(0, 2**32), st.lists(st.floats(0.0, 59.0), max_size=80))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_back_off_doubles_within_its_jitter_and_stays_under_the_longest(seed: int, lives: list[float]) -> None:
-    backoff, now = Backoff(Pace(0.5, 8.0, 0.5, 1000, 60.0), random.Random(seed)), 0.0
+    backoff, now = Backoff(RestartPolicy(0.5, 8.0, 0.5, 1000, 60.0), random.Random(seed)), 0.0
     for row, lived in enumerate(lives):
-        wait = backoff.ended(now, lived)
+        wait = backoff.record_end(now, lived)
         full = min(8.0, 0.5 * 2**row)
         assert wait is not None and full / 2 <= wait <= full
         now += lived + wait
-    backoff.ended(now, 60.0)
-    assert backoff.row == 1
+    backoff.record_end(now, 60.0)
+    assert backoff.consecutive_ends == 1
 
 
 STEPS = st.lists(
@@ -204,11 +204,11 @@
         return getattr(one, what)(now)
     if one.pid:
         {
-            "ended": lambda: one.ended(now, "exit 1"),
-            "READY": lambda: one.notified(now, {"READY": "1"}),
-            "sign": lambda: one.notified(now, {"WATCHDOG": "1"}),
-            "yes": lambda: one.looked(now, True),
-            "no": lambda: one.looked(now, False),
+            "ended": lambda: one.record_end(now, "exit 1"),
+            "READY": lambda: one.record_notification(now, {"READY": "1"}),
+            "sign": lambda: one.record_notification(now, {"WATCHDOG": "1"}),
+            "yes": lambda: one.record_probe(now, True),
+            "no": lambda: one.record_probe(now, False),
         }[what]()
     return None
 
@@ -218,7 +218,7 @@
 def test_any_order_leaves_no_process_without_a_way_out(steps: list[tuple[str, float]]) -> None:
     """Where a process runs, either its end is waited for with a time set, or it is ready and watched; where none runs
     nothing is signalled. A stopped one, once its time is over, has been asked to end."""
-    one, now, pid = Instance(0, TIMES, PACE, random.Random(1)), 0.0, 100
+    one, now, pid = Instance(0, TIMES, RESTART_POLICY, random.Random(1)), 0.0, 100
     for what, pause in steps:
         now += pause
         done = operate(one, what, now)
@@ -226,11 +226,11 @@
         assert not signals or one.pid
         if one.state == DUE:
             pid += 1
-            one.spawned(now, pid)
+            one.record_spawn(now, pid)
         assert (one.pid > 0) == (one.state in (STARTING, READY, DRAINING, STOPPING))
-        if one.state in (DRAINING, STOPPING, WAITING) and not one._ending:
+        if one.state in (DRAINING, STOPPING, WAITING) and not one._kill_reason:
             assert one.next_tick() < inf
-        if one.state == STARTING and not one._ending:
+        if one.state == STARTING and not one._kill_reason:
             assert one.next_tick() < inf or one.ready_at > -inf
 
 
@@ -239,39 +239,39 @@
 
 def test_rolling_goes_on_only_when_the_last_ones_are_ready_and_noticed() -> None:
     fleet = {n: ready() for n in range(5)}
-    roll = Rolling(list(range(5)), 2, 1.0, 0.0)
+    roll = RollingRestart(list(range(5)), 2, 1.0, 0.0)
     assert roll.step(0.0, fleet.__getitem__) == [0, 1]
     for n in (0, 1):
         fleet[n].restart(0.0)
         fleet[n].tick(1.0)
-        fleet[n].ended(1.5, "exit 0")
-        fleet[n].spawned(1.5, 300 + n)
+        fleet[n].record_end(1.5, "exit 0")
+        fleet[n].record_spawn(1.5, 300 + n)
     assert roll.step(2.0, fleet.__getitem__) == []
-    fleet[0].notified(2.0, {"READY": "1"})
-    fleet[0].looked(2.0, True)
+    fleet[0].record_notification(2.0, {"READY": "1"})
+    fleet[0].record_probe(2.0, True)
     assert roll.step(2.5, fleet.__getitem__) == []  # the front may not have noticed
     assert roll.step(3.0, fleet.__getitem__) == [2]
-    assert roll.done == [0]
+    assert roll.restarted == [0]
 
 
 def test_rolling_stops_at_the_first_failure_and_says_what_is_left() -> None:
     fleet = {n: ready() for n in range(4)}
-    roll = Rolling(list(range(4)), 1, 1.0, 0.0)
+    roll = RollingRestart(list(range(4)), 1, 1.0, 0.0)
     assert roll.step(0.0, fleet.__getitem__) == [0]
     fleet[0].restart(0.0)
     fleet[0].tick(1.0)
-    fleet[0].ended(1.5, "exit 0")
-    fleet[0].spawned(1.5, 300)
-    fleet[0].ended(1.6, "exit 2: listen: taken")
+    fleet[0].record_end(1.5, "exit 0")
+    fleet[0].record_spawn(1.5, 300)
+    fleet[0].record_end(1.6, "exit 2: listen: taken")
     assert roll.step(2.0, fleet.__getitem__) == []
-    assert roll.over and roll.left == [1, 2, 3]
-    assert roll.failed == "instance 0: exit 2: listen: taken"
+    assert roll.is_over and roll.remaining == [1, 2, 3]
+    assert roll.failure == "instance 0: exit 2: listen: taken"
 
 
 @given(st.integers(1, 100), st.integers(1, 30))
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_those_away_together_are_far_apart(count: int, at_once: int) -> None:
-    order = spaced(list(range(count)), at_once)
+    order = space_out(list(range(count)), at_once)
     assert sorted(order) == list(range(count))
     stride = max(1, count // at_once)
     for start in range(len(order)):  # whichever ones of the order are under way
@@ -288,52 +288,52 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.serial = rng, 0.0, 0
         self.sharing = Sharing(9.0)
-        self.living: dict[int, Told] = {}
-        self.net: list[tuple[str, int, Told, Any]] = []
+        self.living: dict[int, CountLease] = {}
+        self.net: list[tuple[str, int, CountLease, Any]] = []
         self.next = 0
 
     def check(self) -> None:
-        used = sum((Fraction(1, told.count(self.now)) for told in self.living.values()), Fraction(0))
+        used = sum((Fraction(1, lease.get_count(self.now)) for lease in self.living.values()), Fraction(0))
         assert used <= 1, (used, self.now)
 
     def start(self, target: int) -> None:
-        if self.sharing.room(self.now, target):
-            self.living[self.next] = Told(target)
-            self.sharing.begun(self.next, target)
+        if self.sharing.has_room(self.now, target):
+            self.living[self.next] = CountLease(target)
+            self.sharing.record_start(self.next, target)
             self.next += 1
 
     def end(self) -> None:
         if self.living:
             number = self.rng.choice(sorted(self.living))
             del self.living[number]
-            self.sharing.ended(number)
+            self.sharing.record_end(number)
 
     def tell(self, target: int) -> None:
-        for word in self.sharing.words(self.now, target):
+        for word in self.sharing.prepare_updates(self.now, target):
             for _ in range(self.rng.choice((0, 1, 1, 1, 2))):
                 self.net.append(("word", word.number, self.living[word.number], word))
 
     def arrive(self) -> None:
         if not self.net:
             return
-        kind, number, told, what = self.net.pop(self.rng.randrange(len(self.net)))
-        if self.living.get(number) is not told:
+        kind, number, lease, what = self.net.pop(self.rng.randrange(len(self.net)))
+        if self.living.get(number) is not lease:
             return
         if kind == "answer":
-            self.sharing.acknowledged(number, what)
-        elif told.hear(what.serial, what.count, what.until):
-            self.net += [("answer", number, told, what.serial)] * self.rng.choice((0, 1, 1))
+            self.sharing.record_acknowledgement(number, what)
+        elif lease.update(what.serial, what.count, what.until):
+            self.net += [("answer", number, lease, what.serial)] * self.rng.choice((0, 1, 1))
 
     def successor(self) -> None:
         """The supervisor is killed; the next one asks those that live, or takes them to use the whole."""
         self.serial += 1_000_000
         self.sharing = Sharing(9.0, self.serial)
-        for number, told in self.living.items():
+        for number, lease in self.living.items():
             if self.rng.random() < 0.8:
-                told.fence(self.serial)
-                self.sharing.found(number, told.floor, told.count(self.now), told.until)
+                lease.fence(self.serial)
+                self.sharing.record_adoption(number, lease.floor, lease.get_count(self.now), lease.until)
             else:
-                self.sharing.found(number, 1, 1, 0.0)
+                self.sharing.record_adoption(number, 1, 1, 0.0)
 
 
 @given(
@@ -377,10 +377,10 @@
 
 
 def test_a_word_from_before_the_last_supervisor_is_stale() -> None:
-    told = Told(4)
-    assert told.hear(1_000_001, 8, 0.0)
-    assert not told.hear(5, 2, inf)
-    assert told.count(0.0) == 8
+    lease = CountLease(4)
+    assert lease.update(1_000_001, 8, 0.0)
+    assert not lease.update(5, 2, inf)
+    assert lease.get_count(0.0) == 8
 
 
 def test_survivors_widen_after_an_end_and_narrow_before_a_start() -> None:
@@ -394,27 +394,27 @@
         group.tell(2)
         for _ in range(10):
             group.arrive()
-    assert [told.count(group.now) for told in group.living.values()] == [2, 2]
+    assert [lease.get_count(group.now) for lease in group.living.values()] == [2, 2]
     group.now += 9.1  # without a newer word
-    assert [told.count(group.now) for told in group.living.values()] == [4, 4]
-    group.now += MARGIN
+    assert [lease.get_count(group.now) for lease in group.living.values()] == [4, 4]
+    group.now += LEASE_MARGIN_SECONDS
     group.tell(2)
-    assert not group.sharing.room(group.now, 3)
+    assert not group.sharing.has_room(group.now, 3)
     for _ in range(3):
         group.tell(3)
         for _ in range(10):
             group.arrive()
-    assert group.sharing.room(group.now, 3)
+    assert group.sharing.has_room(group.now, 3)
 
 
 def test_a_silent_instance_keeps_its_part_for_ever() -> None:
     sharing = Sharing(9.0)
-    sharing.begun(0, 2)
-    sharing.begun(1, 2)
+    sharing.record_start(0, 2)
+    sharing.record_start(1, 2)
     for now in range(0, 1000, 7):
-        assert all(word.number >= 0 and word.count >= 2 for word in sharing.words(float(now), 1))
-    sharing.ended(1)
-    assert [word.count for word in sharing.words(1000.0, 1)] == [1]
+        assert all(word.number >= 0 and word.count >= 2 for word in sharing.prepare_updates(float(now), 1))
+    sharing.record_end(1)
+    assert [word.count for word in sharing.prepare_updates(1000.0, 1)] == [1]
 
 
 # Cold servers.
@@ -424,32 +424,32 @@
     "now, told, report, expected",
     [
         (0.0, 3, None, 40),  # young: as large as it may be
-        (YOUNG + 1, 3, None, 3),
-        (YOUNG + 1, 20, None, 20),
-        (YOUNG + 1, 3, (12.0, 2), 6),  # what the server says
-        (YOUNG + 1, 3, (12.0, 0), 12),
-        (YOUNG + HEARD + 2, 3, (12.0, 2), 3),  # it said that too long ago
+        (STARTUP_SECONDS + 1, 3, None, 3),
+        (STARTUP_SECONDS + 1, 20, None, 20),
+        (STARTUP_SECONDS + 1, 3, (12.0, 2), 6),  # what the server says
+        (STARTUP_SECONDS + 1, 3, (12.0, 0), 12),
+        (STARTUP_SECONDS + REPORT_LIFETIME_SECONDS + 2, 3, (12.0, 2), 3),  # it said that too long ago
     ],
 )
 def test_a_cold_server_is_divided_by_the_most_that_anything_says(
     now: float, told: int, report: tuple[float, int] | None, expected: int
 ) -> None:
-    crowd = Crowd(0.0, 40)
+    estimate = IngressCountEstimate(0.0, 40)
     if report:
-        crowd.reported(YOUNG + 1, *report)
-    assert crowd.count(now, told) == expected
+        estimate.record_report(STARTUP_SECONDS + 1, *report)
+    assert estimate.get_count(now, told) == expected
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 5.0), st.integers(0, 50), st.integers(0, 5)), min_size=1, max_size=60))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_reports_count_for_their_time_and_no_longer(rows: list[tuple[float, int, int]]) -> None:
-    crowd, now = Crowd(-YOUNG - 1), 0.0
+    estimate, now = IngressCountEstimate(-STARTUP_SECONDS - 1), 0.0
     seen: list[tuple[float, int]] = []
     for pause, in_hand, own in rows:
         now += pause
-        crowd.reported(now, in_hand, own)
+        estimate.record_report(now, in_hand, own)
         seen.append((now, ceil(in_hand / max(1, own))))
-        assert crowd.count(now, 1) == max(1, *(n for at, n in seen if at >= now - HEARD))
+        assert estimate.get_count(now, 1) == max(1, *(n for at, n in seen if at >= now - REPORT_LIFETIME_SECONDS))
 
 
 # Datagrams, lines, health.
@@ -465,7 +465,7 @@
     ],
 )
 def test_notices_are_read_as_systemd_reads_them(data: bytes, fields: dict[str, str]) -> None:
-    assert notify.parse(data) == fields
+    assert notify.parse_fields(data) == fields
 
 
 def test_lines_are_cut_joined_and_named() -> None:
@@ -474,8 +474,8 @@
     assert splitter.feed(b"amp=2 event=b\n") == ["timestamp=2 event=b"]
     found = splitter.feed(b"x" * 20_000 + b"\nnext\n")
     assert found == ["x" * 8192, "next"]
-    assert merged("timestamp=1 event=a", "now", 3, 77) == "timestamp=1 event=a instance=3 pid=77"
-    assert merged("Traceback (x):", "now", 3, 77) == (
+    assert add_instance_fields("timestamp=1 event=a", "now", 3, 77) == "timestamp=1 event=a instance=3 pid=77"
+    assert add_instance_fields("Traceback (x):", "now", 3, 77) == (
         'timestamp=now level=info event=output text="Traceback (x):" instance=3 pid=77'
     )
 
@@ -486,8 +486,8 @@
         backlog.put(f"line {n}")
         assert len(backlog) <= 1100
     out = b""
-    while data := backlog.next():
-        backlog.written(min(len(data), 7))
+    while data := backlog.next_chunk():
+        backlog.mark_written(min(len(data), 7))
         out += data[:7]
     lines = out.decode().splitlines()
     assert f'level=warning event="log lines dropped" lines={backlog.dropped}' in lines
@@ -496,13 +496,13 @@
 
 
 def test_the_ring_says_what_it_let_go() -> None:
-    ring = Ring(10)
+    history = LineHistory(10)
     for n in range(25):
-        ring.add(n % 2, str(n))
-    lines, missed = ring.after(3, 4)
+        history.add(n % 2, str(n))
+    lines, missed = history.lines_after(3, 4)
     assert [line.text for line in lines] == ["15", "16", "17", "18"] and missed == 12
-    assert [line.text for line in ring.last(2, 1)] == ["21", "23"]
-    assert ring.after(25, 5) == ([], 0)
+    assert [line.text for line in history.last_lines(2, 1)] == ["21", "23"]
+    assert history.lines_after(25, 5) == ([], 0)
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 4.0), st.floats(0.0, 2.0)), min_size=1, max_size=80))
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -18,9 +18,9 @@
 from benchmarks.fleet import Trial, cold_start, trial
 from benchmarks.plan_changes import ROOT
 from brackenpulley.control.client import Control, ControlError
-from brackenpulley.fleet.files import kept
-from brackenpulley.fleet.notify import parse
-from brackenpulley.fleet.process import search
+from brackenpulley.fleet.files import load_state
+from brackenpulley.fleet.notify import parse_fields
+from brackenpulley.fleet.process import find_processes
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.clients import Firm
 
@@ -141,7 +141,7 @@
     assert f"held by the supervisor of fleet trial, process {first.supervisor.pid}" in again.stderr
     assert command(first, "stop", "--supervisor").returncode == 0
     assert first.supervisor.wait(20) == 0
-    assert search(first.folder / "run") == []
+    assert find_processes(first.folder / "run") == []
     assert second.status()["ready"] == 1
 
 
@@ -156,7 +156,7 @@
     one.supervisor.kill()
     one.supervisor.wait()
     os.kill(pids[2], signal.SIGKILL)  # one ends while nobody looks
-    assert sorted(f.pid for f in search(one.folder / "run") if f.place < 2) == sorted(pids[:2])
+    assert sorted(f.pid for f in find_processes(one.folder / "run") if f.number < 2) == sorted(pids[:2])
     one.run()
     one.all_ready(3, 30, "taken over, at the size it was scaled to")
     status = one.status()
@@ -172,7 +172,7 @@
     one.supervisor.kill()
     one.supervisor.wait()
     done = command(one, "reap", "--json")
-    assert len(json.loads(done.stdout)) == 3 and search(one.folder / "run") == []
+    assert len(json.loads(done.stdout)) == 3 and find_processes(one.folder / "run") == []
 
 
 @pytest.mark.parametrize("target", ["a full disk", "a reader that does not read"])
@@ -218,7 +218,7 @@
     while not any("READY" in fields for fields in seen) and time.monotonic() < end:
         one.turn(0.02)
         try:
-            seen.append(parse(above.recv(4096)))
+            seen.append(parse_fields(above.recv(4096)))
         except BlockingIOError:
             pass
     assert any(fields.get("READY") == "1" for fields in seen)
@@ -228,7 +228,7 @@
     one.until(lambda s: one.supervisor is not None and one.supervisor.poll() is not None, 20, "end")
     while True:
         try:
-            seen.append(parse(above.recv(4096)))
+            seen.append(parse_fields(above.recv(4096)))
         except BlockingIOError:
             break
     assert any(fields.get("STOPPING") == "1" for fields in seen)
@@ -305,11 +305,11 @@
 
 def test_a_step_of_the_time_of_day_does_not_divide_a_fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Names of the counter go by the fleet's clock: whoever starts after the step must use those of before."""
-    from brackenpulley.fleet.files import keep
+    from brackenpulley.fleet.files import save_state
 
-    first, _ = kept(tmp_path, 3, 1_000_000.0, 50.0)
-    keep(tmp_path, first)
-    later, _ = kept(tmp_path, 3, 1_000_000.0 + 3600 + 10, 60.0)
+    first, _ = load_state(tmp_path, 3, 1_000_000.0, 50.0)
+    save_state(tmp_path, first)
+    later, _ = load_state(tmp_path, 3, 1_000_000.0 + 3600 + 10, 60.0)
     assert later.clock == first.clock == 999_950.0
     monkeypatch.setenv("BRACKENPULLEY_CLOCK", repr(later.clock))
     real = time.time
@@ -317,5 +317,5 @@
     monkeypatch.setattr(time, "time", lambda: real() + 3600)
     assert abs(wall_clock()() - before) < 1.0
     first.boot = "another"
-    keep(tmp_path, first)
-    assert kept(tmp_path, 3, 1_000_000.0 + 3610, 60.0)[0].clock == 1_003_550.0
+    save_state(tmp_path, first)
+    assert load_state(tmp_path, 3, 1_000_000.0 + 3610, 60.0)[0].clock == 1_003_550.0
