--- a/brackenpulley/consensus/agreement.py
+++ b/brackenpulley/consensus/agreement.py
@@ -165,7 +165,7 @@
         Returns the reason for a rejection, or "".
         """
         if self.node is None:
-            return "this process is not a voter"
+            return "this process has no vote"
         problem, effects = self.node.change_voter(now, name, address)
         self._run_effects(effects)
         return problem
--- a/brackenpulley/consensus/raft.py
+++ b/brackenpulley/consensus/raft.py
@@ -340,7 +340,7 @@
         return inf if self.is_halted else max(self.now, min(times))
 
     def propose(self, now: float, data: bytes) -> tuple[int, list[Effect]]:
-        """Append a command and return the index it gets if it is committed, or 0 where this voter is not the leader."""
+        """Append a command and return the index it gets if it is committed, or 0 where this voter does not lead."""
         self.now = max(self.now, now)
         if self.role != LEADER or self.is_halted:
             return 0, []
@@ -356,18 +356,18 @@
         self.now = max(self.now, now)
         config = self.config
         if self.role != LEADER or self.is_halted:
-            return "this voter is not the leader", []
+            return "this voter does not lead", []
         if not self.is_settled or self.commit < self._term_start_index:
             return "another change is under way", []
         if address:
             if name in config.voters or name in config.learners:
-                return f"{name} is already a voter or learner", []
+                return f"{name} is one already", []
             new_config = Config(config.voters, {**config.learners, name: address})
         else:
             if name not in config.voters and name not in config.learners:
                 return f"no voter {name}", []
             if len(config.voters) == 1 and name in config.voters:
-                return "the last voter cannot be removed", []
+                return "the last voter cannot go", []
             new_config = Config(
                 *(
                     {other: peer_address for other, peer_address in addresses.items() if other != name}
