--- a/brackenpulley/commands/__init__.py
+++ b/brackenpulley/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Groups of commands, a file each; `cli` loads the one that is called."""
+"""Command groups, one module each; `cli` imports only the group that is called."""
--- a/brackenpulley/commands/common.py
+++ b/brackenpulley/commands/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: where the daemons are, how results and faults are shown."""
+"""Shared by the command groups: options, calls of the control API, and the output of results and errors."""
 
 from __future__ import annotations
 
@@ -11,57 +11,64 @@
 
 from ..control.client import Control, ControlError
 
-Where = Annotated[
+ControlAddresses = Annotated[
     list[str],
     typer.Option(
         "--control",
         envvar="BRACKENPULLEY_CONTROL",
-        help="A daemon's control API: 127.0.0.1:9393 or unix:/path. May stand "
-        "several times, or hold several with blanks between.",
+        help="Address of a daemon's control API: 127.0.0.1:9393 or unix:/path. May be "
+        "repeated, or hold several addresses separated by blanks.",
     ),
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="The result as JSON.")]
+JsonOutput = Annotated[bool, typer.Option("--json", help="Print the result as JSON.")]
 
 
-def fail(text: str, code: int = 2) -> typer.Exit:
+def report_error(text: str, code: int = 2) -> typer.Exit:
+    """Prints an error to standard error and returns the exception that ends the command with this exit code."""
     print(f"brackenpulley: {text}", file=sys.stderr)
     return typer.Exit(code)
 
 
-def controls(told: list[str]) -> list[Control]:
-    names = [name for text in told for name in text.split()]
+def parse_controls(addresses: list[str]) -> list[Control]:
+    """Returns a client for each address. Raises typer.Exit where none is given or one is invalid."""
+    names = [name for text in addresses for name in text.split()]
     if not names:
-        raise fail("--control: not given, and BRACKENPULLEY_CONTROL is not set; for example unix:/run/bracken.sock")
+        raise report_error(
+            "--control: not given, and BRACKENPULLEY_CONTROL is not set; for example unix:/run/bracken.sock"
+        )
     try:
         return [Control(name) for name in names]
     except ControlError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
 
 
-def call(control: Control, method: str, path: str, body: Any = None) -> Any:
+def call_control(control: Control, method: str, path: str, body: Any = None) -> Any:
+    """Calls the control API and returns the decoded answer; an error is printed and raised as typer.Exit(1)."""
     try:
         return control.call(method, path, body)
     except ControlError as error:
-        raise fail(str(error), 1) from None
+        raise report_error(str(error), 1) from None
 
 
-def show(
+def print_result(
     value: Any, as_json: bool, columns: list[str] | None = None, rows: Iterable[Any] | None = None, title: str = ""
 ) -> None:
-    """A table in a terminal, tab-separated text elsewhere, or JSON."""
+    """Prints a table in a terminal, tab-separated text elsewhere, or JSON.
+
+    Without columns or rows the value is printed as indented JSON."""
     if as_json or columns is None or rows is None:
         print(json.dumps(value, indent=None if as_json else 1))
         return
-    found = [["" if cell is None else str(cell) for cell in row] for row in rows]
+    cells = [["" if cell is None else str(cell) for cell in row] for row in rows]
     if not sys.stdout.isatty():
         print("\t".join(columns))
-        for row in found:
+        for row in cells:
             print("\t".join(row))
         return
     from rich.console import Console
     from rich.table import Table
 
     table = Table(*columns, title=title or None)
-    for row in found:
+    for row in cells:
         table.add_row(*row)
     Console().print(table)
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -26,7 +26,7 @@
 from ..standins.clients import Firm, Load
 from ..standins.servers import Counter, Discovery, SimServer
 from ..standins.settings import PLANS, settings
-from .common import show
+from .common import print_result
 
 FIRMS, SERVERS, PERIOD = 6, 3, 1.0
 
@@ -158,7 +158,7 @@
         "agree": not faults,
         "faults": faults,
     }
-    show(
+    print_result(
         summary,
         as_json,
         ["", ""],
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -18,7 +18,7 @@
 from ..address import ConfigError
 from ..control.client import Control, ControlError
 from ..fleet.spec import Fleet, load
-from .common import AsJson, call, fail, show
+from .common import JsonOutput, call_control, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="A host group's instances under one supervisor.")
 File = Annotated[str, typer.Argument(help="The fleet's description, TOML; see deploy/fleet-group.toml.")]
@@ -31,7 +31,7 @@
     try:
         return load(file)
     except ConfigError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
 
 
 def _control(file: str) -> Control:
@@ -55,7 +55,7 @@
     try:
         return {"instances": numbers(text), **more}
     except ValueError as error:
-        raise fail(f"--instances: {str(error)!r} is no number and no range") from None
+        raise report_error(f"--instances: {str(error)!r} is no number and no range") from None
 
 
 @app.command()
@@ -69,12 +69,12 @@
     try:
         code = supervise(file, spec)
     except ConfigError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
     raise typer.Exit(code)
 
 
 @app.command()
-def check(file: File, as_json: AsJson = False) -> None:
+def check(file: File, as_json: JsonOutput = False) -> None:
     """Whether each instance could start with this description and its files."""
     spec = _spec(file)
     from ..fleet.files import Base
@@ -82,7 +82,7 @@
     try:
         Base.read(spec)
     except ConfigError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
     at = spec.listens()
     found = {
         "fleet": spec.fleet.name,
@@ -90,7 +90,7 @@
         "addresses": len(at),
         "first": f"{at[0][0]}:{at[0][1]}",
     }
-    show(found, as_json, list(found), [list(found.values())])
+    print_result(found, as_json, list(found), [list(found.values())])
 
 
 def _health(row: dict[str, Any]) -> list[Any]:
@@ -107,11 +107,11 @@
 
 
 @app.command()
-def status(file: File, as_json: AsJson = False) -> None:
+def status(file: File, as_json: JsonOutput = False) -> None:
     """Each instance: its state, process, part and health. Exit code 3 where fewer are ready than wanted."""
-    found = call(_control(file), "GET", "/v1/fleet")
+    found = call_control(_control(file), "GET", "/v1/fleet")
     wanted = sum(row["instance"] not in found["stopped"] for row in found["places"])
-    show(
+    print_result(
         found,
         as_json,
         [
@@ -159,7 +159,7 @@
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty()) as progress:
         task = progress.add_task(what, total=None)
         while True:
-            found: dict[str, Any] = call(control, "GET", "/v1/fleet")
+            found: dict[str, Any] = call_control(control, "GET", "/v1/fleet")
             rolling = found["rolling"]
             done, total = found["ready"], found["instances"]
             if rolling and not rolling["over"]:
@@ -169,7 +169,7 @@
             if over(found):
                 return found
             if time.monotonic() > end:
-                raise fail(f"{what}: not over after {wait:g} s; see `fleet status`", 1)
+                raise report_error(f"{what}: not over after {wait:g} s; see `fleet status`", 1)
             time.sleep(0.1)
 
 
@@ -179,23 +179,23 @@
 
 def _brief(control: Control, wait: float, over: Callable[[dict[str, Any]], bool], what: str, as_json: bool) -> None:
     """How the fleet stands once that is over, or now where nobody waits."""
-    found = _wait(control, wait, over, what) if wait else call(control, "GET", "/v1/fleet")
+    found = _wait(control, wait, over, what) if wait else call_control(control, "GET", "/v1/fleet")
     rows = {
         "ready": found["ready"],
         "instances": found["instances"],
         "stopped": found["stopped"],
         "crashed": [row["instance"] for row in found["places"] if row["state"] == "crashed"],
     }
-    show(rows, as_json, list(rows), [list(rows.values())])
+    print_result(rows, as_json, list(rows), [list(rows.values())])
     if rows["crashed"]:
         raise typer.Exit(1)
 
 
 @app.command()
-def start(file: File, instances: Some = "", wait: Wait = 60.0, as_json: AsJson = False) -> None:
+def start(file: File, instances: Some = "", wait: Wait = 60.0, as_json: JsonOutput = False) -> None:
     """Start what is stopped, or was given up as a crash loop."""
     control = _control(file)
-    call(control, "POST", "/v1/fleet/start", _body(instances))
+    call_control(control, "POST", "/v1/fleet/start", _body(instances))
     _brief(control, wait, _settled, "start", as_json)
 
 
@@ -205,12 +205,12 @@
     instances: Some = "",
     everything: Annotated[bool, typer.Option("--supervisor", help="The supervisor too, once all are down.")] = False,
     wait: Wait = 60.0,
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """Stop in order: /ready says no, SIGTERM, and SIGKILL after the deadline."""
     control = _control(file)
     if everything:
-        found = call(control, "POST", "/v1/fleet/end", {})
+        found = call_control(control, "POST", "/v1/fleet/end", {})
         end = time.monotonic() + wait
         while time.monotonic() < end:
             try:
@@ -219,9 +219,9 @@
                 if error.status == 0:
                     break
             time.sleep(0.1)
-        show(found, as_json)
+        print_result(found, as_json)
         return
-    call(control, "POST", "/v1/fleet/stop", _body(instances))
+    call_control(control, "POST", "/v1/fleet/stop", _body(instances))
     _brief(control, wait, _settled, "stop", as_json)
 
 
@@ -231,16 +231,16 @@
     instances: Some = "",
     at_once: Annotated[int, typer.Option(help="Instances that are away at the same time.")] = 1,
     wait: Wait = 600.0,
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """A few at a time, each back and noticed by the front before the next goes. Stops where one does not come back:
     what is left runs as before, and exit code 1 says so."""
     control = _control(file)
-    call(control, "POST", "/v1/fleet/restart", _body(instances, atOnce=at_once))
+    call_control(control, "POST", "/v1/fleet/restart", _body(instances, atOnce=at_once))
     if not wait:
         return
     found = _wait(control, wait, lambda found: bool(found["rolling"]["over"]), "restart")["rolling"]
-    show(
+    print_result(
         found,
         as_json,
         ["restarted", "left as they were", "failed"],
@@ -251,15 +251,15 @@
 
 
 @app.command()
-def reload(file: File, wait: Wait = 10.0, as_json: AsJson = False) -> None:
+def reload(file: File, wait: Wait = 10.0, as_json: JsonOutput = False) -> None:
     """Take the description and its files anew. All instances do, or none, and one line says why."""
     control = _control(file)
-    call(control, "POST", "/v1/fleet/reload", {})
+    call_control(control, "POST", "/v1/fleet/reload", {})
     found = _wait(control, wait, lambda found: not found["reloading"], "reload")
     if found["reloadFailed"]:
-        raise fail(f"reload: {found['reloadFailed']}; nobody has changed", 1)
+        raise report_error(f"reload: {found['reloadFailed']}; nobody has changed", 1)
     old = [row["instance"] for row in found["places"] if row["old"]]
-    show(
+    print_result(
         {"reloaded": True, "oldUntilRestarted": old},
         as_json,
         ["reloaded", "old until restarted"],
@@ -268,10 +268,10 @@
 
 
 @app.command()
-def scale(file: File, instances: int, wait: Wait = 120.0, as_json: AsJson = False) -> None:
+def scale(file: File, instances: int, wait: Wait = 120.0, as_json: JsonOutput = False) -> None:
     """So many instances from now on, kept for the next supervisor; the highest numbers go first."""
     control = _control(file)
-    call(control, "POST", "/v1/fleet/scale", {"instances": instances})
+    call_control(control, "POST", "/v1/fleet/scale", {"instances": instances})
 
     def over(found: dict[str, Any]) -> bool:
         return _settled(found) and len(found["places"]) == instances
@@ -285,7 +285,7 @@
     instance: Annotated[int, typer.Option(help="Of this one alone.")] = -1,
     follow: Annotated[bool, typer.Option("--follow", "-f", help="Go on with what comes.")] = False,
     lines: Annotated[int, typer.Option(help="To look back on.")] = 50,
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """The instances' lines in one stream, each with its instance and process."""
     import json
@@ -294,7 +294,7 @@
     which = f"&instance={instance}" if instance >= 0 else ""
     path = f"/v1/fleet/logs?most={lines}{which}"
     while True:
-        found = call(control, "GET", path)
+        found = call_control(control, "GET", path)
         if found["missed"]:
             print(f"brackenpulley: {found['missed']} lines were let go before they were read", file=sys.stderr)
         for line in found["lines"]:
@@ -307,14 +307,14 @@
 
 
 @app.command()
-def detach(file: File, as_json: AsJson = False) -> None:
+def detach(file: File, as_json: JsonOutput = False) -> None:
     """End the supervisor alone, for a new version of it: the instances go on, and the next `fleet run` has them."""
-    show(call(_control(file), "POST", "/v1/fleet/detach", {}), as_json)
+    print_result(call_control(_control(file), "POST", "/v1/fleet/detach", {}), as_json)
 
 
 @app.command()
 def reap(
-    file: File, deadline: Annotated[float, typer.Option(help="s until SIGKILL.")] = 15.0, as_json: AsJson = False
+    file: File, deadline: Annotated[float, typer.Option(help="s until SIGKILL.")] = 15.0, as_json: JsonOutput = False
 ) -> None:
     """End what a supervisor that is gone left behind. Not while one runs."""
     spec = _spec(file)
@@ -324,9 +324,9 @@
     try:
         lock = FileLock(Path(spec.fleet.run) / "lock", "fleet reap", ConfigError)
     except ConfigError as error:
-        raise fail(str(error), 1) from None
+        raise report_error(str(error), 1) from None
     except FileNotFoundError:
-        raise fail(f"fleet.run: {spec.fleet.run}: no fleet has run there", 1) from None
+        raise report_error(f"fleet.run: {spec.fleet.run}: no fleet has run there", 1) from None
     found = search(Path(spec.fleet.run))
     for number in (signal.SIGTERM, signal.SIGKILL):
         for one in search(Path(spec.fleet.run)):
@@ -337,4 +337,4 @@
             time.sleep(0.05)
     lock.close()
     rows = [{"instance": one.place, "pid": one.pid} for one in found]
-    show(rows, as_json, ["ended instance", "pid"], [[row["instance"], row["pid"]] for row in rows])
+    print_result(rows, as_json, ["ended instance", "pid"], [[row["instance"], row["pid"]] for row in rows])
--- a/brackenpulley/commands/growth.py
+++ b/brackenpulley/commands/growth.py
@@ -10,7 +10,7 @@
 import typer
 
 from ..growth.merge import Merged
-from .common import AsJson, fail, show
+from .common import JsonOutput, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="Counting over a whole fleet.")
 
@@ -32,25 +32,25 @@
 def count(
     logs: Annotated[list[str], typer.Argument(help="Logs, a file an ingress, or folders of *.log.")],
     by: Annotated[str, typer.Option(help="second, server or ingress")] = "second",
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """Merge the logs of ingresses that ran with `[log] seconds = true`, and count over all of them."""
     if by not in ("second", "server", "ingress"):
-        raise fail(f"--by: {by!r} is none of second, server, ingress")
+        raise report_error(f"--by: {by!r} is none of second, server, ingress")
     merged = Merged()
     for path in _files(logs):
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
                 merged.add(os.path.basename(path).removesuffix(".log"), file)
         except OSError as error:
-            raise fail(f"{path}: {error.strerror}") from None
+            raise report_error(f"{path}: {error.strerror}") from None
     for name, log in merged.logs.items():
         if log.bad:
             print(f"brackenpulley: {name}: {log.bad} lines are no records, the first: {log.first_bad}", file=sys.stderr)
     if not any(log.records for log in merged.logs.values()):
-        raise fail("no record in these logs: was [log] seconds set? See deploy/growth.toml", 1)
+        raise report_error("no record in these logs: was [log] seconds set? See deploy/growth.toml", 1)
     rows = merged.table() if by == "second" else merged.by(by)
-    show(
+    print_result(
         merged.whole() if as_json else rows,
         as_json,
         list(rows[0]) if rows else [by],
--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -11,7 +11,7 @@
 from ..address import ConfigError
 from ..ledger.store import LedgerError, Store
 from ..ledger.tally import MICRO
-from .common import AsJson, Where, call, controls, fail, show
+from .common import ControlAddresses, JsonOutput, call_control, parse_controls, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="Counted use, and its way to billing.")
 Path = Annotated[str, typer.Option("--path", help="The ledger's folder, as in the operator's file.")]
@@ -29,7 +29,7 @@
             return Store(path, name)
         return Store(path)
     except LedgerError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
 
 
 def _progress(what: str, total: int) -> tuple[Any, Any]:
@@ -43,8 +43,8 @@
 @app.command("show")
 def show_state(
     path: Path = "",
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """Where the ledger stands, from a daemon (--control) or its folder (--path)."""
     if path:
@@ -66,8 +66,8 @@
         }
         store.end()
     else:
-        found = call(controls(control)[0], "GET", "/v1/ledger")
-    show(
+        found = call_control(parse_controls(control)[0], "GET", "/v1/ledger")
+    print_result(
         found,
         as_json,
         ["", ""],
@@ -77,7 +77,7 @@
 
 @app.command()
 def entries(
-    path: Path = "", first: Annotated[int, typer.Option("--from")] = 1, most: int = 20, as_json: AsJson = False
+    path: Path = "", first: Annotated[int, typer.Option("--from")] = 1, most: int = 20, as_json: JsonOutput = False
 ) -> None:
     """Entries, from a sequence number on."""
     from ..ledger.files import COLUMNS, csv_row
@@ -86,11 +86,11 @@
     store = _open(path)
     found = list(store.entries(first, most))
     store.end()
-    show([event(one) for one in found], as_json, list(COLUMNS), [csv_row(one) for one in found])
+    print_result([event(one) for one in found], as_json, list(COLUMNS), [csv_row(one) for one in found])
 
 
 @app.command()
-def verify(path: Path = "", as_json: AsJson = False) -> None:
+def verify(path: Path = "", as_json: JsonOutput = False) -> None:
     """Check the whole store: sums, gaps, entries exported twice. Exit code 1 with the first fault named."""
     store = _open(path)
     seen, fault = 0, ""
@@ -105,13 +105,13 @@
                 if seen % EVERY == 0:
                     bar.update(task, completed=seen)
     except LedgerError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
     finally:
         store.end()
     result = {"entries": seen, "countedUnits": heads.counted / MICRO, "good": not fault, "fault": fault or None}
     if fault and not as_json:
-        raise fail(f"ledger: {fault}", 1)
-    show(result, as_json, ["entries", "counted units", "verdict"], [[seen, heads.counted / MICRO, "good"]])
+        raise report_error(f"ledger: {fault}", 1)
+    print_result(result, as_json, ["entries", "counted units", "verdict"], [[seen, heads.counted / MICRO, "good"]])
     if fault:
         raise typer.Exit(1)
 
@@ -122,13 +122,13 @@
     path: Path = "",
     kind: Annotated[str, typer.Option("--format", help="jsonl or csv.")] = "jsonl",
     first: Annotated[int, typer.Option("--from", help="The first entry; else the first that is kept.")] = 0,
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """Write entries to a file. An interrupted export is gone on with by the same command."""
     from ..ledger.files import export as write
 
     if kind not in ("jsonl", "csv"):
-        raise fail(f"--format: {kind!r} is neither jsonl nor csv")
+        raise report_error(f"--format: {kind!r} is neither jsonl nor csv")
     store = _open(path)
     count = 0
     try:
@@ -138,10 +138,10 @@
             for count in write(store, out, kind, first or heads.first):
                 bar.update(task, completed=count)
     except (LedgerError, OSError) as error:
-        raise fail(str(error), 1) from None
+        raise report_error(str(error), 1) from None
     finally:
         store.end()
-    show({"file": out, "entries": count}, as_json, ["file", "entries"], [[out, count]])
+    print_result({"file": out, "entries": count}, as_json, ["file", "entries"], [[out, count]])
 
 
 @app.command()
@@ -150,7 +150,7 @@
     path: Path = "",
     batch: int = 100,
     patience: Annotated[float, typer.Option(help="Seconds without an entry taken.")] = 30.0,
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """Send a stopped daemon's entries to billing, under the ids that they have."""
     from ..ledger.push import push as send
@@ -159,7 +159,7 @@
     try:
         at, target = parse_billing_url(url, "--url")
     except ConfigError as error:
-        raise fail(str(error)) from None
+        raise report_error(str(error)) from None
     store = _open(path, write=True)
     taken = 0
     try:
@@ -169,18 +169,18 @@
             for taken, _ in send(store, at, target, batch, patience):
                 bar.update(task, completed=taken)
     except LedgerError as error:
-        raise fail(str(error), 1) from None
+        raise report_error(str(error), 1) from None
     finally:
         store.end()
-    show({"taken": taken}, as_json, ["entries taken"], [[taken]])
+    print_result({"taken": taken}, as_json, ["entries taken"], [[taken]])
 
 
 @app.command()
 def replay(
     first: Annotated[int, typer.Option("--from", help="The first entry that billing lost.")],
-    control: Where = [],  # noqa: B006
+    control: ControlAddresses = [],  # noqa: B006
     path: Path = "",
-    as_json: AsJson = False,
+    as_json: JsonOutput = False,
 ) -> None:
     """Send entries again, under the ids that they have: billing was restored from an older backup."""
     if path:
@@ -189,10 +189,10 @@
             heads, _, _, _ = store.begin()
             store.replay(heads, first)
         except LedgerError as error:
-            raise fail(str(error), 1) from None
+            raise report_error(str(error), 1) from None
         finally:
             store.end()
         found: Any = {"acknowledged": heads.acked, "backlog": heads.backlog}
     else:
-        found = call(controls(control)[0], "POST", "/v1/ledger/replay", {"from": first})
-    show(found, as_json, ["acknowledged", "to send"], [[found["acknowledged"], found["backlog"]]])
+        found = call_control(parse_controls(control)[0], "POST", "/v1/ledger/replay", {"from": first})
+    print_result(found, as_json, ["acknowledged", "to send"], [[found["acknowledged"], found["backlog"]]])
--- a/brackenpulley/commands/members.py
+++ b/brackenpulley/commands/members.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from .common import AsJson, Where, call, controls, fail, show
+from .common import ControlAddresses, JsonOutput, call_control, parse_controls, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="Membership between instances, and its keys.")
 keys = typer.Typer(no_args_is_help=True, help="A new key: add it on all members, use it on all, remove the old one.")
@@ -16,10 +16,10 @@
 
 
 @app.command()
-def status(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def status(control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """Each daemon's view of the others."""
-    found = [call(one, "GET", "/v1/members") for one in controls(control)]
-    show(
+    found = [call_control(one, "GET", "/v1/members") for one in parse_controls(control)]
+    print_result(
         found,
         as_json,
         ["id", "address", "members", "score", "dead", "key in use"],
@@ -40,14 +40,14 @@
 def _all(control: list[str], body: dict[str, Any], as_json: bool) -> None:
     """On every daemon named, or a word on which are left: a step is done when all have it."""
     found = []
-    named = controls(control)
+    named = parse_controls(control)
     for done, one in enumerate(named):
         try:
-            found.append({"control": one.name, **call(one, "POST", "/v1/members/keys", body)})
+            found.append({"control": one.name, **call_control(one, "POST", "/v1/members/keys", body)})
         except typer.Exit:
             left = " ".join(other.name for other in named[done:])
-            raise fail(f"keys {body['step']}: done on {done} of {len(named)}; left: {left}", 1) from None
-    show(
+            raise report_error(f"keys {body['step']}: done on {done} of {len(named)}; left: {left}", 1) from None
+    print_result(
         found,
         as_json,
         ["control", "keys, the one in use first"],
@@ -64,25 +64,25 @@
 @keys.command()
 def add(
     file: Annotated[str, typer.Argument(help="File with the key, base64.")],
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """Step 1: all members can read what is sealed under it."""
     try:
         with open(file, encoding="ascii") as opened:
             key = opened.read().strip()
     except (OSError, UnicodeDecodeError) as error:
-        raise fail(f"file: {file}: {error}") from None
+        raise report_error(f"file: {file}: {error}") from None
     _all(control, {"step": "add", "key": key}, as_json)
 
 
 @keys.command()
-def use(mark: str, control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def use(mark: str, control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """Step 2: all members seal under it."""
     _all(control, {"step": "use", "mark": mark}, as_json)
 
 
 @keys.command()
-def remove(mark: str, control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def remove(mark: str, control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """Step 3: nobody reads what is sealed under the old one."""
     _all(control, {"step": "remove", "mark": mark}, as_json)
--- a/brackenpulley/commands/plans.py
+++ b/brackenpulley/commands/plans.py
@@ -9,7 +9,7 @@
 import typer
 
 from ..control.client import Control, ControlError
-from .common import AsJson, Where, call, controls, fail, show
+from .common import ControlAddresses, JsonOutput, call_control, parse_controls, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="The plan book: figures of each plan, and which firm is on which plan.")
 LEAD = 10.0  # s until a change takes effect, so that every daemon has heard of it by then
@@ -30,10 +30,10 @@
 
 def _decide(told: list[str], as_json: bool, **change: Any) -> None:
     """The same change for each daemon, under the revision that is next in all of them."""
-    found = controls(told)
-    revisions = {control.name: int(call(control, "GET", "/v1/plans")["revision"]) for control in found}
+    found = parse_controls(told)
+    revisions = {control.name: int(call_control(control, "GET", "/v1/plans")["revision"]) for control in found}
     if len(set(revisions.values())) > 1:
-        raise fail(
+        raise report_error(
             "daemons hold different revisions ("
             + ", ".join(f"{name}: {revision}" for name, revision in revisions.items())
             + "); run `plans sync` first",
@@ -54,10 +54,10 @@
                 if taken
                 else ("; nothing was changed")
             )
-            raise fail(f"{control.name}: {error}{rest}", 1) from None
+            raise report_error(f"{control.name}: {error}{rest}", 1) from None
         taken.append(control.name)
     holds = moment(change["since"]) if change.get("since") else ""
-    show(
+    print_result(
         {"change": change, "taken": taken},
         as_json,
         ["revision", "kind", "holds from", "taken by"],
@@ -66,10 +66,10 @@
 
 
 @app.command("list")
-def list_plans(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def list_plans(control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """Plans and their figures as they hold now."""
-    found = call(controls(control)[0], "GET", "/v1/plans")
-    show(
+    found = call_control(parse_controls(control)[0], "GET", "/v1/plans")
+    print_result(
         found,
         as_json,
         ["plan", "units/s", "burst", "open", "price", "since revision"],
@@ -85,14 +85,14 @@
 def show_one(
     name: Annotated[str, typer.Argument(help="A plan's name, or a firm (16 hexadecimal digits).")],
     when: Annotated[float, typer.Option("--when", help="As of this Unix time.")] = 0.0,
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """A plan's figures or a firm's plan, now or at any past moment."""
-    one, query = controls(control)[0], f"?when={when:.6f}" if when else ""
+    one, query = parse_controls(control)[0], f"?when={when:.6f}" if when else ""
     firm = len(name) == 16 and all(c in "0123456789abcdef" for c in name.lower())
-    found = call(one, "GET", f"/v1/{'firms' if firm else 'plans'}/{name}{query}")
-    show(found, as_json, list(found), [list(found.values())])
+    found = call_control(one, "GET", f"/v1/{'firms' if firm else 'plans'}/{name}{query}")
+    print_result(found, as_json, list(found), [list(found.values())])
 
 
 @app.command("set")
@@ -110,8 +110,8 @@
     lead: Lead = LEAD,
     since: Since = 0.0,
     note: Note = "",
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """New figures for a plan, or a new plan."""
     figures = {
@@ -135,25 +135,25 @@
     lead: Lead = LEAD,
     since: Since = 0.0,
     note: Note = "",
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """Put a firm on a plan. What is missing from its store goes on missing."""
     _decide(control, as_json, kind="move", firm=firm, plan=plan, lead=lead, since=since, note=note)
 
 
 @app.command()
-def withdraw(revision: int, note: Note = "", control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def withdraw(revision: int, note: Note = "", control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """Take back a change that has not taken effect yet."""
     _decide(control, as_json, kind="withdraw", of=revision, note=note)
 
 
 @app.command()
-def history(plan: str = "", firm: str = "", control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def history(plan: str = "", firm: str = "", control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """Every change, or those of one plan or firm."""
-    found = _history(controls(control)[0], f"&plan={plan}&firm={firm}")
+    found = _history(parse_controls(control)[0], f"&plan={plan}&firm={firm}")
     gone = set(found["withdrawn"])
-    show(
+    print_result(
         found,
         as_json,
         ["revision", "kind", "of", "holds from", "decided", "note"],
@@ -174,7 +174,7 @@
 def _history(control: Control, query: str = "", after: int = 0) -> dict[str, Any]:
     changes: list[Any] = []
     while True:
-        found = call(control, "GET", f"/v1/changes?after={after}{query}")
+        found = call_control(control, "GET", f"/v1/changes?after={after}{query}")
         changes += found["changes"]
         if not found["more"]:
             return {**found, "changes": changes}
@@ -183,20 +183,20 @@
 
 @app.command()
 def sync(
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """Tell each daemon the changes that it has missed, from the one that has most."""
-    found = controls(control)
-    revisions = {one: int(call(one, "GET", "/v1/plans")["revision"]) for one in found}
+    found = parse_controls(control)
+    revisions = {one: int(call_control(one, "GET", "/v1/plans")["revision"]) for one in found}
     source = max(found, key=lambda one: revisions[one])
     sent = {}
     for one in found:
         missed = _history(source, after=revisions[one])["changes"] if revisions[one] < revisions[source] else []
         for change in missed:
-            call(one, "POST", "/v1/changes", change)
+            call_control(one, "POST", "/v1/changes", change)
         sent[one.name] = len(missed)
-    show(
+    print_result(
         {"revision": revisions[source], "sent": sent},
         as_json,
         ["daemon", "changes sent"],
--- a/brackenpulley/commands/reservations.py
+++ b/brackenpulley/commands/reservations.py
@@ -7,21 +7,21 @@
 
 import typer
 
-from .common import AsJson, Where, call, controls, show
+from .common import ControlAddresses, JsonOutput, call_control, parse_controls, print_result
 
 app = typer.Typer(no_args_is_help=True, help="Units held for requests to come.")
 COLUMNS = ["id", "firm", "plan", "units", "state", "kind", "charged", "endsIn"]
 
 
 def _show(found: Any, as_json: bool) -> None:
-    show(found, as_json, COLUMNS, [[found[name] for name in COLUMNS]])
+    print_result(found, as_json, COLUMNS, [[found[name] for name in COLUMNS]])
 
 
 @app.command("list")
-def list_held(control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def list_held(control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """What is held now, the one that ends first at the top."""
-    found = call(controls(control)[0], "GET", "/v1/reservations")
-    show(
+    found = call_control(parse_controls(control)[0], "GET", "/v1/reservations")
+    print_result(
         found,
         as_json,
         COLUMNS,
@@ -39,8 +39,8 @@
     plan: Annotated[str, typer.Option(help="Where the book does not know the firm.")] = "",
     spread: int = 1,
     first: int = 0,
-    control: Where = [],  # noqa: B006
-    as_json: AsJson = False,
+    control: ControlAddresses = [],  # noqa: B006
+    as_json: JsonOutput = False,
 ) -> None:
     """Hold units for a firm; a message names them with X-Reservation."""
     body = {
@@ -52,16 +52,18 @@
         "spread": spread,
         "first": first,
     }
-    _show(call(controls(control)[0], "POST", "/v1/reservations", body), as_json)
+    _show(call_control(parse_controls(control)[0], "POST", "/v1/reservations", body), as_json)
 
 
 @app.command()
-def commit(ident: str, units: float, control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def commit(ident: str, units: float, control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """What it was held for has run, and used these units."""
-    _show(call(controls(control)[0], "POST", f"/v1/reservations/{ident}/commit", {"units": units}), as_json)
+    _show(
+        call_control(parse_controls(control)[0], "POST", f"/v1/reservations/{ident}/commit", {"units": units}), as_json
+    )
 
 
 @app.command()
-def release(ident: str, control: Where = [], as_json: AsJson = False) -> None:  # noqa: B006
+def release(ident: str, control: ControlAddresses = [], as_json: JsonOutput = False) -> None:  # noqa: B006
     """It will not run: all is returned."""
-    _show(call(controls(control)[0], "POST", f"/v1/reservations/{ident}/release"), as_json)
+    _show(call_control(parse_controls(control)[0], "POST", f"/v1/reservations/{ident}/release"), as_json)
