--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -1,4 +1,6 @@
-"""One daemon among stand-ins in one process: what it served, counted and exported, and whether that agrees."""
+"""The `demo` command: one daemon between simulated clients, servers and billing in one process.
+
+Reports what was served, counted and exported, and whether the three agree."""
 
 from __future__ import annotations
 
@@ -28,45 +30,52 @@
 from ..standins.settings import PLANS, settings
 from .common import print_result
 
-FIRMS, SERVERS, PERIOD = 6, 3, 1.0
+FIRM_COUNT = 6
+SERVER_COUNT = 3
+LEDGER_PERIOD_SECONDS = 1.0
 
 
-class Quiet:
-    """The summary is what people look at: only faults are printed."""
+class ErrorsOnlyLogger:
+    """Logger that prints errors only, so that the summary stays readable."""
 
-    def info(self, event: str, **more: Any) -> None:
+    def info(self, event: str, **fields: Any) -> None:
+        """Drops the event."""
         pass
 
-    def error(self, event: str, **more: Any) -> None:
-        structlog.get_logger().error(event, **more)
+    def error(self, event: str, **fields: Any) -> None:
+        """Logs the event as an error."""
+        structlog.get_logger().error(event, **fields)
+
+    def exception(self, event: str, **fields: Any) -> None:
+        """Logs the event with the current traceback."""
+        structlog.get_logger().exception(event, **fields)
 
-    def exception(self, event: str, **more: Any) -> None:
-        structlog.get_logger().exception(event, **more)
 
+def _post(path: str, target: str, body: bytes, run_until: Callable[[Any, float], bool]) -> int:
+    """Posts to the control API and returns the status, or 0 after 5 s.
 
-def _post(path: str, target: str, body: bytes, turn_until: Callable[[Any, float], bool]) -> int:
-    """The status of a call to the daemon's control API, which answers in this same thread."""
+    The daemon runs in the same thread, so its loop has to be run while the response is awaited."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(path)
         sock.setblocking(False)
         sock.sendall(f"POST {target} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
-        answer = bytearray()
+        response = bytearray()
 
-        def there() -> bool:
+        def has_response() -> bool:
             with contextlib.suppress(BlockingIOError):
-                answer.extend(sock.recv(4096))
-            return b"\r\n\r\n" in answer
+                response.extend(sock.recv(4096))
+            return b"\r\n\r\n" in response
 
-        return int(answer.split(b" ")[1]) if turn_until(there, 5) else 0
+        return int(response.split(b" ")[1]) if run_until(has_response, 5) else 0
 
 
 def run(seconds: float, seed: int, as_json: bool) -> int:
-    """0 where served, counted and exported use agree."""
+    """Runs the demo, prints the summary and returns 0 if served, counted and exported use agree, else 1."""
     rng, clock = random.Random(seed), wall_clock()
-    log = Quiet()
-    outside = Loop(clock, Metrics(), log)  # what stands around the daemon has a loop of its own, turned beside it
-    servers = [SimServer(outside, f"s-{n}", random.Random(seed + n)) for n in range(SERVERS)]
-    discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
+    log = ErrorsOnlyLogger()
+    outer_loop = Loop(clock, Metrics(), log)  # for the simulated peers; run alternately with the daemon's loop
+    servers = [SimServer(outer_loop, f"s-{n}", random.Random(seed + n)) for n in range(SERVER_COUNT)]
+    discovery, counter, billing = Discovery(outer_loop, servers), Counter(outer_loop), Billing(outer_loop)
     with tempfile.TemporaryDirectory(prefix="bracken-demo-") as folder:
         operator = decode_operator(
             {
@@ -75,7 +84,7 @@
                 "reservations": {},
                 "ledger": {
                     "path": f"{folder}/ledger",
-                    "period_s": PERIOD,
+                    "period_s": LEDGER_PERIOD_SECONDS,
                     "grace_s": 0.5,
                     "export": {"url": f"http://{billing.listener.text}/use"},
                 },
@@ -96,65 +105,67 @@
         daemon.start(signals=False)
         assert daemon.north.listener is not None
         host, port = daemon.north.listener.getsockname()[:2]
-        firms = [Firm(0xB4D60000 + n, "school", 8.0 if n == 0 else 1.5, 1, 0) for n in range(FIRMS)]
-        load = Load(outside, [(host, port)], firms, rng)
+        firms = [Firm(0xB4D60000 + n, "school", 8.0 if n == 0 else 1.5, 1, 0) for n in range(FIRM_COUNT)]
+        load = Load(outer_loop, [(host, port)], firms, rng)
 
-        def turn_until(done: Any, longest: float) -> bool:
-            end = time.monotonic() + longest
-            while not done():
-                if time.monotonic() > end:
+        def run_until(is_done: Any, timeout: float) -> bool:
+            deadline = time.monotonic() + timeout
+            while not is_done():
+                if time.monotonic() > deadline:
                     return False
-                outside.run_once(0.002)
+                outer_loop.run_once(0.002)
                 daemon.loop.run_once(0.002)
             return True
 
-        faults = [] if turn_until(daemon.is_ready, 10) else ["the daemon was not ready in time"]
+        faults = [] if run_until(daemon.is_ready, 10) else ["the daemon was not ready in time"]
         begin = clock()
-        moved = firm_text(firms[0].key)
+        moved_firm = firm_text(firms[0].key)
         load.start()
-        turn_until(lambda: clock() >= begin + seconds / 2, seconds + 5)
-        change = Change(1, "move", at=clock(), since=clock(), plan="county", firm=moved)
-        if (status := _post(f"{folder}/control.sock", "/v1/changes", msgspec.json.encode(change), turn_until)) != 201:
+        run_until(lambda: clock() >= begin + seconds / 2, seconds + 5)
+        plan_change = Change(1, "move", at=clock(), since=clock(), plan="county", firm=moved_firm)
+        if (
+            status := _post(f"{folder}/control.sock", "/v1/changes", msgspec.json.encode(plan_change), run_until)
+        ) != 201:
             faults.append(f"the control API answered {status} to the change of plan")
-        middle = len(load.tries)
-        turn_until(lambda: clock() >= begin + seconds, seconds + 5)
+        tries_before_move = len(load.tries)
+        run_until(lambda: clock() >= begin + seconds, seconds + 5)
         load.stop()
         end = clock()
-        if not turn_until(lambda: load.out == 0, 10):
+        if not run_until(lambda: load.out == 0, 10):
             faults.append("messages without an answer")
-        if not turn_until(lambda: daemon.ledger.status()["openSums"] + daemon.ledger.status()["backlog"] == 0, 15):
+        if not run_until(lambda: daemon.ledger.status()["openSums"] + daemon.ledger.status()["backlog"] == 0, 15):
             faults.append("use that was not exported")
         counted = daemon.ledger.store.totals()
         faults += [fault for fault, _ in daemon.ledger.store.verify() if fault]
-        ran = [row for server in servers for row in server.ran]
-        verdict = audit.reconcile(ran, {}, counted, billing.units())
+        served_rows = [row for server in servers for row in server.ran]
+        verdict = audit.reconcile(served_rows, {}, counted, billing.units())
         faults += verdict.faults + audit.answered_once(load.tries, set())
-        over = audit.excess(ran, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
+        excesses = audit.excess(served_rows, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
         load.close()
         daemon.close()
         for listener in (discovery.listener, counter.listener, billing.listener, *(s.listener for s in servers)):
             listener.stop()
-        outside.close()
-    if not ran:
+        outer_loop.close()
+    if not served_rows:
         faults.append("nothing was served")
 
-    def part(tries: list[Any]) -> str:
-        mine = [one for one in tries if one.firm == firms[0].key]
-        return f"{sum(one.status == 200 for one in mine)} of {len(mine)}"
+    def served_of_total(client_tries: list[Any]) -> str:
+        own = [row for row in client_tries if row.firm == firms[0].key]
+        return f"{sum(row.status == 200 for row in own)} of {len(own)}"
 
     summary = {
         "seconds": round(end - begin, 1),
         "tries": len(load.tries),
         "served": sum(one.status == 200 for one in load.tries),
         "refused": sum(one.status in (429, 503) for one in load.tries),
-        "firmMoved": moved,
-        "servedOnSchool": part(load.tries[:middle]),
-        "servedOnCounty": part(load.tries[middle:]),
+        "firmMoved": moved_firm,
+        "servedOnSchool": served_of_total(load.tries[:tries_before_move]),
+        "servedOnCounty": served_of_total(load.tries[tries_before_move:]),
         "ranUnits": verdict.ran / audit.MICRO,
         "countedUnits": verdict.counted / audit.MICRO,
         "exportedUnits": verdict.billed / audit.MICRO,
         "exportedEvents": len(billing.events),
-        "unitsOverAllowance": round(sum(one.over for one in over), 2),
+        "unitsOverAllowance": round(sum(one.over for one in excesses), 2),
         "agree": not faults,
         "faults": faults,
     }
@@ -163,7 +174,7 @@
         as_json,
         ["", ""],
         [[name, value] for name, value in summary.items() if name != "faults"],
-        f"{SERVERS} sim servers, {FIRMS} firms; {json.dumps(PLANS)}",
+        f"{SERVER_COUNT} sim servers, {FIRM_COUNT} firms; {json.dumps(PLANS)}",
     )
     for fault in faults:
         print(f"brackenpulley: {fault}", file=sys.stderr)
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -1,6 +1,6 @@
-"""fleet run|check|status|start|stop|restart|reload|scale|logs|detach|reap: a host group's instances.
+"""The `fleet` commands: run and control the instances of a host group.
 
-Each takes the fleet's description; all but `run`, `check` and `reap` speak with its supervisor's control socket."""
+Each takes the fleet's description; all but `run`, `check` and `reap` call the control socket of its supervisor."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from .common import JsonOutput, call_control, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="A host group's instances under one supervisor.")
-File = Annotated[str, typer.Argument(help="The fleet's description, TOML; see deploy/fleet-group.toml.")]
-Some = Annotated[str, typer.Option("--instances", help="For example 3,5-8; all where it is not given.")]
-Wait = Annotated[float, typer.Option(help="s to wait for the end; 0 = not at all.")]
-SETTLED = ("ready", "down", "crashed")
+FleetFile = Annotated[str, typer.Argument(help="The fleet's description, TOML; see deploy/fleet-group.toml.")]
+InstanceRanges = Annotated[str, typer.Option("--instances", help="Instances, for example 3,5-8; default: all.")]
+WaitSeconds = Annotated[float, typer.Option(help="Seconds to wait for completion; 0 = return at once.")]
+SETTLED_STATES = ("ready", "down", "crashed")
 
 
-def _spec(file: str) -> Fleet:
+def _load_fleet(file: str) -> Fleet:
     try:
         return load(file)
     except ConfigError as error:
         raise report_error(str(error)) from None
 
 
-def _control(file: str) -> Control:
-    return Control(f"unix:{_spec(file).control}")
+def _supervisor_control(file: str) -> Control:
+    return Control(f"unix:{_load_fleet(file).control}")
 
 
-def numbers(text: str) -> list[int] | None:
-    """'3,5-8' as [3, 5, 6, 7, 8]; none for nothing. Raises ValueError."""
+def parse_instance_ranges(text: str) -> list[int] | None:
+    """Parses '3,5-8' as [3, 5, 6, 7, 8] and an empty text as None. Raises ValueError with the invalid part."""
     if not text:
         return None
     found: list[int] = []
@@ -51,19 +51,19 @@
     return found
 
 
-def _body(text: str, **more: Any) -> dict[str, Any]:
+def _instances_body(text: str, **fields: Any) -> dict[str, Any]:
     try:
-        return {"instances": numbers(text), **more}
+        return {"instances": parse_instance_ranges(text), **fields}
     except ValueError as error:
-        raise report_error(f"--instances: {str(error)!r} is no number and no range") from None
+        raise report_error(f"--instances: {str(error)!r} is neither a number nor a range such as 5-8") from None
 
 
 @app.command()
-def run(file: File) -> None:
-    """Start the fleet and stay in the foreground; SIGTERM stops it in order, SIGHUP takes its files anew.
+def run(file: FleetFile) -> None:
+    """Start the fleet in the foreground; SIGTERM stops it in order, SIGHUP reloads its files.
 
-    A supervisor that was killed leaves its instances serving: the next `run` takes them over."""
-    spec = _spec(file)
+    A supervisor that was killed leaves its instances serving: the next `run` adopts them."""
+    spec = _load_fleet(file)
     from ..fleet.run import supervise
 
     try:
@@ -74,26 +74,26 @@
 
 
 @app.command()
-def check(file: File, as_json: JsonOutput = False) -> None:
-    """Whether each instance could start with this description and its files."""
-    spec = _spec(file)
+def check(file: FleetFile, as_json: JsonOutput = False) -> None:
+    """Check that every instance can start with this description and its files."""
+    spec = _load_fleet(file)
     from ..fleet.files import Base
 
     try:
         Base.read(spec)
     except ConfigError as error:
         raise report_error(str(error)) from None
-    at = spec.listens()
+    listen_addresses = spec.listens()
     found = {
         "fleet": spec.fleet.name,
         "instances": spec.fleet.instances,
-        "addresses": len(at),
-        "first": f"{at[0][0]}:{at[0][1]}",
+        "addresses": len(listen_addresses),
+        "first": f"{listen_addresses[0][0]}:{listen_addresses[0][1]}",
     }
     print_result(found, as_json, list(found), [list(found.values())])
 
 
-def _health(row: dict[str, Any]) -> list[Any]:
+def _health_cells(row: dict[str, Any]) -> list[Any]:
     health = row["health"]
     if not health:
         return ["", "", "", "", ""]
@@ -107,9 +107,9 @@
 
 
 @app.command()
-def status(file: File, as_json: JsonOutput = False) -> None:
-    """Each instance: its state, process, part and health. Exit code 3 where fewer are ready than wanted."""
-    found = call_control(_control(file), "GET", "/v1/fleet")
+def status(file: FleetFile, as_json: JsonOutput = False) -> None:
+    """Show the state, process, share and health of each instance. Exit code 3 if fewer are ready than wanted."""
+    found = call_control(_supervisor_control(file), "GET", "/v1/fleet")
     wanted = sum(row["instance"] not in found["stopped"] for row in found["places"])
     print_result(
         found,
@@ -138,7 +138,7 @@
                 row["listen"],
                 row["restarts"],
                 row["sharing"],
-                *_health(row),
+                *_health_cells(row),
                 row["why"],
             ]
             for row in found["places"]
@@ -150,36 +150,42 @@
         raise typer.Exit(3)
 
 
-def _wait(control: Control, wait: float, over: Callable[[dict[str, Any]], bool], what: str) -> dict[str, Any]:
-    """Until it is over, with a bar in a terminal. Exit 1 where the time is."""
+def _wait_until(
+    control: Control, wait: float, is_finished: Callable[[dict[str, Any]], bool], action: str
+) -> dict[str, Any]:
+    """Polls the supervisor until the action is finished, with a progress bar in a terminal.
+
+    Returns the last status; raises typer.Exit(1) after `wait` seconds."""
     from rich.console import Console
     from rich.progress import Progress
 
     end = time.monotonic() + wait
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty()) as progress:
-        task = progress.add_task(what, total=None)
+        task = progress.add_task(action, total=None)
         while True:
             found: dict[str, Any] = call_control(control, "GET", "/v1/fleet")
-            rolling = found["rolling"]
+            roll = found["rolling"]
             done, total = found["ready"], found["instances"]
-            if rolling and not rolling["over"]:
-                done = len(rolling["done"])
-                total = done + len(rolling["left"]) + len(rolling["underWay"])
+            if roll and not roll["over"]:
+                done = len(roll["done"])
+                total = done + len(roll["left"]) + len(roll["underWay"])
             progress.update(task, completed=done, total=total)
-            if over(found):
+            if is_finished(found):
                 return found
             if time.monotonic() > end:
-                raise report_error(f"{what}: not over after {wait:g} s; see `fleet status`", 1)
+                raise report_error(f"{action}: not finished after {wait:g} s; see `fleet status`", 1)
             time.sleep(0.1)
 
 
-def _settled(found: dict[str, Any]) -> bool:
-    return all(row["state"] in SETTLED for row in found["places"])
+def _is_settled(found: dict[str, Any]) -> bool:
+    return all(row["state"] in SETTLED_STATES for row in found["places"])
 
 
-def _brief(control: Control, wait: float, over: Callable[[dict[str, Any]], bool], what: str, as_json: bool) -> None:
-    """How the fleet stands once that is over, or now where nobody waits."""
-    found = _wait(control, wait, over, what) if wait else call_control(control, "GET", "/v1/fleet")
+def _print_summary(
+    control: Control, wait: float, is_finished: Callable[[dict[str, Any]], bool], action: str, as_json: bool
+) -> None:
+    """Prints the state of the fleet after the action, or the current one if `wait` is 0."""
+    found = _wait_until(control, wait, is_finished, action) if wait else call_control(control, "GET", "/v1/fleet")
     rows = {
         "ready": found["ready"],
         "instances": found["instances"],
@@ -192,23 +198,27 @@
 
 
 @app.command()
-def start(file: File, instances: Some = "", wait: Wait = 60.0, as_json: JsonOutput = False) -> None:
-    """Start what is stopped, or was given up as a crash loop."""
-    control = _control(file)
-    call_control(control, "POST", "/v1/fleet/start", _body(instances))
-    _brief(control, wait, _settled, "start", as_json)
+def start(
+    file: FleetFile, instances: InstanceRanges = "", wait: WaitSeconds = 60.0, as_json: JsonOutput = False
+) -> None:
+    """Start instances that are stopped or were given up after a crash loop."""
+    control = _supervisor_control(file)
+    call_control(control, "POST", "/v1/fleet/start", _instances_body(instances))
+    _print_summary(control, wait, _is_settled, "start", as_json)
 
 
 @app.command()
 def stop(
-    file: File,
-    instances: Some = "",
-    everything: Annotated[bool, typer.Option("--supervisor", help="The supervisor too, once all are down.")] = False,
-    wait: Wait = 60.0,
+    file: FleetFile,
+    instances: InstanceRanges = "",
+    everything: Annotated[
+        bool, typer.Option("--supervisor", help="Stop the supervisor too, once all instances are down.")
+    ] = False,
+    wait: WaitSeconds = 60.0,
     as_json: JsonOutput = False,
 ) -> None:
-    """Stop in order: /ready says no, SIGTERM, and SIGKILL after the deadline."""
-    control = _control(file)
+    """Stop in order: /ready reports not ready, then SIGTERM, and SIGKILL after the deadline."""
+    control = _supervisor_control(file)
     if everything:
         found = call_control(control, "POST", "/v1/fleet/end", {})
         end = time.monotonic() + wait
@@ -221,25 +231,26 @@
             time.sleep(0.1)
         print_result(found, as_json)
         return
-    call_control(control, "POST", "/v1/fleet/stop", _body(instances))
-    _brief(control, wait, _settled, "stop", as_json)
+    call_control(control, "POST", "/v1/fleet/stop", _instances_body(instances))
+    _print_summary(control, wait, _is_settled, "stop", as_json)
 
 
 @app.command()
 def restart(
-    file: File,
-    instances: Some = "",
-    at_once: Annotated[int, typer.Option(help="Instances that are away at the same time.")] = 1,
-    wait: Wait = 600.0,
+    file: FleetFile,
+    instances: InstanceRanges = "",
+    at_once: Annotated[int, typer.Option(help="Instances restarted at the same time.")] = 1,
+    wait: WaitSeconds = 600.0,
     as_json: JsonOutput = False,
 ) -> None:
-    """A few at a time, each back and noticed by the front before the next goes. Stops where one does not come back:
-    what is left runs as before, and exit code 1 says so."""
-    control = _control(file)
-    call_control(control, "POST", "/v1/fleet/restart", _body(instances, atOnce=at_once))
+    """Restart in turns; each instance is ready, and known to the load balancer in front, before the next one starts.
+
+    Stops at an instance that does not become ready: the rest runs as before, and the exit code is 1."""
+    control = _supervisor_control(file)
+    call_control(control, "POST", "/v1/fleet/restart", _instances_body(instances, atOnce=at_once))
     if not wait:
         return
-    found = _wait(control, wait, lambda found: bool(found["rolling"]["over"]), "restart")["rolling"]
+    found = _wait_until(control, wait, lambda found: bool(found["rolling"]["over"]), "restart")["rolling"]
     print_result(
         found,
         as_json,
@@ -251,13 +262,13 @@
 
 
 @app.command()
-def reload(file: File, wait: Wait = 10.0, as_json: JsonOutput = False) -> None:
-    """Take the description and its files anew. All instances do, or none, and one line says why."""
-    control = _control(file)
+def reload(file: FleetFile, wait: WaitSeconds = 10.0, as_json: JsonOutput = False) -> None:
+    """Reload the description and its files, on all instances or on none; an error names the reason."""
+    control = _supervisor_control(file)
     call_control(control, "POST", "/v1/fleet/reload", {})
-    found = _wait(control, wait, lambda found: not found["reloading"], "reload")
+    found = _wait_until(control, wait, lambda found: not found["reloading"], "reload")
     if found["reloadFailed"]:
-        raise report_error(f"reload: {found['reloadFailed']}; nobody has changed", 1)
+        raise report_error(f"reload: {found['reloadFailed']}; no instance was changed", 1)
     old = [row["instance"] for row in found["places"] if row["old"]]
     print_result(
         {"reloaded": True, "oldUntilRestarted": old},
@@ -268,35 +279,35 @@
 
 
 @app.command()
-def scale(file: File, instances: int, wait: Wait = 120.0, as_json: JsonOutput = False) -> None:
-    """So many instances from now on, kept for the next supervisor; the highest numbers go first."""
-    control = _control(file)
+def scale(file: FleetFile, instances: int, wait: WaitSeconds = 120.0, as_json: JsonOutput = False) -> None:
+    """Set the number of instances, also for later supervisors; the highest numbers are removed first."""
+    control = _supervisor_control(file)
     call_control(control, "POST", "/v1/fleet/scale", {"instances": instances})
 
-    def over(found: dict[str, Any]) -> bool:
-        return _settled(found) and len(found["places"]) == instances
+    def is_finished(found: dict[str, Any]) -> bool:
+        return _is_settled(found) and len(found["places"]) == instances
 
-    _brief(control, wait, over, "scale", as_json)
+    _print_summary(control, wait, is_finished, "scale", as_json)
 
 
 @app.command()
 def logs(
-    file: File,
-    instance: Annotated[int, typer.Option(help="Of this one alone.")] = -1,
-    follow: Annotated[bool, typer.Option("--follow", "-f", help="Go on with what comes.")] = False,
-    lines: Annotated[int, typer.Option(help="To look back on.")] = 50,
+    file: FleetFile,
+    instance: Annotated[int, typer.Option(help="Only lines of this instance.")] = -1,
+    follow: Annotated[bool, typer.Option("--follow", "-f", help="Keep printing new lines.")] = False,
+    lines: Annotated[int, typer.Option(help="Number of recent lines to print first.")] = 50,
     as_json: JsonOutput = False,
 ) -> None:
-    """The instances' lines in one stream, each with its instance and process."""
+    """Print the log lines of all instances as one stream, each with its instance and process."""
     import json
 
-    control = _control(file)
+    control = _supervisor_control(file)
     which = f"&instance={instance}" if instance >= 0 else ""
     path = f"/v1/fleet/logs?most={lines}{which}"
     while True:
         found = call_control(control, "GET", path)
         if found["missed"]:
-            print(f"brackenpulley: {found['missed']} lines were let go before they were read", file=sys.stderr)
+            print(f"brackenpulley: {found['missed']} lines were dropped before they were read", file=sys.stderr)
         for line in found["lines"]:
             print(json.dumps(line) if as_json else line["text"], flush=True)
         if not follow:
@@ -307,17 +318,19 @@
 
 
 @app.command()
-def detach(file: File, as_json: JsonOutput = False) -> None:
-    """End the supervisor alone, for a new version of it: the instances go on, and the next `fleet run` has them."""
-    print_result(call_control(_control(file), "POST", "/v1/fleet/detach", {}), as_json)
+def detach(file: FleetFile, as_json: JsonOutput = False) -> None:
+    """Stop only the supervisor, for instance to upgrade it; the next `fleet run` adopts the running instances."""
+    print_result(call_control(_supervisor_control(file), "POST", "/v1/fleet/detach", {}), as_json)
 
 
 @app.command()
 def reap(
-    file: File, deadline: Annotated[float, typer.Option(help="s until SIGKILL.")] = 15.0, as_json: JsonOutput = False
+    file: FleetFile,
+    deadline: Annotated[float, typer.Option(help="Seconds until SIGKILL.")] = 15.0,
+    as_json: JsonOutput = False,
 ) -> None:
-    """End what a supervisor that is gone left behind. Not while one runs."""
-    spec = _spec(file)
+    """Stop the instances that a dead supervisor left running. Fails while a supervisor runs."""
+    spec = _load_fleet(file)
     from ..fleet.process import search
     from ..lock import FileLock
 
@@ -328,13 +341,13 @@
     except FileNotFoundError:
         raise report_error(f"fleet.run: {spec.fleet.run}: no fleet has run there", 1) from None
     found = search(Path(spec.fleet.run))
-    for number in (signal.SIGTERM, signal.SIGKILL):
-        for one in search(Path(spec.fleet.run)):
+    for signal_number in (signal.SIGTERM, signal.SIGKILL):
+        for process in search(Path(spec.fleet.run)):
             with contextlib.suppress(ProcessLookupError):
-                os.kill(one.pid, number)
+                os.kill(process.pid, signal_number)
         end = time.monotonic() + deadline
         while search(Path(spec.fleet.run)) and time.monotonic() < end:
             time.sleep(0.05)
     lock.close()
-    rows = [{"instance": one.place, "pid": one.pid} for one in found]
+    rows = [{"instance": process.place, "pid": process.pid} for process in found]
     print_result(rows, as_json, ["ended instance", "pid"], [[row["instance"], row["pid"]] for row in rows])
