--- a/brackenpulley/commands/growth.py
+++ b/brackenpulley/commands/growth.py
@@ -1,4 +1,4 @@
-"""growth count LOG...: what a whole fleet did, from its ingresses' logs."""
+"""The `growth count` command: counts over a whole fleet, from the logs of its ingresses."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from ..growth.merge import Merged
 from .common import JsonOutput, print_result, report_error
 
-app = typer.Typer(no_args_is_help=True, help="Counting over a whole fleet.")
+app = typer.Typer(no_args_is_help=True, help="Counts over a whole fleet.")
 
 
 @app.callback()
 def growth() -> None:
-    """Counting over a whole fleet."""
+    """Counts over a whole fleet."""
 
 
-def _files(names: list[str]) -> Iterator[str]:
+def _log_files(names: list[str]) -> Iterator[str]:
     for name in names:
         if os.path.isdir(name):
             yield from sorted(os.path.join(name, file) for file in os.listdir(name) if file.endswith(".log"))
@@ -30,28 +30,28 @@
 
 @app.command()
 def count(
-    logs: Annotated[list[str], typer.Argument(help="Logs, a file an ingress, or folders of *.log.")],
-    by: Annotated[str, typer.Option(help="second, server or ingress")] = "second",
+    logs: Annotated[list[str], typer.Argument(help="Log files, one per ingress, or folders of *.log files.")],
+    by: Annotated[str, typer.Option(help="Group by second, server or ingress.")] = "second",
     as_json: JsonOutput = False,
 ) -> None:
-    """Merge the logs of ingresses that ran with `[log] seconds = true`, and count over all of them."""
+    """Merge the logs of ingresses that ran with `[log] seconds = true` and print their total counts."""
     if by not in ("second", "server", "ingress"):
         raise report_error(f"--by: {by!r} is none of second, server, ingress")
-    merged = Merged()
-    for path in _files(logs):
+    merged_logs = Merged()
+    for path in _log_files(logs):
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
-                merged.add(os.path.basename(path).removesuffix(".log"), file)
+                merged_logs.add(os.path.basename(path).removesuffix(".log"), file)
         except OSError as error:
             raise report_error(f"{path}: {error.strerror}") from None
-    for name, log in merged.logs.items():
+    for name, log in merged_logs.logs.items():
         if log.bad:
             print(f"brackenpulley: {name}: {log.bad} lines are no records, the first: {log.first_bad}", file=sys.stderr)
-    if not any(log.records for log in merged.logs.values()):
+    if not any(log.records for log in merged_logs.logs.values()):
         raise report_error("no record in these logs: was [log] seconds set? See deploy/growth.toml", 1)
-    rows = merged.table() if by == "second" else merged.by(by)
+    rows = merged_logs.table() if by == "second" else merged_logs.by(by)
     print_result(
-        merged.whole() if as_json else rows,
+        merged_logs.whole() if as_json else rows,
         as_json,
         list(rows[0]) if rows else [by],
         (row.values() for row in rows),
--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -1,4 +1,4 @@
-"""ledger show|entries|verify|export|push|replay"""
+"""The `ledger` commands: inspect, verify, export and resend counted use."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ..ledger.tally import MICRO
 from .common import ControlAddresses, JsonOutput, call_control, parse_controls, print_result, report_error
 
-app = typer.Typer(no_args_is_help=True, help="Counted use, and its way to billing.")
-Path = Annotated[str, typer.Option("--path", help="The ledger's folder, as in the operator's file.")]
-EVERY = 500  # entries between moves of the progress bar
+app = typer.Typer(no_args_is_help=True, help="Counted use and its export to billing.")
+LedgerPath = Annotated[str, typer.Option("--path", help="The ledger's folder, as in the operator's file.")]
+PROGRESS_INTERVAL = 500  # entries between updates of the progress bar
 
 
-def _open(path: str, write: bool = False) -> Store:
+def _open_store(path: str, write: bool = False) -> Store:
     try:
         if not path:
             raise LedgerError("--path: not given; the ledger's folder, as in the operator's file")
@@ -32,23 +32,23 @@
         raise report_error(str(error)) from None
 
 
-def _progress(what: str, total: int) -> tuple[Any, Any]:
+def _start_progress(description: str, total: int) -> tuple[Any, Any]:
     from rich.console import Console
     from rich.progress import Progress
 
     bar = Progress(console=Console(stderr=True), disable=not sys.stderr.isatty())
-    return bar, bar.add_task(what, total=max(1, total))
+    return bar, bar.add_task(description, total=max(1, total))
 
 
 @app.command("show")
 def show_state(
-    path: Path = "",
+    path: LedgerPath = "",
     control: ControlAddresses = [],  # noqa: B006
     as_json: JsonOutput = False,
 ) -> None:
-    """Where the ledger stands, from a daemon (--control) or its folder (--path)."""
+    """Show the state of the ledger, from a daemon (--control) or from its folder (--path)."""
     if path:
-        store = _open(path)
+        store = _open_store(path)
         heads = store.heads()
         sums = store.sums()
         found = {
@@ -56,7 +56,7 @@
             "epoch": heads.epoch,
             "countedUnits": heads.counted / MICRO,
             "tries": heads.tries,
-            "openUnits": sum(one.units for one in sums.values()) / MICRO,
+            "openUnits": sum(open_sum.units for open_sum in sums.values()) / MICRO,
             "openSums": len(sums),
             "nextEntry": heads.next_seq,
             "acknowledged": heads.acked,
@@ -77,32 +77,35 @@
 
 @app.command()
 def entries(
-    path: Path = "", first: Annotated[int, typer.Option("--from")] = 1, most: int = 20, as_json: JsonOutput = False
+    path: LedgerPath = "",
+    first: Annotated[int, typer.Option("--from")] = 1,
+    most: int = 20,
+    as_json: JsonOutput = False,
 ) -> None:
-    """Entries, from a sequence number on."""
+    """Print entries from a sequence number on."""
     from ..ledger.files import COLUMNS, csv_row
     from ..ledger.upload import event
 
-    store = _open(path)
+    store = _open_store(path)
     found = list(store.entries(first, most))
     store.end()
-    print_result([event(one) for one in found], as_json, list(COLUMNS), [csv_row(one) for one in found])
+    print_result([event(entry) for entry in found], as_json, list(COLUMNS), [csv_row(entry) for entry in found])
 
 
 @app.command()
-def verify(path: Path = "", as_json: JsonOutput = False) -> None:
-    """Check the whole store: sums, gaps, entries exported twice. Exit code 1 with the first fault named."""
-    store = _open(path)
+def verify(path: LedgerPath = "", as_json: JsonOutput = False) -> None:
+    """Check the whole store for wrong sums, gaps and entries exported twice. Exit code 1 with the first fault."""
+    store = _open_store(path)
     seen, fault = 0, ""
     try:
         heads = store.heads()
-        bar, task = _progress("verifying", heads.next_seq - heads.first)
+        bar, task = _start_progress("verifying", heads.next_seq - heads.first)
         with bar:
             for found, seen in store.verify():
                 if found:
                     fault = found
                     break
-                if seen % EVERY == 0:
+                if seen % PROGRESS_INTERVAL == 0:
                     bar.update(task, completed=seen)
     except LedgerError as error:
         raise report_error(str(error)) from None
@@ -118,22 +121,22 @@
 
 @app.command()
 def export(
-    out: Annotated[str, typer.Option("--out", help="The file; one that is there is gone on with.")],
-    path: Path = "",
+    out: Annotated[str, typer.Option("--out", help="Output file; an existing one is continued.")],
+    path: LedgerPath = "",
     kind: Annotated[str, typer.Option("--format", help="jsonl or csv.")] = "jsonl",
-    first: Annotated[int, typer.Option("--from", help="The first entry; else the first that is kept.")] = 0,
+    first: Annotated[int, typer.Option("--from", help="First entry; default: the first that is kept.")] = 0,
     as_json: JsonOutput = False,
 ) -> None:
-    """Write entries to a file. An interrupted export is gone on with by the same command."""
+    """Write entries to a file. The same command continues an interrupted export."""
     from ..ledger.files import export as write
 
     if kind not in ("jsonl", "csv"):
         raise report_error(f"--format: {kind!r} is neither jsonl nor csv")
-    store = _open(path)
+    store = _open_store(path)
     count = 0
     try:
         heads = store.heads()
-        bar, task = _progress("exporting", heads.next_seq - heads.first)
+        bar, task = _start_progress("exporting", heads.next_seq - heads.first)
         with bar:
             for count in write(store, out, kind, first or heads.first):
                 bar.update(task, completed=count)
@@ -146,27 +149,27 @@
 
 @app.command()
 def push(
-    url: Annotated[str, typer.Option(help="Billing: http://address:port/path")],
-    path: Path = "",
+    url: Annotated[str, typer.Option(help="URL of billing: http://address:port/path")],
+    path: LedgerPath = "",
     batch: int = 100,
-    patience: Annotated[float, typer.Option(help="Seconds without an entry taken.")] = 30.0,
+    patience: Annotated[float, typer.Option(help="Seconds without an accepted entry after which to give up.")] = 30.0,
     as_json: JsonOutput = False,
 ) -> None:
-    """Send a stopped daemon's entries to billing, under the ids that they have."""
+    """Send the entries of a stopped daemon to billing, under their original ids."""
     from ..ledger.push import push as send
     from ..operator import parse_billing_url
 
     try:
-        at, target = parse_billing_url(url, "--url")
+        address, target = parse_billing_url(url, "--url")
     except ConfigError as error:
         raise report_error(str(error)) from None
-    store = _open(path, write=True)
+    store = _open_store(path, write=True)
     taken = 0
     try:
         heads = store.heads()
-        bar, task = _progress("sending", heads.backlog)
+        bar, task = _start_progress("sending", heads.backlog)
         with bar:
-            for taken, _ in send(store, at, target, batch, patience):
+            for taken, _ in send(store, address, target, batch, patience):
                 bar.update(task, completed=taken)
     except LedgerError as error:
         raise report_error(str(error), 1) from None
@@ -177,14 +180,14 @@
 
 @app.command()
 def replay(
-    first: Annotated[int, typer.Option("--from", help="The first entry that billing lost.")],
+    first: Annotated[int, typer.Option("--from", help="First entry that billing lost.")],
     control: ControlAddresses = [],  # noqa: B006
-    path: Path = "",
+    path: LedgerPath = "",
     as_json: JsonOutput = False,
 ) -> None:
-    """Send entries again, under the ids that they have: billing was restored from an older backup."""
+    """Send entries again under their original ids, for billing restored from an older backup."""
     if path:
-        store = _open(path, write=True)
+        store = _open_store(path, write=True)
         try:
             heads, _, _, _ = store.begin()
             store.replay(heads, first)
