--- a/brackenpulley/control/__init__.py
+++ b/brackenpulley/control/__init__.py
@@ -1,3 +1,4 @@
-"""The control API: how settings change in service. HTTP with JSON on a loopback address or a Unix socket.
+"""The control API, which changes settings at run time: HTTP with JSON on a loopback address or a Unix socket.
 
-`api` decodes and answers without I/O, `server` is its side on the daemon's loop, `client` the one of the commands."""
+`api` decodes requests and builds replies without I/O, `server` serves them on the daemon's loop, and `client` is used
+by the commands."""
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -1,7 +1,7 @@
-"""Requests of the control API: typed decoding, one table of routes, errors that name the field. No I/O.
+"""Requests of the control API: typed decoding, a table of routes, and errors that name the field. No I/O.
 
-A fault is `{"error": {"field": ..., "text": ...}}` with a 4xx, or a 5xx where the machine is at fault, and then nothing
-was changed. Every call may be repeated: what was done already is answered as it was the first time."""
+An error is `{"error": {"field": ..., "text": ...}}` with a 4xx status, or a 5xx where the host or the daemon is the
+cause; then nothing was changed. Every call is idempotent: a repeated one gets the reply of the first."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from ..address import ConfigError, parse_address
 
 T = TypeVar("T")
-At = re.compile(r" - at `\$\.?(.*)`$")
+ERROR_LOCATION = re.compile(r" - at `\$\.?(.*)`$")
 
 
 class ApiError(Exception):
-    """An answer other than 2xx."""
+    """An error reply: its status, the field at fault, a text, and the seconds for Retry-After (0 = no header)."""
 
     def __init__(self, status: int, field: str, text: str, after: float = 0.0) -> None:
         super().__init__(text)
@@ -29,65 +29,74 @@
 
 @dataclass(slots=True)
 class Request:
+    """A request to a route: method, path, query parameters and undecoded body."""
+
     method: str
     path: str
     query: dict[str, str]
     body: bytes
-    parts: tuple[str, ...] = ()  # what stands for the {} of the route
+    parts: tuple[str, ...] = ()  # path segments that matched a {} of the route
 
 
 @dataclass(slots=True)
 class Reply:
+    """An encoded reply. `after` is the Retry-After time in seconds, 0 for none."""
+
     status: int
     body: bytes
     after: float = 0.0
 
 
-def fault_of(error: msgspec.ValidationError) -> tuple[str, str]:
-    """The field's name and what is wrong with it."""
+def locate_error(error: msgspec.ValidationError) -> tuple[str, str]:
+    """Returns the name of the invalid field and what is wrong with it."""
     text = str(error)
-    if found := At.search(text):
-        told, at = text[: found.start()], found[1]
-        if inner := re.search(r"(?:missing required|contains unknown) field `([^`]+)`", told):
-            return f"{at}.{inner[1]}" if at else inner[1], "missing" if "missing" in told else "no such field"
-        return at or "body", told
+    if found := ERROR_LOCATION.search(text):
+        message, location = text[: found.start()], found[1]
+        if inner := re.search(r"(?:missing required|contains unknown) field `([^`]+)`", message):
+            return f"{location}.{inner[1]}" if location else inner[
+                1
+            ], "missing" if "missing" in message else "no such field"
+        return location or "body", message
     if found := re.search(r"(?:missing required|contains unknown) field `([^`]+)`", text):
         return found[1], "missing" if "missing" in text else "no such field"
     return "body", text
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Raises ApiError that names the field."""
+    """Decodes a JSON body as this type. Raises ApiError with the name of the invalid field."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.ValidationError as error:
-        field, told = fault_of(error)
-        raise ApiError(400, field, told) from None
+        field, message = locate_error(error)
+        raise ApiError(400, field, message) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ApiError(400, "body", f"not JSON: {error}") from None
 
 
-class Later:
-    """What a handler returns where the answer comes later; whoever serves the call says where it is to go."""
+class PendingReply:
+    """A reply that is not known yet: a handler returns it, and the server sets `on_reply` as its callback."""
 
     def __init__(self) -> None:
         self.reply: Reply | None = None
-        self.heard: Callable[[Reply], None] = lambda reply: None
+        self.on_reply: Callable[[Reply], None] = lambda reply: None
 
     def answer(self, body: Any, status: int = 200) -> None:
-        self._over(Reply(status, msgspec.json.encode(body) + b"\n"))
+        """Completes it with a JSON body."""
+        self._complete(Reply(status, msgspec.json.encode(body) + b"\n"))
 
     def fail(self, error: ApiError) -> None:
-        self._over(fault(error))
+        """Completes it with an error."""
+        self._complete(error_reply(error))
 
-    def _over(self, reply: Reply) -> None:
+    def _complete(self, reply: Reply) -> None:
         self.reply = reply
-        self.heard(reply)
+        self.on_reply(reply)
 
 
-def fault(error: ApiError) -> Reply:
-    shown = {"error": {"field": error.field, "text": error.text}}
-    return Reply(error.status, msgspec.json.encode(shown) + b"\n", error.after)
+def error_reply(error: ApiError) -> Reply:
+    """Encodes an error as a reply."""
+    content = {"error": {"field": error.field, "text": error.text}}
+    return Reply(error.status, msgspec.json.encode(content) + b"\n", error.after)
 
 
 Handler = Callable[[Request], Any]
@@ -95,14 +104,16 @@
 
 @dataclass(slots=True)
 class Routes:
-    """Paths with `{}` for one part each. Each optional part of the daemon adds its own rows."""
+    """Handlers by path and method; `{}` in a path matches one segment. Optional parts of the daemon add theirs."""
 
     rows: dict[str, dict[str, Handler]] = field(default_factory=dict)
 
     def add(self, method: str, path: str, handler: Handler) -> None:
+        """Registers the handler of a method and path."""
         self.rows.setdefault(path, {})[method] = handler
 
-    def answer(self, method: str, target: str, body: bytes) -> Reply | Later:
+    def answer(self, method: str, target: str, body: bytes) -> Reply | PendingReply:
+        """Calls the handler of a request; an ApiError, also for an unknown path or method, becomes an error reply."""
         path, _, query = target.partition("?")
         try:
             found = self._find(path)
@@ -111,60 +122,67 @@
             methods, parts = found
             if method not in methods:
                 raise ApiError(405, "method", f"{method[:20]}: {path[:100]} takes {', '.join(sorted(methods))}")
-            told = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
-            answer = methods[method](Request(method, path, told, body, parts))
-            if isinstance(answer, Later):
+            parameters = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
+            answer = methods[method](Request(method, path, parameters, body, parts))
+            if isinstance(answer, PendingReply):
                 return answer if answer.reply is None else answer.reply
-            status, found_body = answer if isinstance(answer, tuple) else (200, answer)
-            return Reply(status, msgspec.json.encode(found_body) + b"\n")
+            status, content = answer if isinstance(answer, tuple) else (200, answer)
+            return Reply(status, msgspec.json.encode(content) + b"\n")
         except ApiError as error:
-            return fault(error)
+            return error_reply(error)
 
     def _find(self, path: str) -> tuple[dict[str, Handler], tuple[str, ...]] | None:
         if path in self.rows:
             return self.rows[path], ()
         parts = path.split("/")
         for pattern, methods in self.rows.items():
-            wanted = pattern.split("/")
+            segments = pattern.split("/")
             if (
-                "{}" in wanted
-                and len(wanted) == len(parts)
-                and all(w in ("{}", p) for w, p in zip(wanted, parts, strict=True))
+                "{}" in segments
+                and len(segments) == len(parts)
+                and all(w in ("{}", p) for w, p in zip(segments, parts, strict=True))
             ):
-                return methods, tuple(p for w, p in zip(wanted, parts, strict=True) if w == "{}")
+                return methods, tuple(p for w, p in zip(segments, parts, strict=True) if w == "{}")
         return None
 
 
 class ReserveCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/reservations."""
+
     id: str
     firm: str
     units: float
     lifetime: float  # s
-    plan: str = ""  # where the book does not know the firm
+    plan: str = ""  # plan of the firm if the plan book does not list it
     spread: int = 1
     first: int = 0
 
 
 class CommitCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/reservations/{}/commit."""
+
     units: float
 
 
 class ReplayCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/ledger/replay."""
+
     seq: int = msgspec.field(name="from")
 
 
-def whole(request: Request, name: str, default: int, least: int, most: int) -> int:
+def parse_int(request: Request, name: str, default: int, least: int, most: int) -> int:
+    """Returns a whole number from the query. Raises ApiError unless it is from `least` to `most`."""
     text = request.query.get(name, str(default))
     if not (text.isascii() and text.isdigit() and least <= int(text[:12]) <= most):
-        raise ApiError(400, name, f"{text[:40]!r} is no whole number from {least} to {most}")
+        raise ApiError(400, name, f"{text[:40]!r} is not a whole number from {least} to {most}")
     return int(text)
 
 
 def plan_routes(routes: Routes, service: Any) -> None:
-    """`service` is a plans.service.PlanService."""
+    """Adds the routes of the plan book. `service` is a plans.service.PlanService."""
     from ..plans.book import BookError, Change, firm_of, firm_text
 
-    def shown(plan: str, when: float) -> dict[str, Any] | None:
+    def plan_row(plan: str, when: float) -> dict[str, Any] | None:
         held = service.book.figures(plan, when)
         if held is None:
             return None
@@ -183,42 +201,42 @@
             "ceiling_slack": spec.ceiling_slack,
         }
 
-    def moment(request: Request) -> float:
+    def parse_when(request: Request) -> float:
         text = request.query.get("when", "")
         try:
             return float(text) if text else float(service.loop.clock())
         except ValueError:
-            raise ApiError(400, "when", f"{text[:40]!r} is no Unix time") from None
+            raise ApiError(400, "when", f"{text[:40]!r} is not a Unix time") from None
 
-    def plans(request: Request) -> Any:
-        when = moment(request)
+    def list_plans(request: Request) -> Any:
+        when = parse_when(request)
         return {
             "revision": service.book.revision,
             "when": when,
-            "plans": [row for plan in service.book.plans if (row := shown(plan, when))],
+            "plans": [row for plan in service.book.plans if (row := plan_row(plan, when))],
             "firms": len(service.book.firms),
         }
 
-    def plan(request: Request) -> Any:
-        row = shown(request.parts[0], moment(request))
+    def show_plan(request: Request) -> Any:
+        row = plan_row(request.parts[0], parse_when(request))
         if row is None:
             raise ApiError(404, "plan", f"no plan {request.parts[0][:40]!r}; there are {', '.join(service.book.plans)}")
         return row
 
-    def firm(request: Request) -> Any:
+    def show_firm(request: Request) -> Any:
         try:
             number = firm_of(request.parts[0])
         except BookError as error:
             raise ApiError(error.status, error.field, error.text) from None
-        name, revision = service.book.plan_of(number, moment(request))
+        name, revision = service.book.plan_of(number, parse_when(request))
         return {"firm": firm_text(number), "plan": name or None, "revision": revision}
 
-    def history(request: Request) -> Any:
+    def list_changes(request: Request) -> Any:
         try:
             changes = service.book.history(request.query.get("plan", ""), request.query.get("firm", ""))
         except BookError as error:
             raise ApiError(error.status, error.field, error.text) from None
-        after, most = whole(request, "after", 0, 0, 1 << 40), whole(request, "most", 200, 1, 1000)
+        after, most = parse_int(request, "after", 0, 0, 1 << 40), parse_int(request, "most", 200, 1, 1000)
         rows = [change for change in changes if change.revision > after]
         return {
             "revision": service.book.revision,
@@ -228,22 +246,22 @@
         }
 
     def change(request: Request) -> Any:
-        told = decode(request.body, Change)
+        call = decode(request.body, Change)
         try:
-            fresh = service.change(told)
+            is_new = service.change(call)
         except BookError as error:
             raise ApiError(error.status, error.field, error.text) from None
-        return 201 if fresh else 200, {"revision": told.revision, "taken": "now" if fresh else "before"}
+        return 201 if is_new else 200, {"revision": call.revision, "taken": "now" if is_new else "before"}
 
-    routes.add("GET", "/v1/plans", plans)
-    routes.add("GET", "/v1/plans/{}", plan)
-    routes.add("GET", "/v1/firms/{}", firm)
-    routes.add("GET", "/v1/changes", history)
+    routes.add("GET", "/v1/plans", list_plans)
+    routes.add("GET", "/v1/plans/{}", show_plan)
+    routes.add("GET", "/v1/firms/{}", show_firm)
+    routes.add("GET", "/v1/changes", list_changes)
     routes.add("POST", "/v1/changes", change)
 
 
 def reservation_routes(routes: Routes, service: Any) -> None:
-    """`service` is a plans.service.ReservationService."""
+    """Adds the routes of the reservations. `service` is a plans.service.ReservationService."""
     from ..plans.book import BookError, firm_of
     from ..plans.reservations import ReservationError
     from ..plans.service import row
@@ -254,141 +272,149 @@
         except (ReservationError, BookError) as error:
             raise ApiError(error.status, error.field, error.text) from None
 
-    def listed(request: Request) -> Any:
+    def list_held(request: Request) -> Any:
         now = service.loop.clock()
-        most = whole(request, "most", 200, 1, 10_000)
+        most = parse_int(request, "most", 200, 1, 10_000)
         held = service.table.held()
         return {
             "held": len(held),
             "units": service.table.units_held(),
-            "reservations": [row(one, now) for one in held[:most]],
+            "reservations": [row(reservation, now) for reservation in held[:most]],
         }
 
     def reserve(request: Request) -> Any:
-        told = decode(request.body, ReserveCall)
-        one, after = guard(
+        call = decode(request.body, ReserveCall)
+        reservation, after = guard(
             lambda: service.reserve(
-                told.id, firm_of(told.firm), told.plan, told.units, told.lifetime, told.spread, told.first
+                call.id, firm_of(call.firm), call.plan, call.units, call.lifetime, call.spread, call.first
             )
         )
-        if one is None:
-            raise ApiError(429, "units", f"not within the firm's allowance now; come back in {after:.3f} s", after)
-        return 201, row(one, service.loop.clock())
+        if reservation is None:
+            raise ApiError(429, "units", f"not within the firm's allowance now; retry in {after:.3f} s", after)
+        return 201, row(reservation, service.loop.clock())
 
-    def known(request: Request) -> Any:
-        one = service.table.known(request.parts[0])
-        if one is None:
+    def show_reservation(request: Request) -> Any:
+        reservation = service.table.known(request.parts[0])
+        if reservation is None:
             raise ApiError(404, "id", f"no reservation {request.parts[0][:70]}")
-        return row(one, service.loop.clock())
+        return row(reservation, service.loop.clock())
 
     def commit(request: Request) -> Any:
-        told = decode(request.body, CommitCall)
-        return row(guard(lambda: service.commit(request.parts[0], told.units)), service.loop.clock())
+        call = decode(request.body, CommitCall)
+        return row(guard(lambda: service.commit(request.parts[0], call.units)), service.loop.clock())
 
     def release(request: Request) -> Any:
         return row(guard(lambda: service.release(request.parts[0])), service.loop.clock())
 
-    routes.add("GET", "/v1/reservations", listed)
+    routes.add("GET", "/v1/reservations", list_held)
     routes.add("POST", "/v1/reservations", reserve)
-    routes.add("GET", "/v1/reservations/{}", known)
+    routes.add("GET", "/v1/reservations/{}", show_reservation)
     routes.add("POST", "/v1/reservations/{}/commit", commit)
     routes.add("POST", "/v1/reservations/{}/release", release)
 
 
 def ledger_routes(routes: Routes, service: Any) -> None:
-    """`service` is a ledger.service.LedgerService."""
+    """Adds the routes of the ledger. `service` is a ledger.service.LedgerService."""
     from ..ledger.store import LedgerError
     from ..ledger.upload import event
 
-    def entries(request: Request) -> Any:
-        first = whole(request, "from", 1, 1, 1 << 60)
-        most = whole(request, "most", 100, 1, 1000)
-        return {"entries": [event(one) for one in service.store.entries(first, most)]}
+    def list_entries(request: Request) -> Any:
+        first = parse_int(request, "from", 1, 1, 1 << 60)
+        most = parse_int(request, "most", 100, 1, 1000)
+        return {"entries": [event(entry) for entry in service.store.entries(first, most)]}
 
     def replay(request: Request) -> Any:
-        told = decode(request.body, ReplayCall)
+        call = decode(request.body, ReplayCall)
         try:
-            service.replay(told.seq)
+            service.replay(call.seq)
         except LedgerError as error:
             field, _, text = str(error).partition(": ")
             raise ApiError(409, field if field == "from" else "ledger", text) from None
         return service.status()
 
     routes.add("GET", "/v1/ledger", lambda request: service.status())
-    routes.add("GET", "/v1/ledger/entries", entries)
+    routes.add("GET", "/v1/ledger/entries", list_entries)
     routes.add("POST", "/v1/ledger/replay", replay)
 
 
 class GatewaysCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/gateways: the number of ingresses that share the quotas."""
+
     serial: Annotated[int, msgspec.Meta(ge=1)]
     count: Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-    until: float  # s of the host's monotonic clock; the end of a count below the one it was started with
+    until: float  # s of the host's monotonic clock until which a count below the initial one is valid
     part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0
 
 
 class FenceCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/gateways/fence."""
+
     serial: Annotated[int, msgspec.Meta(ge=0)]
 
 
 class KeyCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/members/keys: one step of a key rotation."""
+
     step: Literal["add", "use", "remove"]
     key: str = ""  # add: base64
     mark: str = ""  # use, remove: as `status` names it
 
 
 def gateway_routes(routes: Routes, service: Any) -> None:
-    """`service` is a fleet.gateways.GatewaysService."""
+    """Adds the routes of the ingress count. `service` is a fleet.gateways.GatewaysService."""
 
-    def hear(request: Request) -> Any:
-        told = decode(request.body, GatewaysCall)
-        if not service.hear(told.serial, told.count, told.until, told.part):
-            raise ApiError(409, "serial", f"{told.serial}: a newer word was heard, {service.told.serial}")
+    def set_count(request: Request) -> Any:
+        call = decode(request.body, GatewaysCall)
+        if not service.hear(call.serial, call.count, call.until, call.part):
+            raise ApiError(409, "serial", f"{call.serial}: a newer count was received, serial {service.told.serial}")
         return service.status()
 
     routes.add("GET", "/v1/gateways", lambda request: service.status())
     routes.add("POST", "/v1/gateways/fence", lambda request: service.fence(decode(request.body, FenceCall).serial))
-    routes.add("POST", "/v1/gateways", hear)
+    routes.add("POST", "/v1/gateways", set_count)
 
 
 def member_routes(routes: Routes, service: Any) -> None:
-    """`service` is a members.service.DaemonMembers."""
+    """Adds the routes of the membership. `service` is a members.service.DaemonMembers."""
     from ..members.keys import RingError
 
-    def key(request: Request) -> Any:
-        told = decode(request.body, KeyCall)
+    def rotate_key(request: Request) -> Any:
+        call = decode(request.body, KeyCall)
         try:
-            return service.key(told.step, told.key, told.mark)
+            return service.key(call.step, call.key, call.mark)
         except RingError as error:
             raise ApiError(
-                409 if told.step != "add" else 400, "mark" if told.step != "add" else "key", str(error)
+                409 if call.step != "add" else 400, "mark" if call.step != "add" else "key", str(error)
             ) from None
 
     routes.add("GET", "/v1/members", lambda request: service.status())
-    routes.add("POST", "/v1/members/keys", key)
+    routes.add("POST", "/v1/members/keys", rotate_key)
 
 
 class VoterCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/agreement/voters."""
+
     name: str
-    address: str = ""  # where its membership listens; "" = it goes
+    address: str = ""  # where its membership listens; "" removes the voter
 
 
 def agreement_routes(routes: Routes, service: Any) -> None:
-    """`service` is a consensus.service.AgreementService."""
+    """Adds the routes of the consensus group. `service` is a consensus.service.AgreementService."""
 
     def change(request: Request) -> Any:
-        told = decode(request.body, VoterCall)
-        if told.address:
+        call = decode(request.body, VoterCall)
+        if call.address:
             try:
-                parse_address(told.address, "address")
+                parse_address(call.address, "address")
             except ConfigError as error:
                 raise ApiError(400, "address", str(error)) from None
-        if said := service.change(told.name, told.address):
-            raise ApiError(409, "name", said)
+        if reason := service.change(call.name, call.address):
+            raise ApiError(409, "name", reason)
         return 202, service.status()
 
     def trust(request: Request) -> Any:
         if not service.trust():
-            raise ApiError(409, "voter", "no voter that is unsure of its disk")
+            raise ApiError(409, "voter", "no voter waits for its disk to be trusted")
         return service.status()
 
     routes.add("GET", "/v1/agreement", lambda request: service.status())
@@ -397,8 +423,8 @@
 
 
 class WorkCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Servers by name, or all of a zone or a cell (`whole` = "zone:hall-a", "cell:3") as they are listed here now; or
-    an ingress and its place."""
+    """Body of POST /v1/work: servers by name, all listed servers of a zone or cell (`whole` = "zone:hall-a", "cell:3"),
+    or an ingress and its place."""
 
     id: Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
     by: Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
@@ -412,60 +438,71 @@
 
 
 class ByCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of the calls that withdraw or override a work item: who asks for it."""
+
     by: Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
 
 
 class TokenCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of the calls that begin or finish a work item: its token."""
+
     token: int
 
 
 class EndedCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A process that somebody saw end, by the life that the status names."""
+    """Body of the calls that report an ended process, by its `life` from the status."""
 
     life: Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
     name: str = ""
 
 
-PATIENCE = 4.0  # s for something to be agreed: under what `control/client` waits
+AGREEMENT_TIMEOUT_SECONDS = 4.0  # below the timeout of `control.client`, so that the caller gets a reply
 
 
-def once_agreed(propose: Callable[[Callable[[Any], None]], None]) -> Later:
-    """What changes something agreed is answered when it is; `propose` is handed who wants the answer."""
-    later = Later()
+def once_agreed(propose: Callable[[Callable[[Any], None]], None]) -> PendingReply:
+    """Calls `propose` with a callback and returns a reply that is completed by it, or by its timeout."""
+    pending = PendingReply()
 
     def done(answer: Any) -> None:
         if answer is None:
-            later.fail(
-                ApiError(503, "agreement", f"nothing was agreed within {PATIENCE:g} s; it may be later: ask again", 1.0)
+            pending.fail(
+                ApiError(
+                    503,
+                    "agreement",
+                    f"nothing was agreed within {AGREEMENT_TIMEOUT_SECONDS:g} s; it may still be agreed: repeat it",
+                    1.0,
+                )
             )
         elif "error" in answer:
-            later.fail(
+            pending.fail(
                 ApiError(404 if answer["error"].startswith("no machine") else 409, answer["field"], answer["error"])
             )
         else:
-            later.answer(answer)
+            pending.answer(answer)
 
     propose(done)
-    return later
+    return pending
 
 
 def work_routes(routes: Routes, service: Any) -> None:
-    """`service` is a maintenance.service.MaintenanceService. What changes something is answered once it is agreed."""
+    """Adds the routes of maintenance work. `service` is a maintenance.service.MaintenanceService.
+
+    A call that changes something is answered once the change is agreed."""
     from ..maintenance.permits import Ask, Begin, Command, Finish, Override, Withdraw
 
     def agreed(command: Command) -> Any:
-        return once_agreed(lambda done: service.propose(command, done, PATIENCE))
+        return once_agreed(lambda done: service.propose(command, done, AGREEMENT_TIMEOUT_SECONDS))
 
-    def ask(request: Request) -> Any:
-        told = decode(request.body, WorkCall)
-        if bool(told.servers) + bool(told.whole) + bool(told.ingress) != 1 or bool(told.ingress) == (told.place < 0):
+    def request_work(request: Request) -> Any:
+        call = decode(request.body, WorkCall)
+        if bool(call.servers) + bool(call.whole) + bool(call.ingress) != 1 or bool(call.ingress) == (call.place < 0):
             raise ApiError(400, "servers", "either servers, a whole zone or cell, or an ingress and its place")
-        servers = told.servers or (service.port.group(told.whole) if told.whole else [])
-        if told.whole and not servers:
-            raise ApiError(404, "whole", f"no server of {told.whole} is listed here")
-        return agreed(Ask(told.id, told.by, servers, told.ingress, told.place, told.zone, told.urgency, told.deadline))
+        servers = call.servers or (service.port.group(call.whole) if call.whole else [])
+        if call.whole and not servers:
+            raise ApiError(404, "whole", f"no server of {call.whole} is listed here")
+        return agreed(Ask(call.id, call.by, servers, call.ingress, call.place, call.zone, call.urgency, call.deadline))
 
-    def one(request: Request) -> Any:
+    def show_work(request: Request) -> Any:
         job = service.permits.jobs.get(request.parts[0])
         if job is None:
             raise ApiError(404, "id", f"no machine {request.parts[0][:100]}")
@@ -481,14 +518,14 @@
         },
     )
 
-    def ended(request: Request) -> Any:
-        told = decode(request.body, EndedCall)
-        return once_agreed(lambda done: service.ended(told.name, told.life, done, PATIENCE))
+    def report_ended(request: Request) -> Any:
+        call = decode(request.body, EndedCall)
+        return once_agreed(lambda done: service.ended(call.name, call.life, done, AGREEMENT_TIMEOUT_SECONDS))
 
-    routes.add("POST", "/v1/work-ingresses/ended", ended)
+    routes.add("POST", "/v1/work-ingresses/ended", report_ended)
     routes.add("GET", "/v1/work-plan", lambda request: {"plan": service.plan()})
-    routes.add("POST", "/v1/work", ask)
-    routes.add("GET", "/v1/work/{}", one)
+    routes.add("POST", "/v1/work", request_work)
+    routes.add("GET", "/v1/work/{}", show_work)
     routes.add(
         "POST",
         "/v1/work/{}/begin",
@@ -512,19 +549,21 @@
 
 
 def limit_routes(routes: Routes, service: Any) -> None:
-    """`service` is a drains.service.DrainsService."""
+    """Adds the routes of the connection limits. `service` is a drains.service.DrainsService."""
 
-    def ended(request: Request) -> Any:
+    def report_ended(request: Request) -> Any:
         life = decode(request.body, EndedCall).life
-        return once_agreed(lambda done: service.ended(life, done, PATIENCE))
+        return once_agreed(lambda done: service.ended(life, done, AGREEMENT_TIMEOUT_SECONDS))
 
-    routes.add("POST", "/v1/limits/ended", ended)
+    routes.add("POST", "/v1/limits/ended", report_ended)
     routes.add("GET", "/v1/limits", lambda request: service.status())
     routes.add("GET", "/v1/limits/waves", lambda request: service.waves())
 
 
 class ConfigurationCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """On revision `base`. null takes an entry out: the file's holds again."""
+    """Body of POST /v1/configuration: a change on top of revision `base`.
+
+    A null removes an entry, so that the value from the file is in effect again."""
 
     base: Annotated[int, msgspec.Meta(ge=0)]
     by: str
@@ -535,51 +574,55 @@
 
 
 class RevertCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Body of POST /v1/configuration/revert."""
+
     to: Annotated[int, msgspec.Meta(ge=0)]
     by: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 
 
 def configuration_routes(routes: Routes, service: Any) -> None:
-    """`service` is a configuration.service.ConfigurationService. A change is answered once it holds here."""
+    """Adds the routes of the configuration. `service` is a configuration.service.ConfigurationService.
+
+    A change is answered once it is in effect on this ingress."""
     from ..configuration.rules import Change, ChangeError
     from ..plans.book import BookError, Figures, firm_of
 
-    def figures(name: str, told: Any) -> Figures | None:
+    def figures(name: str, values: Any) -> Figures | None:
         try:
-            return msgspec.convert(told, Figures | None)
+            return msgspec.convert(values, Figures | None)
         except msgspec.ValidationError as error:
-            field, text = fault_of(error)
+            field, text = locate_error(error)
             raise ApiError(400, f"plans.{name[:64]}" + ("" if field == "body" else f".{field}"), text) from None
 
-    def agreed(call: Callable[[Callable[[Any], None]], None]) -> Later:
+    def agreed(call: Callable[[Callable[[Any], None]], None]) -> PendingReply:
         try:
             return once_agreed(call)
         except ChangeError as error:
             raise ApiError(409 if error.field == "base" else 400, error.field, error.text) from None
 
     def change(request: Request) -> Any:
-        told = decode(request.body, ConfigurationCall)
+        call = decode(request.body, ConfigurationCall)
         try:
-            firms = {firm_of(firm, f"firms.{firm[:20]}"): plan for firm, plan in told.firms.items()}
+            firms = {firm_of(firm, f"firms.{firm[:20]}"): plan for firm, plan in call.firms.items()}
         except BookError as error:
             raise ApiError(error.status, error.field, error.text) from None
-        if len(firms) < len(told.firms):
-            raise ApiError(400, "firms", "a firm twice")
-        one = Change(
-            told.base,
-            told.by,
-            {name: figures(name, row) for name, row in told.plans.items()},
+        if len(firms) < len(call.firms):
+            raise ApiError(400, "firms", "a firm is given twice")
+        proposed = Change(
+            call.base,
+            call.by,
+            {name: figures(name, row) for name, row in call.plans.items()},
             firms,
-            told.addresses,
-            told.note,
+            call.addresses,
+            call.note,
         )
-        return agreed(lambda done: service.propose(one, done, PATIENCE))
+        return agreed(lambda done: service.propose(proposed, done, AGREEMENT_TIMEOUT_SECONDS))
 
     def revert(request: Request) -> Any:
-        told = decode(request.body, RevertCall)
-        return agreed(lambda done: service.revert(told.to, told.by, done, PATIENCE))
+        call = decode(request.body, RevertCall)
+        return agreed(lambda done: service.revert(call.to, call.by, done, AGREEMENT_TIMEOUT_SECONDS))
 
-    def firm(request: Request) -> Any:
+    def show_firm(request: Request) -> Any:
         try:
             return service.firm(request.parts[0])
         except BookError as error:
@@ -587,13 +630,14 @@
 
     routes.add("GET", "/v1/configuration", lambda request: service.shown())
     routes.add("GET", "/v1/configuration/history", lambda request: {"revisions": service.history()})
-    routes.add("GET", "/v1/configuration/firms/{}", firm)
+    routes.add("GET", "/v1/configuration/firms/{}", show_firm)
     routes.add("POST", "/v1/configuration", change)
     routes.add("POST", "/v1/configuration/revert", revert)
 
 
 def common_routes(routes: Routes, daemon: Any) -> None:
-    began = time.monotonic()
+    """Adds the routes that every daemon has: liveness, readiness, draining, status and counters."""
+    started_at = time.monotonic()
 
     def status(request: Request) -> Any:
         parts = {
@@ -611,7 +655,7 @@
         }
         return {
             "name": daemon.config.name,
-            "upSeconds": round(time.monotonic() - began, 3),
+            "upSeconds": round(time.monotonic() - started_at, 3),
             "ready": daemon.drain.is_ready(daemon.is_ready()),
             "ending": daemon.is_ending,
             "held": len(daemon.ingress.exchanges),
@@ -626,7 +670,7 @@
         return {"ready": True}
 
     def drain(request: Request) -> Any:
-        """/ready says no from now on; what still comes is served, until SIGTERM."""
+        """Reports not ready from now on; messages are still served until SIGTERM."""
         daemon.north.is_draining = True
         return {"draining": True, "held": len(daemon.ingress.exchanges)}
 
--- a/brackenpulley/control/server.py
+++ b/brackenpulley/control/server.py
@@ -14,7 +14,7 @@
 from ..net.loop import READ, WRITE, Loop
 from ..net.pool import Pool
 from ..net.requests import RequestError, RequestReader, encode_response
-from .api import Later, Reply, Routes
+from .api import PendingReply, Reply, Routes
 
 MOST = 16  # connections at once; the longest unused makes room
 IDLE = 30.0  # s without a byte after which a connection is closed
@@ -30,7 +30,7 @@
         self.sock, self.reader, self.since = sock, RequestReader(), now
         self.out = b""
         self.keep = True
-        self.later: Later | None = None  # an answer that is still to come; what was asked after it waits
+        self.later: PendingReply | None = None  # an answer that is still to come; what was asked after it waits
         self.ended = False  # its last answer is out; what it still sends is read away
 
 
@@ -134,9 +134,9 @@
             answer = self.routes.answer(
                 payload.method.decode("ascii", "replace"), payload.target.decode("ascii", "replace"), payload.body
             )
-            if isinstance(answer, Later):
+            if isinstance(answer, PendingReply):
                 keep, caller.later, caller.keep = caller.keep, answer, True
-                answer.heard = lambda reply, keep=keep: self._later(caller, reply, keep)  # type: ignore[misc]
+                answer.on_reply = lambda reply, keep=keep: self._later(caller, reply, keep)  # type: ignore[misc]
             else:
                 self._reply(caller, answer)
 
--- a/brackenpulley/fleet/routes.py
+++ b/brackenpulley/fleet/routes.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..address import ConfigError
-from ..control.api import ApiError, Request, Routes, decode, whole
+from ..control.api import ApiError, Request, Routes, decode, parse_int
 
 if TYPE_CHECKING:
     from .supervisor import Supervisor
@@ -61,14 +61,14 @@
 
     def logs(request: Request) -> Any:
         text = request.query.get("instance", "")
-        instance = whole(request, "instance", 0, 0, 999) if text else None
-        most = whole(request, "most", 200, 1, 2000)
+        instance = parse_int(request, "instance", 0, 0, 999) if text else None
+        most = parse_int(request, "most", 200, 1, 2000)
         after = request.query.get("after")
         ring = supervisor.ring
         if after is None:
             lines, missed = ring.last(most, instance), 0
         else:
-            lines, missed = ring.after(whole(request, "after", 0, 0, 1 << 60), most, instance)
+            lines, missed = ring.after(parse_int(request, "after", 0, 0, 1 << 60), most, instance)
         return {
             "last": lines[-1].serial if lines else ring.serial if after is None else int(after),
             "missed": missed,
--- a/brackenpulley/fleet/spec.py
+++ b/brackenpulley/fleet/spec.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..address import Address, ConfigError, parse_address
-from ..control.api import fault_of
+from ..control.api import locate_error
 from .backoff import Pace
 
 MOST = 1000  # instances of one supervisor
@@ -120,7 +120,7 @@
     try:
         found = msgspec.convert(raw, Fleet)
     except msgspec.ValidationError as error:
-        field, text = fault_of(error)
+        field, text = locate_error(error)
         raise ConfigError(f"{field}: {text}") from None
     group = found.fleet
     # A Unix socket's path is at most 107 bytes, and the longest name in this folder has 24.
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -12,7 +12,7 @@
 from syrupy.extensions.single_file import SingleFileSnapshotExtension, WriteMode
 from syrupy.location import PyTestLocation
 
-from brackenpulley.control.api import Later, Routes, work_routes
+from brackenpulley.control.api import PendingReply, Routes, work_routes
 from brackenpulley.maintenance.permits import Enter, Permits, Said, Step, encode
 from brackenpulley.members.protocol import Timing
 from brackenpulley.members.station import Station
@@ -178,7 +178,7 @@
 
     def call(method: str, path: str, body: Any = None) -> None:
         reply = routes.answer(method, path, json.dumps(body).encode() if body is not None else b"")
-        assert not isinstance(reply, Later)
+        assert not isinstance(reply, PendingReply)
         told.say(f"{method} {path} {json.dumps(body) if body is not None else ''}".rstrip())
         told.say(f"  {reply.status} {reply.body.decode().rstrip()}")
 
