--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -30,7 +30,7 @@
 from rich.progress import Progress
 
 from benchmarks.plan_changes import ROOT, free_ports
-from brackenpulley.control.client import Control, ControlError
+from brackenpulley.control.client import ControlClient, ControlError
 from brackenpulley.fleet.caller import Call
 from brackenpulley.fleet.files import Base
 from brackenpulley.fleet.process import search
@@ -110,7 +110,7 @@
         self.supervisor: subprocess.Popen[bytes] | None = None
         self.file = self.folder / "fleet.toml"
         self._write(instances // 2 or 1, watchdog)
-        self.control = Control(f"unix:{self.folder}/run/supervisor.sock")
+        self.control = ControlClient(f"unix:{self.folder}/run/supervisor.sock")
 
     def _write(self, count: int, watchdog: float) -> None:
         raw = settings(1)
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -26,7 +26,7 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from brackenpulley.control.client import Control, ControlError
+from brackenpulley.control.client import ControlClient, ControlError
 from brackenpulley.ledger.store import Store
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
@@ -54,7 +54,7 @@
         self.folder = trial.folder / f"n{number}"
         self.folder.mkdir()
         self.process: subprocess.Popen[bytes] | None = None
-        self.control = Control(f"unix:{self.folder}/control.sock")
+        self.control = ControlClient(f"unix:{self.folder}/control.sock")
         config = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{port}",
--- a/brackenpulley/commands/common.py
+++ b/brackenpulley/commands/common.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from ..control.client import Control, ControlError
+from ..control.client import ControlClient, ControlError
 
 ControlAddresses = Annotated[
     list[str],
@@ -29,7 +29,7 @@
     return typer.Exit(code)
 
 
-def parse_controls(addresses: list[str]) -> list[Control]:
+def parse_controls(addresses: list[str]) -> list[ControlClient]:
     """Returns a client for each address. Raises typer.Exit where none is given or one is invalid."""
     names = [name for text in addresses for name in text.split()]
     if not names:
@@ -37,12 +37,12 @@
             "--control: not given, and BRACKENPULLEY_CONTROL is not set; for example unix:/run/bracken.sock"
         )
     try:
-        return [Control(name) for name in names]
+        return [ControlClient(name) for name in names]
     except ControlError as error:
         raise report_error(str(error)) from None
 
 
-def call_control(control: Control, method: str, path: str, body: Any = None) -> Any:
+def call_control(control: ControlClient, method: str, path: str, body: Any = None) -> Any:
     """Calls the control API and returns the decoded answer; an error is printed and raised as typer.Exit(1)."""
     try:
         return control.call(method, path, body)
--- a/brackenpulley/commands/fleet.py
+++ b/brackenpulley/commands/fleet.py
@@ -16,7 +16,7 @@
 import typer
 
 from ..address import ConfigError
-from ..control.client import Control, ControlError
+from ..control.client import ControlClient, ControlError
 from ..fleet.spec import Fleet, load
 from .common import JsonOutput, call_control, print_result, report_error
 
@@ -34,8 +34,8 @@
         raise report_error(str(error)) from None
 
 
-def _supervisor_control(file: str) -> Control:
-    return Control(f"unix:{_load_fleet(file).control}")
+def _supervisor_control(file: str) -> ControlClient:
+    return ControlClient(f"unix:{_load_fleet(file).control}")
 
 
 def parse_instance_ranges(text: str) -> list[int] | None:
@@ -151,7 +151,7 @@
 
 
 def _wait_until(
-    control: Control, wait: float, is_finished: Callable[[dict[str, Any]], bool], action: str
+    control: ControlClient, wait: float, is_finished: Callable[[dict[str, Any]], bool], action: str
 ) -> dict[str, Any]:
     """Polls the supervisor until the action is finished, with a progress bar in a terminal.
 
@@ -182,7 +182,7 @@
 
 
 def _print_summary(
-    control: Control, wait: float, is_finished: Callable[[dict[str, Any]], bool], action: str, as_json: bool
+    control: ControlClient, wait: float, is_finished: Callable[[dict[str, Any]], bool], action: str, as_json: bool
 ) -> None:
     """Prints the state of the fleet after the action, or the current one if `wait` is 0."""
     found = _wait_until(control, wait, is_finished, action) if wait else call_control(control, "GET", "/v1/fleet")
--- a/brackenpulley/commands/plans.py
+++ b/brackenpulley/commands/plans.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from ..control.client import Control, ControlError
+from ..control.client import ControlClient, ControlError
 from .common import ControlAddresses, JsonOutput, call_control, parse_controls, print_result, report_error
 
 app = typer.Typer(no_args_is_help=True, help="The plan book: the figures of each plan, and the plan of each firm.")
@@ -183,7 +183,7 @@
     )
 
 
-def _fetch_history(control: Control, query: str = "", after: int = 0) -> dict[str, Any]:
+def _fetch_history(control: ControlClient, query: str = "", after: int = 0) -> dict[str, Any]:
     """Fetches all pages of the history after a revision."""
     changes: list[Any] = []
     while True:
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -469,7 +469,7 @@
                 ApiError(
                     503,
                     "agreement",
-                    f"nothing was agreed within {AGREEMENT_TIMEOUT_SECONDS:g} s; it may still be agreed: repeat it",
+                    f"nothing was agreed within {AGREEMENT_TIMEOUT_SECONDS:g} s; it may be later: ask again",
                     1.0,
                 )
             )
--- a/brackenpulley/control/server.py
+++ b/brackenpulley/control/server.py
@@ -1,4 +1,7 @@
-"""The control API on the daemon's loop. Owns its listener and callers' connections; the Unix socket's file too."""
+"""HTTP server of the control API, on the loop of a daemon or of the fleet supervisor.
+
+It owns its listener, the accepted connections, and the socket file where it listens on a Unix socket.
+"""
 
 from __future__ import annotations
 
@@ -16,92 +19,96 @@
 from ..net.requests import RequestError, RequestReader, encode_response
 from .api import PendingReply, Reply, Routes
 
-MOST = 16  # connections at once; the longest unused makes room
-IDLE = 30.0  # s without a byte after which a connection is closed
-LINGER = 2.0  # s for a caller to end its side after its last answer
-SWEEP = 1.0
-JSON = [(b"Content-Type", b"application/json")]
+MAX_CONNECTIONS = 16  # at a time; the oldest is closed to make room for a new one
+IDLE_TIMEOUT_SECONDS = 30.0  # without input from the client
+LINGER_TIMEOUT_SECONDS = 2.0  # for the client to close its side after the last response
+SWEEP_INTERVAL_SECONDS = 1.0
+JSON_HEADERS = [(b"Content-Type", b"application/json")]
+
 
+class Connection:
+    """State of one accepted connection."""
 
-class Caller:
-    __slots__ = ("sock", "reader", "out", "keep", "since", "ended", "later")
+    __slots__ = ("sock", "reader", "output", "keep_alive", "active_at", "is_closing", "pending_reply")
 
     def __init__(self, sock: socket.socket, now: float) -> None:
-        self.sock, self.reader, self.since = sock, RequestReader(), now
-        self.out = b""
-        self.keep = True
-        self.later: PendingReply | None = None  # an answer that is still to come; what was asked after it waits
-        self.ended = False  # its last answer is out; what it still sends is read away
+        self.sock, self.reader, self.active_at = sock, RequestReader(), now  # last input or late reply
+        self.output = b""
+        self.keep_alive = True
+        self.pending_reply: PendingReply | None = None  # not known yet; later requests wait for it
+        self.is_closing = False  # the last response is sent; further input is read and discarded
 
 
 class ControlServer:
+    """Serves `routes` over HTTP/1.1 with keep-alive; the requests of a connection are answered in order."""
+
     def __init__(self, loop: Loop, pool: Pool, routes: Routes, metrics: Metrics) -> None:
         self.loop, self.pool, self.routes, self.metrics = loop, pool, routes, metrics
-        self.callers: dict[Caller, None] = {}
+        self.connections: dict[Connection, None] = {}
         self.listener: socket.socket | None = None
         self._path = ""
 
-    def listen(self, at: Address | str) -> str:
-        """Where it listens, as a command would name it. Raises OSError or ConfigError."""
-        if isinstance(at, str):
-            self.listener = self._unix(at)
-            self._path, said = at, f"unix:{at}"
+    def listen(self, address: Address | str) -> str:
+        """Starts to listen and returns the address in the form that commands take. Raises OSError or ConfigError."""
+        if isinstance(address, str):
+            self.listener = self._listen_unix(address)
+            self._path, name = address, f"unix:{address}"
         else:
-            self.listener = sockets.listen(at, 16)
+            self.listener = sockets.listen(address, 16)
             host, port = self.listener.getsockname()[:2]
-            said = f"{host}:{port}"
-        self.loop.register(self.listener, READ, self._acceptable)
-        self.loop.call_in(SWEEP, self._sweep)
-        return said
+            name = f"{host}:{port}"
+        self.loop.register(self.listener, READ, self._on_acceptable)
+        self.loop.call_in(SWEEP_INTERVAL_SECONDS, self._sweep)
+        return name
 
-    def _unix(self, path: str) -> socket.socket:
-        """A socket's file that nobody listens on any more is taken away; any other file is not."""
+    def _listen_unix(self, path: str) -> socket.socket:
+        """Removes a socket file on which nothing listens any more, but no other file. Raises OSError or ConfigError."""
         with contextlib.suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(path).st_mode):
-                raise ConfigError(f"control.listen: {path}: a file that is no socket")
-            with socket.socket(socket.AF_UNIX) as trial:
+                raise ConfigError(f"control.listen: {path}: the file exists and is not a socket")
+            with socket.socket(socket.AF_UNIX) as probe:
                 try:
-                    trial.connect(path)
+                    probe.connect(path)
                 except OSError:
                     Path(path).unlink(missing_ok=True)
                 else:
-                    raise ConfigError(f"control.listen: {path}: another process answers there")
+                    raise ConfigError(f"control.listen: {path}: another process is listening on this socket")
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        old = os.umask(0o177)  # its owner alone
+        previous_umask = os.umask(0o177)  # only the owner may connect
         try:
             sock.bind(path)
         finally:
-            os.umask(old)
+            os.umask(previous_umask)
         sock.listen(16)
         sock.setblocking(False)
         return sock
 
-    def _acceptable(self, events: int) -> None:
+    def _on_acceptable(self, events: int) -> None:
         assert self.listener is not None
         try:
             sock, _ = self.listener.accept()
         except OSError:
             return
         sock.setblocking(False)
-        if len(self.callers) >= MOST:
-            self.close(next(iter(self.callers)))
-        caller = Caller(sock, self.loop.clock())
-        self.callers[caller] = None
-        self.loop.register(sock, READ, lambda events: self._event(caller, events))
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self.close(next(iter(self.connections)))
+        connection = Connection(sock, self.loop.clock())
+        self.connections[connection] = None
+        self.loop.register(sock, READ, lambda events: self._on_events(connection, events))
 
-    def _event(self, caller: Caller, events: int) -> None:
+    def _on_events(self, connection: Connection, events: int) -> None:
         if events & WRITE:
-            self._flush(caller)
-        if events & READ and caller in self.callers and not caller.out:
-            self._readable(caller)
+            self._flush(connection)
+        if events & READ and connection in self.connections and not connection.output:
+            self._on_readable(connection)
 
-    def _readable(self, caller: Caller) -> None:
+    def _on_readable(self, connection: Connection) -> None:
         buffer = self.pool.acquire()
         status = 0
         try:
-            count = caller.sock.recv_into(buffer)
-            if count and not caller.ended:
-                caller.reader.feed(memoryview(buffer)[:count])
+            count = connection.sock.recv_into(buffer)
+            if count and not connection.is_closing:
+                connection.reader.feed(memoryview(buffer)[:count])
         except BlockingIOError:
             return
         except OSError:
@@ -111,92 +118,102 @@
         finally:
             self.pool.release(buffer)
         if not count:
-            self.close(caller)
+            self.close(connection)
             return
-        if caller.ended:
+        if connection.is_closing:
             return
-        caller.since = self.loop.clock()
-        if caller.reader.awaits_continue:
-            caller.reader.awaits_continue = False
-            caller.out += b"HTTP/1.1 100 Continue\r\n\r\n"
-        self._answer_all(caller)
-        if status and caller.keep:
-            caller.keep = False
-            text = b'{"error":{"field":"body","text":"over 64 KiB"}}\n' if status == 413 else b""
-            caller.out += encode_response(status, text, False, 0.0, JSON if text else None)
-        self._flush(caller)
-
-    def _answer_all(self, caller: Caller) -> None:
-        """One after the other, until one has to be waited for."""
-        while caller.reader.complete and caller.keep and caller.later is None:
-            payload, caller.keep = caller.reader.complete.popleft()
+        connection.active_at = self.loop.clock()
+        if connection.reader.awaits_continue:
+            connection.reader.awaits_continue = False
+            connection.output += b"HTTP/1.1 100 Continue\r\n\r\n"
+        self._answer_requests(connection)
+        if status and connection.keep_alive:
+            connection.keep_alive = False
+            body = b'{"error":{"field":"body","text":"over 64 KiB"}}\n' if status == 413 else b""
+            connection.output += encode_response(status, body, False, 0.0, JSON_HEADERS if body else None)
+        self._flush(connection)
+
+    def _answer_requests(self, connection: Connection) -> None:
+        """Answers complete requests in order, until one has a reply that is not known yet."""
+        while connection.reader.complete and connection.keep_alive and connection.pending_reply is None:
+            request, connection.keep_alive = connection.reader.complete.popleft()
             self.metrics.add("control_calls")
-            answer = self.routes.answer(
-                payload.method.decode("ascii", "replace"), payload.target.decode("ascii", "replace"), payload.body
+            result = self.routes.answer(
+                request.method.decode("ascii", "replace"), request.target.decode("ascii", "replace"), request.body
             )
-            if isinstance(answer, PendingReply):
-                keep, caller.later, caller.keep = caller.keep, answer, True
-                answer.on_reply = lambda reply, keep=keep: self._later(caller, reply, keep)  # type: ignore[misc]
+            if isinstance(result, PendingReply):
+                keep_alive, connection.pending_reply, connection.keep_alive = connection.keep_alive, result, True
+                result.on_reply = lambda reply, keep_alive=keep_alive: self._send_pending_reply(  # type: ignore[misc]
+                    connection, reply, keep_alive
+                )
             else:
-                self._reply(caller, answer)
+                self._add_reply(connection, result)
 
-    def _reply(self, caller: Caller, reply: Reply) -> None:
+    def _add_reply(self, connection: Connection, reply: Reply) -> None:
         if reply.status >= 400:
             self.metrics.add("control_faults")
-        caller.out += encode_response(reply.status, reply.body, caller.keep, reply.after, JSON)
+        connection.output += encode_response(reply.status, reply.body, connection.keep_alive, reply.after, JSON_HEADERS)
 
-    def _later(self, caller: Caller, reply: Reply, keep: bool) -> None:
-        if caller in self.callers:
-            caller.later, caller.keep, caller.since = None, keep, self.loop.clock()
-            self._reply(caller, reply)
-            self._answer_all(caller)
-            self._flush(caller)
+    def _send_pending_reply(self, connection: Connection, reply: Reply, keep_alive: bool) -> None:
+        if connection in self.connections:
+            connection.pending_reply, connection.keep_alive, connection.active_at = None, keep_alive, self.loop.clock()
+            self._add_reply(connection, reply)
+            self._answer_requests(connection)
+            self._flush(connection)
 
-    def _flush(self, caller: Caller) -> None:
+    def _flush(self, connection: Connection) -> None:
         try:
-            while caller.out:
-                caller.out = caller.out[caller.sock.send(caller.out) :]
+            while connection.output:
+                connection.output = connection.output[connection.sock.send(connection.output) :]
         except BlockingIOError:
             pass
         except OSError:
-            self.close(caller)
+            self.close(connection)
             return
-        if not caller.out and not caller.keep:
-            if not caller.ended:
-                self._end(caller)
+        if not connection.output and not connection.keep_alive:
+            if not connection.is_closing:
+                self._shut_down(connection)
         else:
             self.loop.set_interest(
-                caller.sock, WRITE if caller.out else READ, lambda events: self._event(caller, events)
+                connection.sock,
+                WRITE if connection.output else READ,
+                lambda events: self._on_events(connection, events),
             )
 
-    def _end(self, caller: Caller) -> None:
-        """Closing now with something unread would send a reset, which could overtake the answer."""
-        caller.ended = True
+    def _shut_down(self, connection: Connection) -> None:
+        """Ends the sending side only: closing with unread input sends a reset, which can overtake the response."""
+        connection.is_closing = True
         with contextlib.suppress(OSError):
-            caller.sock.shutdown(socket.SHUT_WR)
-        self.loop.set_interest(caller.sock, READ, lambda events: self._event(caller, events))
+            connection.sock.shutdown(socket.SHUT_WR)
+        self.loop.set_interest(connection.sock, READ, lambda events: self._on_events(connection, events))
 
-    def close(self, caller: Caller) -> None:
-        """The one place where a caller's connection is given back."""
-        if caller in self.callers:
-            del self.callers[caller]
-            self.loop.set_interest(caller.sock, 0, lambda events: None)
-            caller.sock.close()
-            caller.reader.close()
+    def close(self, connection: Connection) -> None:
+        """Closes a connection and releases what it holds; does nothing where it is closed already."""
+        if connection in self.connections:
+            del self.connections[connection]
+            self.loop.set_interest(connection.sock, 0, lambda events: None)
+            connection.sock.close()
+            connection.reader.close()
 
     def _sweep(self) -> None:
+        """Closes idle connections, and closing ones whose client has not closed its side."""
         now = self.loop.clock()
-        for caller in [one for one in self.callers if now - one.since > (LINGER if one.ended else IDLE)]:
-            self.close(caller)
+        for connection in [
+            connection
+            for connection in self.connections
+            if now - connection.active_at > (LINGER_TIMEOUT_SECONDS if connection.is_closing else IDLE_TIMEOUT_SECONDS)
+        ]:
+            self.close(connection)
         if self.listener is not None:
-            self.loop.call_in(SWEEP, self._sweep)
+            self.loop.call_in(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def stop(self) -> None:
+        """Closes the listener and all connections, and removes the socket file."""
         if self.listener is not None:
             self.loop.set_interest(self.listener, 0, lambda events: None)
             self.listener.close()
             self.listener = None
             if self._path:
                 Path(self._path).unlink(missing_ok=True)
-        for caller in list(self.callers):
-            self.close(caller)
+        for connection in list(self.connections):
+            self.close(connection)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -244,10 +244,13 @@
 
 
 def test_another_process_at_the_socket_is_not_pushed_away(tmp_path: Path) -> None:
-    with rig(operator=operator(tmp_path)), pytest.raises(ConfigError, match="another process answers there"):
+    with (
+        rig(operator=operator(tmp_path)),
+        pytest.raises(ConfigError, match="another process is listening on this socket"),
+    ):
         Rig(operator=operator(tmp_path, ledger={"path": f"{tmp_path}/other"}))
     (tmp_path / "c").write_text("no socket")
-    with pytest.raises(ConfigError, match="a file that is no socket"):
+    with pytest.raises(ConfigError, match="the file exists and is not a socket"):
         Rig(operator=operator(tmp_path, ledger={"path": f"{tmp_path}/third"}))
 
 
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -17,7 +17,7 @@
 
 from benchmarks.fleet import Trial, cold_start, trial
 from benchmarks.plan_changes import ROOT
-from brackenpulley.control.client import Control, ControlError
+from brackenpulley.control.client import ControlClient, ControlError
 from brackenpulley.fleet.files import kept
 from brackenpulley.fleet.notify import parse
 from brackenpulley.fleet.process import search
@@ -239,7 +239,7 @@
     one = made(3, members=True)
     one.run()
     one.all_ready(3, 30, "start")
-    control = Control(f"unix:{one.folder}/run/1.sock")
+    control = ControlClient(f"unix:{one.folder}/run/1.sock")
 
     def members(count: int) -> Callable[[dict[str, Any]], bool]:
         def there(status: dict[str, Any]) -> bool:
@@ -296,7 +296,7 @@
     one.all_ready(2, 30, "one after the step")
     pid = one.status()["places"][1]["pid"]
     assert str(one.folder).encode() in Path(f"/proc/{pid}/environ").read_bytes()
-    told = Control(f"unix:{one.folder}/run/1.sock")
+    told = ControlClient(f"unix:{one.folder}/run/1.sock")
     one.until(lambda s: told.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "the second one counts")
     here = int(one.clock() // 30)
     assert {int(name) >> 33 for name in one.counter.numbers} <= {here - 2, here - 1, here}
