--- a/brackenpulley/extras.py
+++ b/brackenpulley/extras.py
@@ -116,9 +116,9 @@
 def build_tally(daemon: Daemon) -> None:
     """Build the tally that logs one line a second."""
     if daemon.config.operator.seconds:
-        from .growth.tally import Tally
+        from .growth.tally import TallyLogger
 
-        daemon.tally = Tally(daemon.loop, daemon.metrics, daemon.ingress.decision_module, daemon.log)
+        daemon.tally = TallyLogger(daemon.loop, daemon.metrics, daemon.ingress.decision_module, daemon.log)
 
 
 def build_health(daemon: Daemon) -> None:
--- a/brackenpulley/growth/__init__.py
+++ b/brackenpulley/growth/__init__.py
@@ -1,3 +1,4 @@
-"""What a fleet did, second by second: a tally in each ingress's log, and the command that adds them up.
+"""Per-second counts of a whole fleet: a tally in the log of each ingress, and the command that merges these logs.
 
-The daemon loads `tally` alone, and only where the operator's file asks for it; everything else reads logs."""
+The daemon imports only `tally`, and only where the operator's file turns it on. `merge` only reads logs.
+"""
--- a/brackenpulley/growth/merge.py
+++ b/brackenpulley/growth/merge.py
@@ -1,7 +1,9 @@
-"""Logs of many ingresses as one count of the whole fleet: per second, per sim server, per ingress. No I/O.
+"""Merges the per-second records in the logs of many ingresses into counts of the whole fleet. Does no I/O.
 
-A log may be cut off in mid-line, interleaved with other output, or carry a time in front of each line; what is no
-record is counted and the first one of each log is named, and nothing of it is fatal."""
+It counts per second, per sim server and per ingress, for the `growth count` command. A log may be cut off in mid-line,
+be interleaved with other output, or have a timestamp in front of each line. Invalid records are not fatal: they are
+counted, and the first one of each log is kept for the report.
+"""
 
 from __future__ import annotations
 
@@ -11,126 +13,141 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MARK = "event=second"
-BAD_KEPT = 100  # characters of a line that is no record
+RECORD_MARKER = "event=second"  # only lines that contain it are parsed as records
+MAX_KEPT_CHARACTERS = 100  # of an invalid line
 
 
 @dataclass(slots=True)
-class Second:
-    """What all ingresses counted in one second."""
+class SecondCounts:
+    """Sums over the records of all ingresses for one second."""
 
     counts: Counter[str] = field(default_factory=Counter)
     servers: dict[str, Counter[str]] = field(default_factory=dict)
     ingresses: dict[str, Counter[str]] = field(default_factory=dict)
-    aside: Counter[str] = field(default_factory=Counter)  # number of servers that an ingress has set aside
-    out: int = 0  # attempts out, in all
+    ejected: Counter[str] = field(default_factory=Counter)  # number of ejected servers, by ingress
+    relays_in_flight: int = 0  # at the end of the second
 
 
 @dataclass(slots=True)
-class Log:
-    """What one log gave."""
+class LogSummary:
+    """Numbers of lines in one log, by kind."""
 
     records: int = 0
-    other: int = 0  # the program's other lines, and whoever else wrote there
-    bad: int = 0  # lines that should be records and are none
-    first_bad: str = ""
+    other_lines: int = 0  # other log lines of the program, and output of other programs
+    invalid_lines: int = 0  # lines with the marker that are not valid records
+    first_invalid_line: str = ""  # cut to MAX_KEPT_CHARACTERS
 
 
-class BadRecord(ValueError):
+class InvalidRecordError(ValueError):
+    """A log line that has the marker of a record but cannot be parsed as one."""
+
     pass
 
 
-def record(line: str) -> tuple[int, dict[str, Any]]:
-    """The second and the tally of one line. Raises BadRecord."""
-    _, found, rest = line.partition(" at=")
-    at, _, rest = rest.partition(" tally=")
+def parse_record(line: str) -> tuple[int, dict[str, Any]]:
+    """Returns the Unix time in seconds and the tally of one log line. Raises InvalidRecordError."""
+    _, separator, rest = line.partition(" at=")
+    second, _, rest = rest.partition(" tally=")
     try:
-        if not found:
-            raise BadRecord("no second")
+        if not separator:
+            raise InvalidRecordError("the record has no field `at`")
         tally, _ = json.JSONDecoder().raw_decode(rest.strip())
-        if isinstance(tally, str):  # the log's writer quotes what has quotes in it
+        if isinstance(tally, str):  # the log writer quotes values that contain quotes
             tally = json.loads(tally)
         counts, servers, now = tally["counts"], tally["servers"], tally["now"]
         numbers = [*counts.values(), *(n for row in servers.values() for n in row.values()), now["aside"], now["out"]]
         if not all(isinstance(n, int) for n in numbers):
-            raise BadRecord("a count that is no whole number")
-        return int(at), tally
+            raise InvalidRecordError("a count is not a whole number")
+        return int(second), tally
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise BadRecord(str(error)) from None
+        raise InvalidRecordError(str(error)) from None
+
 
+class MergedLogs:
+    """Counts of all logs added so far: `seconds` by Unix time, `logs` by name of the ingress."""
 
-class Merged:
     def __init__(self) -> None:
-        self.seconds: dict[int, Second] = {}
-        self.logs: dict[str, Log] = {}
+        self.seconds: dict[int, SecondCounts] = {}
+        self.logs: dict[str, LogSummary] = {}
 
-    def add(self, name: str, lines: Iterable[str]) -> Log:
-        log = self.logs[name] = Log()
+    def add_log(self, name: str, lines: Iterable[str]) -> LogSummary:
+        """Adds the lines of one ingress's log. Its summary replaces an earlier one of the same name; counts add up."""
+        log = self.logs[name] = LogSummary()
         for line in lines:
-            if MARK not in line:
-                log.other += 1
+            if RECORD_MARKER not in line:
+                log.other_lines += 1
                 continue
             try:
-                at, tally = record(line)
-            except BadRecord:
-                log.bad += 1
-                log.first_bad = log.first_bad or line.strip()[:BAD_KEPT]
+                time, tally = parse_record(line)
+            except InvalidRecordError:
+                log.invalid_lines += 1
+                log.first_invalid_line = log.first_invalid_line or line.strip()[:MAX_KEPT_CHARACTERS]
                 continue
             log.records += 1
-            self._count(name, self.seconds.setdefault(at, Second()), tally)
+            self._add_record(name, self.seconds.setdefault(time, SecondCounts()), tally)
         return log
 
-    def _count(self, name: str, second: Second, tally: dict[str, Any]) -> None:
+    def _add_record(self, name: str, second: SecondCounts, tally: dict[str, Any]) -> None:
         second.counts.update(tally["counts"])
         for server, counts in tally["servers"].items():
             second.servers.setdefault(server, Counter()).update(counts)
         second.ingresses.setdefault(name, Counter()).update(tally["counts"])
-        second.aside[name] = tally["now"]["aside"]
-        second.out += tally["now"]["out"]
+        second.ejected[name] = tally["now"]["aside"]
+        second.relays_in_flight += tally["now"]["out"]
 
-    def table(self) -> list[dict[str, Any]]:
-        """A row a second, the first one is 0."""
+    def build_timeline(self) -> list[dict[str, Any]]:
+        """Returns one row per second that has records, in order and numbered from 0 at the earliest."""
         if not self.seconds:
             return []
         start = min(self.seconds)
         return [
             {
-                "second": at - start,
+                "second": time - start,
                 "ingresses": len(s.ingresses),
                 **{key: s.counts[name] for key, name in COLUMNS},
-                "out": s.out,
-                "aside": sum(s.aside.values()),
+                "out": s.relays_in_flight,
+                "aside": sum(s.ejected.values()),
                 "servers": sum(c["relays"] > 0 for c in s.servers.values()),
                 "most": max((c["relays"] for c in s.servers.values()), default=0),
             }
-            for at, s in sorted(self.seconds.items())
+            for time, s in sorted(self.seconds.items())
         ]
 
-    def by(self, what: str) -> list[dict[str, Any]]:
-        """A row a sim server or an ingress, over all seconds; the busiest first."""
-        found: dict[str, Counter[str]] = {}
+    def build_totals(self, group: str) -> list[dict[str, Any]]:
+        """Returns one row per sim server or ingress over all seconds, the one with the most relays first.
+
+        `group` is "server" or "ingress".
+        """
+        totals: dict[str, Counter[str]] = {}
         for second in self.seconds.values():
-            for name, counts in (second.servers if what == "server" else second.ingresses).items():
-                found.setdefault(name, Counter()).update(counts)
-        rows = [{what: name, **{key: counts[counter] for key, counter in COLUMNS}} for name, counts in found.items()]
+            for name, counts in (second.servers if group == "server" else second.ingresses).items():
+                totals.setdefault(name, Counter()).update(counts)
+        rows = [{group: name, **{key: counts[counter] for key, counter in COLUMNS}} for name, counts in totals.items()]
         return sorted(rows, key=lambda row: -row.get("relays", 0))
 
-    def whole(self) -> dict[str, Any]:
-        total: Counter[str] = Counter()
+    def build_report(self) -> dict[str, Any]:
+        """Returns the content of the JSON output of `growth count`."""
+        totals: Counter[str] = Counter()
         for second in self.seconds.values():
-            total.update(second.counts)
+            totals.update(second.counts)
         return {
-            "seconds": self.table(),
-            "servers": self.by("server"),
-            "ingresses": self.by("ingress"),
-            "counters": dict(sorted(total.items())),
+            "seconds": self.build_timeline(),
+            "servers": self.build_totals("server"),
+            "ingresses": self.build_totals("ingress"),
+            "counters": dict(sorted(totals.items())),
             "logs": {
-                name: {"records": log.records, "other": log.other, "bad": log.bad, "first_bad": log.first_bad}
+                name: {
+                    "records": log.records,
+                    "other": log.other_lines,
+                    "bad": log.invalid_lines,
+                    "first_bad": log.first_invalid_line,
+                }
                 for name, log in self.logs.items()
             },
         }
 
 
+# Key in a row of the output, and the counter of the tally that it shows.
 COLUMNS = (
     ("messages", "messages"),
     ("relays", "relays"),
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from brackenpulley.growth.merge import BadRecord, Merged, record
+from brackenpulley.growth.merge import InvalidRecordError, MergedLogs, parse_record
 from brackenpulley.serve import make_logger
 
 from .rig import rig
@@ -27,27 +27,27 @@
 
 
 def test_logs_of_many_are_added_second_by_second() -> None:
-    merged = Merged()
-    merged.add("n0", [line(100, 3), line(101, 1), "listening\n"])
-    merged.add("n1", [line(101, 4, "s-2", "7.001 "), line(102, 2)])
-    rows = merged.table()
+    merged = MergedLogs()
+    merged.add_log("n0", [line(100, 3), line(101, 1), "listening\n"])
+    merged.add_log("n1", [line(101, 4, "s-2", "7.001 "), line(102, 2)])
+    rows = merged.build_timeline()
     assert [(r["second"], r["relays"], r["ingresses"], r["aside"], r["servers"], r["most"]) for r in rows] == [
         (0, 3, 1, 1, 1, 3),
         (1, 5, 2, 2, 2, 4),
         (2, 2, 1, 1, 1, 2),
     ]
-    assert [(r["server"], r["relays"]) for r in merged.by("server")] == [("s-1", 6), ("s-2", 4)]
-    assert {r["ingress"]: r["messages"] for r in merged.by("ingress")} == {"n0": 6, "n1": 8}
-    assert merged.logs["n0"].other == 1 and merged.whole()["counters"] == {"relays": 10, "messages": 14}
+    assert [(r["server"], r["relays"]) for r in merged.build_totals("server")] == [("s-1", 6), ("s-2", 4)]
+    assert {r["ingress"]: r["messages"] for r in merged.build_totals("ingress")} == {"n0": 6, "n1": 8}
+    assert merged.logs["n0"].other_lines == 1 and merged.build_report()["counters"] == {"relays": 10, "messages": 14}
 
 
 @pytest.mark.parametrize("cut", range(30, len(line(100, 3)) - 3))
 def test_a_line_cut_off_anywhere_is_counted_and_named(cut: int) -> None:
     """A process that is killed leaves half a line; the next one's output may follow on the same line."""
-    merged = Merged()
-    log = merged.add("n0", [line(99, 1), line(100, 3)[:cut]])
-    assert log.records == 1 and log.bad + log.other == 1
-    assert log.bad == 0 or line(100, 3).startswith(log.first_bad)
+    merged = MergedLogs()
+    log = merged.add_log("n0", [line(99, 1), line(100, 3)[:cut]])
+    assert log.records == 1 and log.invalid_lines + log.other_lines == 1
+    assert log.invalid_lines == 0 or line(100, 3).startswith(log.first_invalid_line)
 
 
 @pytest.mark.parametrize(
@@ -63,8 +63,8 @@
     ],
 )
 def test_what_is_no_record_is_refused_as_one(tally: str) -> None:
-    with pytest.raises(BadRecord):
-        record(f"event=second at=5 tally={tally}")
+    with pytest.raises(InvalidRecordError):
+        parse_record(f"event=second at=5 tally={tally}")
 
 
 def test_an_ingress_writes_a_record_a_second_by_server() -> None:
@@ -88,11 +88,11 @@
         assert client.read_http()[0] == 200
         r.advance_clock(1.0)
         r.advance_clock(1.0)
-    merged = Merged()
-    assert merged.add("n0", "".join(lines).splitlines()).records == 2
-    row = merged.by("server")[0]
+    merged = MergedLogs()
+    assert merged.add_log("n0", "".join(lines).splitlines()).records == 2
+    row = merged.build_totals("server")[0]
     assert (row["server"], row["relays"], row["connects"]) == (name, 1, 1)
-    assert merged.whole()["counters"]["served"] == 1
+    assert merged.build_report()["counters"]["served"] == 1
 
 
 def test_without_the_operators_word_nothing_is_counted_by_server() -> None:
