--- a/brackenpulley/fleet/routes.py
+++ b/brackenpulley/fleet/routes.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..address import ConfigError
-from ..control.api import ApiError, Request, Routes, decode, whole
+from ..control.api import ApiError, Request, Routes, decode, parse_int
 
 if TYPE_CHECKING:
     from .supervisor import Supervisor
@@ -76,14 +76,14 @@
 
     def logs(request: Request) -> Any:
         text = request.query.get("instance", "")
-        instance = whole(request, "instance", 0, 0, 999) if text else None
-        limit = whole(request, "most", 200, 1, 2000)
+        instance = parse_int(request, "instance", 0, 0, 999) if text else None
+        limit = parse_int(request, "most", 200, 1, 2000)
         after = request.query.get("after")
         history = supervisor.history
         if after is None:
             lines, missed = history.last_lines(limit, instance), 0
         else:
-            lines, missed = history.lines_after(whole(request, "after", 0, 0, 1 << 60), limit, instance)
+            lines, missed = history.lines_after(parse_int(request, "after", 0, 0, 1 << 60), limit, instance)
         return {
             "last": lines[-1].serial if lines else history.serial if after is None else int(after),
             "missed": missed,
--- a/brackenpulley/fleet/spec.py
+++ b/brackenpulley/fleet/spec.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..address import Address, ConfigError, parse_address
-from ..control.api import fault_of
+from ..control.api import locate_error
 from .backoff import RestartPolicy
 
 MAX_INSTANCES = 1000  # per supervisor
@@ -148,7 +148,7 @@
     try:
         found = msgspec.convert(raw, Fleet)
     except msgspec.ValidationError as error:
-        field, text = fault_of(error)
+        field, text = locate_error(error)
         raise ConfigError(f"{field}: {text}") from None
     group = found.fleet
     # The path of a Unix socket has at most 107 bytes, and the longest file name in this folder has 24.
--- a/tests/test_approved.py
+++ b/tests/test_approved.py
@@ -12,7 +12,7 @@
 from syrupy.extensions.single_file import SingleFileSnapshotExtension, WriteMode
 from syrupy.location import PyTestLocation
 
-from brackenpulley.control.api import Later, Routes, work_routes
+from brackenpulley.control.api import PendingReply, Routes, work_routes
 from brackenpulley.maintenance.permits import Cleared, Enter, Permits, Step, encode
 from brackenpulley.members.protocol import Timing
 from brackenpulley.members.station import Station
@@ -190,7 +190,7 @@
 
     def call(method: str, path: str, body: Any = None) -> None:
         reply = routes.answer(method, path, json.dumps(body).encode() if body is not None else b"")
-        assert not isinstance(reply, Later)
+        assert not isinstance(reply, PendingReply)
         transcript.add_line(f"{method} {path} {json.dumps(body) if body is not None else ''}".rstrip())
         transcript.add_line(f"  {reply.status} {reply.body.decode().rstrip()}")
 
