--- a/benchmarks/capacity/line.py
+++ b/benchmarks/capacity/line.py
@@ -53,7 +53,11 @@
         "s over which 14 KB a second is a mean",
         "the letter names no span; a minute of use is what a meter shows",
     ),
-    "minute": (60.0, "s for which the module remembers a firm", "twice its EPOCH of 30 s: counted by the code"),
+    "minute": (
+        60.0,
+        "s for which the module remembers a firm",
+        "twice its COUNTER_NAME_SECONDS of 30 s: counted by the code",
+    ),
     "spread": (
         1.0,
         "part of all ingresses that a tenant's requests come in through",
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -196,7 +196,7 @@
         ["bytes of discovery's entry", "172", figure(whole / size)],
         ["a whole list of 12,000, MB", "2.06", figure(whole / 1e6)],
         ["the same in s of 14 KB a second", "147", figure(whole / BYTES)],
-        ["the same as part of `LONGEST`", "half", figure(whole / (1 << 22))],
+        ["the same as part of `MAX_LIST_BYTES`", "half", figure(whole / (1 << 22))],
         ["the turn that takes it, ms", "some 64", figure(at("list.hold", size))],
         [
             "what is held for it, MB",
@@ -221,8 +221,9 @@
             f"joining alone takes {figure(trial.at(SIZE['ingresses']))} s of processor time by the fit "
             f"({trial.text()}, "
             f"which leaves {trial.over:+.0%} over: it grows faster) and is done three times; `Protocol._is_alive` "
-            "compares each new member with all that are known; `Queue.take` sorts nothing any more, it walks the order "
-            "that is kept and puts back what has to be told again (still the first two of a profile of 200 that join)",
+            "compares each new member with all that are known; `TransmitQueue.take` sorts nothing any more, it walks the "
+            "order that is kept and puts back what has to be told again (still the first two of a profile of 200 that "
+            "join)",
         ],
         [
             "what carries a changed configuration to all",
--- a/benchmarks/capacity/second.py
+++ b/benchmarks/capacity/second.py
@@ -45,7 +45,7 @@
             "source": "counting",
             "n": SIZE["ingresses"],
             "value": round(ingresses / CALL_INTERVAL_MAX_SECONDS, 1),
-            "how": f"one call of each in PACE_MAX = {CALL_INTERVAL_MAX_SECONDS} s, its slowest pace; "
+            "how": f"one call of each in CALL_INTERVAL_MAX_SECONDS = {CALL_INTERVAL_MAX_SECONDS} s, its slowest pace; "
             "the page takes the greater",
         }
     )
@@ -65,7 +65,7 @@
             "source": "counting",
             "n": SIZE["ingresses"],
             "value": round(30.0 * ingresses / 32, 1),
-            "how": "`sync` = 30 s for 32 members, longer in proportion: until the next exchange of who missed it",
+            "how": "`sync_interval` = 30 s for 32 members, longer in proportion: until the next exchange of who missed it",
         }
     )
     rows.append(
