--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role of the fleet costs by its size: slopes measured here, and docs/CAPACITY.md made of them."""
+"""Measures what each role of the fleet costs by its size, and writes docs/CAPACITY.md from the results."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,18 +1,18 @@
-"""What each part of the fleet costs by its size, and docs/CAPACITY.md made of it.
-
-    python -m benchmarks.capacity                    all kinds measured into benchmarks/capacity.json, then the page
-    python -m benchmarks.capacity --only members     one kind, the others kept
-    python -m benchmarks.capacity --page             the page alone, from the file
-    python -m benchmarks.capacity --walk             where each limit is passed, without the page
-    python -m benchmarks.capacity --take FILE        rows of a hollow run as second sources
-    python -m benchmarks.capacity --check            exit 1 where page and file differ,
-        a row lacks a limit or a mechanism,
-                                                     or a fit is stretched over four times without a second source
-
-FILE is what `python -m benchmarks.scale --json` prints: its report, of which `second.hollow` takes some figures, or an
-object whose "slopes" are rows `{"key": "members.bytes", "n": 890, "value": 312.5, "how": "..."}`, the key that of a
-slope of ours. They replace earlier rows of a hollow run with the same key, size and `how`; runs that differ in `how`
-stand beside each other, so that none is chosen by being taken last."""
+"""Measures what each part of the fleet costs by its size, and writes docs/CAPACITY.md.
+
+    python -m benchmarks.capacity                    measures all kinds into benchmarks/capacity.json, writes the page
+    python -m benchmarks.capacity --only members     measures one kind and keeps the others
+    python -m benchmarks.capacity --page             writes the page from the file
+    python -m benchmarks.capacity --walk             prints where each limit is exceeded
+    python -m benchmarks.capacity --take FILE        reads rows of a hollow run as second sources
+    python -m benchmarks.capacity --check            exits 1 if page and file differ, a row lacks a limit or a
+                                                     mechanism, or a fit is extrapolated over four times without a
+                                                     second source
+
+FILE is the output of `python -m benchmarks.scale --json`: its report, from which `second_sources.read_hollow_run` takes
+some figures, or an object whose "slopes" are rows `{"key": "members.bytes", "n": 890, "value": 312.5, "how": "..."}`,
+where the key is that of a measured slope. They replace earlier rows of a hollow run with the same key, size and `how`.
+Runs that differ in `how` are all kept, so that the order in which runs are read selects none of them."""
 
 from __future__ import annotations
 
@@ -24,105 +24,109 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parents[2]
-FILE, PAGE = ROOT / "benchmarks" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
+RESULTS_PATH, PAGE_PATH = ROOT / "benchmarks" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
 
 
-def read(path: Path) -> dict[str, Any]:
+def read_results(path: Path) -> dict[str, Any]:
+    """Returns the stored results; without a file, empty ones."""
     if not path.exists():
         return {"slopes": [], "source2": []}
-    found: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
-    return found
+    results: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
+    return results
 
 
-def write(path: Path, raw: dict[str, Any]) -> None:
-    """A point a line."""
-    text = json.dumps(raw, indent=1)
-    for row in raw["slopes"]:
+def write_results(path: Path, results: dict[str, Any]) -> None:
+    """Writes the results with one point per line."""
+    text = json.dumps(results, indent=1)
+    for row in results["slopes"]:
         for point in row["points"]:
             text = text.replace(json.dumps(point, indent=1).replace("\n", "\n    "), json.dumps(point))
     path.write_text(text + "\n", encoding="utf-8")
 
 
-def yardstick() -> float:
-    """ms of a plain loop on this machine now: tells runs apart that found it busy."""
-    found = []
+def time_reference_loop() -> float:
+    """Returns the time of a fixed loop on this machine, in ms. It distinguishes runs on a busy machine from others."""
+    times_ms = []
     for _ in range(5):
-        began, total = time.thread_time(), 0
-        for n in range(200_000):
-            total += n
-        found.append((time.thread_time() - began) * 1000)
-    return round(min(found), 2)
+        started, total = time.thread_time(), 0
+        for number in range(200_000):
+            total += number
+        times_ms.append((time.thread_time() - started) * 1000)
+    return round(min(times_ms), 2)
 
 
-def measure(raw: dict[str, Any], kinds: list[str], seed: int, path: Path) -> None:
-    """Each kind is written as soon as it is there."""
+def measure_kinds(results: dict[str, Any], kinds: list[str], seed: int, path: Path) -> None:
+    """Measures kinds one after the other and writes the file after each."""
     from .kinds import KINDS
 
     for kind in kinds:
-        began, stick = time.monotonic(), yardstick()
-        new = KINDS[kind](seed)
-        print(f"{kind}: {len(new)} slopes, {time.monotonic() - began:.0f} s", file=sys.stderr)
-        for row in new:
-            row["yardstickMs"] = stick
-        names = {row["key"] for row in new}
-        raw["slopes"] = [row for row in raw["slopes"] if row["key"] not in names] + new
+        started, reference_ms = time.monotonic(), time_reference_loop()
+        new_rows = KINDS[kind](seed)
+        print(f"{kind}: {len(new_rows)} slopes, {time.monotonic() - started:.0f} s", file=sys.stderr)
+        for row in new_rows:
+            row["yardstickMs"] = reference_ms
+        measured_keys = {row["key"] for row in new_rows}
+        results["slopes"] = [row for row in results["slopes"] if row["key"] not in measured_keys] + new_rows
         order = list(KINDS)
-        raw["slopes"].sort(key=lambda row: order.index(row["command"].rpartition(" ")[2]))
-        raw["yardstick"] = max(row["yardstickMs"] for row in raw["slopes"])
-        write(path, raw)
+        results["slopes"].sort(key=lambda row: order.index(row["command"].rpartition(" ")[2]))
+        results["yardstick"] = max(row["yardstickMs"] for row in results["slopes"])
+        write_results(path, results)
 
 
 def main(argv: list[str] | None = None) -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument(
+    """Runs the command line; returns the exit code."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument(
         "--only", default="", metavar="KIND", help="kinds, by commas; `second` for the counted second sources"
     )
-    words.add_argument("--page", action="store_true")
-    words.add_argument("--check", action="store_true")
-    words.add_argument("--walk", action="store_true")
-    words.add_argument("--take", default="", metavar="FILE")
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--file", type=Path, default=FILE, help="instead of benchmarks/capacity.json")
-    words.add_argument("--out", type=Path, default=PAGE, help="instead of docs/CAPACITY.md")
-    told = words.parse_args(argv)
-    from .page import faults, text, walked
-    from .sheet import ROWS
-
-    raw = read(told.file)
-    if told.check:
-        found = faults(raw, told.out.read_text(encoding="utf-8") if told.out.exists() else "")
-        print("\n".join(found) or "docs/CAPACITY.md is true to benchmarks/capacity.json")
-        return int(bool(found))
-    if told.walk:
-        from .line import Measured
-
-        print("\n".join(walked(Measured(raw), ROWS)))
+    parser.add_argument("--page", action="store_true")
+    parser.add_argument("--check", action="store_true")
+    parser.add_argument("--walk", action="store_true")
+    parser.add_argument("--take", default="", metavar="FILE")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--file", type=Path, default=RESULTS_PATH, help="instead of benchmarks/capacity.json")
+    parser.add_argument("--out", type=Path, default=PAGE_PATH, help="instead of docs/CAPACITY.md")
+    arguments = parser.parse_args(argv)
+    from .page import find_faults, format_page, format_walk
+    from .rows import ROWS
+
+    results = read_results(arguments.file)
+    if arguments.check:
+        findings = find_faults(results, arguments.out.read_text(encoding="utf-8") if arguments.out.exists() else "")
+        print("\n".join(findings) or "docs/CAPACITY.md is true to benchmarks/capacity.json")
+        return int(bool(findings))
+    if arguments.walk:
+        from .load import MeasuredSlopes
+
+        print("\n".join(format_walk(MeasuredSlopes(results), ROWS)))
         return 0
-    if told.take:
-        from .second import hollow
+    if arguments.take:
+        from .second_sources import read_hollow_run
 
-        new = hollow(json.loads(Path(told.take).read_text(encoding="utf-8")))
-        names = {(row["key"], row["n"], row["how"]) for row in new}
-        raw["source2"] = [
+        new_rows = read_hollow_run(json.loads(Path(arguments.take).read_text(encoding="utf-8")))
+        measured_keys = {(row["key"], row["n"], row["how"]) for row in new_rows}
+        results["source2"] = [
             row
-            for row in raw["source2"]
-            if row["source"] != "hollow" or (row["key"], row["n"], row["how"]) not in names
-        ] + new
-        write(told.file, raw)
-    elif not told.page:
+            for row in results["source2"]
+            if row["source"] != "hollow" or (row["key"], row["n"], row["how"]) not in measured_keys
+        ] + new_rows
+        write_results(arguments.file, results)
+    elif not arguments.page:
         from .kinds import KINDS
-        from .second import counted
+        from .second_sources import count_second_sources
 
-        kinds = told.only.split(",") if told.only else [*KINDS, "second"]
+        kinds = arguments.only.split(",") if arguments.only else [*KINDS, "second"]
         if unknown := [kind for kind in kinds if kind not in KINDS and kind != "second"]:
-            words.error(f"no kind {', '.join(unknown)}: {', '.join([*KINDS, 'second'])}")
-        measure(raw, [kind for kind in kinds if kind in KINDS], told.seed, told.file)
+            parser.error(f"no kind {', '.join(unknown)}: {', '.join([*KINDS, 'second'])}")
+        measure_kinds(results, [kind for kind in kinds if kind in KINDS], arguments.seed, arguments.file)
         if "second" in kinds:
-            raw["source2"] = [row for row in raw["source2"] if row["source"] == "hollow"] + counted()
-        write(told.file, raw)
-        if told.only:
+            results["source2"] = [
+                row for row in results["source2"] if row["source"] == "hollow"
+            ] + count_second_sources()
+        write_results(arguments.file, results)
+        if arguments.only:
             return 0
-    told.out.write_text(text(raw), encoding="utf-8")
+    arguments.out.write_text(format_page(results), encoding="utf-8")
     return 0
 
 
--- a/benchmarks/capacity/kinds/counter.py
+++ b/benchmarks/capacity/kinds/counter.py
@@ -1,4 +1,4 @@
-"""Calls to the counter by leases, and connections at the sim servers by the number of ingresses."""
+"""Measures calls to the counter for leases, and connections at the sim servers by the number of ingresses."""
 
 from __future__ import annotations
 
@@ -8,109 +8,119 @@
 from benchmarks.vast import World
 from brackenpulley.plans.leases import CounterCall, LeaseFinished, LeaseGrant, LeaseManager
 
-from ..measure import REPEATS, Slope, slope
+from ..measure import REPEATS, Slope, make_slope
 
-RATES = (0.003, 0.02, 0.1, 0.5, 2.0, 8.0)  # tries a second of one firm at one ingress
-PLACES = ((10, 15), (20, 30), (40, 60), (80, 120))
-ANSWER, FIRMS = 0.005, 20  # s of a call; firms looked at
-SECONDS = 40.0
+RATES = (0.003, 0.02, 0.1, 0.5, 2.0, 8.0)  # requests per second of one firm at one ingress
+FLEET_SIZES = ((10, 15), (20, 30), (40, 60), (80, 120))  # ingresses and servers
+CALL_SECONDS = 0.005  # of a counter call
+FIRMS = 20
+MIN_RUN_SECONDS = 40.0  # longer at low rates, for six requests of a firm on average
 
 
-def leased(rate: float, seed: int) -> float:
-    """Counter calls a try: Poisson tries of a unit, firms well inside their quota, leases as in deploy's settings."""
+def count_calls_per_attempt(rate: float, seed: int) -> float:
+    """Returns the counter calls per request for a lease.
+
+    Requests of one unit arrive as a Poisson process. Firms stay well inside their quota, and leases last as in the
+    settings of the deploy file."""
     rng = random.Random(seed)
-    keeper = LeaseManager(
-        lambda firm, told, since, until: 60.0 * (until - since), lambda firm, told, when: 120.0, 1.0, 5.0
+    leases = LeaseManager(
+        lambda firm, plan, since, until: 60.0 * (until - since), lambda firm, plan, when: 120.0, 1.0, 5.0
     )
-    numbers: dict[int, float] = {}
+    counters: dict[int, float] = {}
     levels: dict[int, float] = {}
     heap: list[tuple[float, int, str, float]] = []
-    serial = tries = calls = 0
+    serial = attempts = calls = 0
 
-    def push(when: float, what: str, value: float) -> None:
+    def schedule(when: float, kind: str, value: float) -> None:
         nonlocal serial
         serial += 1
-        heapq.heappush(heap, (when, serial, what, value))
+        heapq.heappush(heap, (when, serial, kind, value))
 
-    def do(now: float, effects: list[CounterCall | LeaseGrant | LeaseFinished]) -> None:
+    def apply_effects(now: float, effects: list[CounterCall | LeaseGrant | LeaseFinished]) -> None:
         nonlocal calls
         for effect in effects:
             if isinstance(effect, CounterCall):
                 calls += 1
-                numbers[effect.name] = numbers.get(effect.name, 0.0) + effect.amount
-                push(now + ANSWER, "answer", effect.name)
+                counters[effect.name] = counters.get(effect.name, 0.0) + effect.amount
+                schedule(now + CALL_SECONDS, "answer", effect.name)
             elif isinstance(effect, LeaseGrant):
                 levels[effect.firm] = levels.get(effect.firm, 0.0) + effect.units
 
-    begin = 1000.0
+    started_at = 1000.0
     for firm in range(1, FIRMS + 1):
-        push(begin + rng.expovariate(rate), "try", firm)
-    push(begin + 0.25, "sweep", 0.0)
-    span = max(SECONDS, 6.0 / rate)
-    while heap and heap[0][0] < begin + span:
-        now, _, what, value = heapq.heappop(heap)
-        if what == "try":
+        schedule(started_at + rng.expovariate(rate), "try", firm)
+    schedule(started_at + 0.25, "sweep", 0.0)
+    duration = max(MIN_RUN_SECONDS, 6.0 / rate)
+    while heap and heap[0][0] < started_at + duration:
+        now, _, kind, value = heapq.heappop(heap)
+        if kind == "try":
             firm = int(value)
-            tries += 1
-            do(now, keeper.request(now, firm, "county", 1.0, 3, 0, levels.get(firm, 0.0))[1])
-            push(now + 2 * ANSWER, "use", firm)
-            push(now + rng.expovariate(rate), "try", firm)
-        elif what == "use":
+            attempts += 1
+            apply_effects(now, leases.request(now, firm, "county", 1.0, 3, 0, levels.get(firm, 0.0))[1])
+            schedule(now + 2 * CALL_SECONDS, "use", firm)
+            schedule(now + rng.expovariate(rate), "try", firm)
+        elif kind == "use":
             levels[int(value)] = levels.get(int(value), 0.0) - 1.0
-        elif what == "answer":
-            do(now, keeper.handle_reply(now, int(value), "ok", numbers[int(value)]))
+        elif kind == "answer":
+            apply_effects(now, leases.handle_reply(now, int(value), "ok", counters[int(value)]))
         else:
-            do(now, keeper.sweep(now, lambda key: levels.get(key, 0.0)))
-            push(now + 0.25, "sweep", 0.0)
-    return calls / max(1, tries)
+            apply_effects(now, leases.sweep(now, lambda key: levels.get(key, 0.0)))
+            schedule(now + 0.25, "sweep", 0.0)
+    return calls / max(1, attempts)
 
 
-def measured(seed: int, rates: tuple[float, ...] = RATES) -> list[Slope]:
+def measure_slopes(seed: int, rates: tuple[float, ...] = RATES) -> list[Slope]:
+    """Measures each size and returns the slopes of this kind."""
     return [
-        slope(
+        make_slope(
             "counter.leased",
             "counter calls a try of a leased firm",
             "tries a second of a firm at an ingress",
             "calls",
-            [(rate, [leased(rate, seed + k) for k in range(REPEATS)]) for rate in rates],
+            [(rate, [count_calls_per_attempt(rate, seed + k) for k in range(REPEATS)]) for rate in rates],
             source="virtual time",
             seed=seed,
         )
     ]
 
 
-def connections(seed: int, places: tuple[tuple[int, int], ...] = PLACES, seconds: float = 10.0) -> list[Slope]:
-    """A day at size, three servers for two ingresses: requests a server stay the same."""
-    found: dict[int, list[dict[str, float]]] = {}
-    for gateways, servers in places:
+def measure_connections(
+    seed: int, fleet_sizes: tuple[tuple[int, int], ...] = FLEET_SIZES, seconds: float = 10.0
+) -> list[Slope]:
+    """Measures fleets with three servers for two ingresses, so that the requests per server stay the same."""
+    measurements: dict[int, list[dict[str, float]]] = {}
+    for ingresses, servers in fleet_sizes:
         for k in range(REPEATS):
-            world = World(seed + k, gateways, servers, seconds=seconds)
+            world = World(seed + k, ingresses, servers, seconds=seconds)
             world.run()
-            told = world.count
-            found.setdefault(gateways, []).append(
-                {"kept": sum(len(s.conns) for s in world.servers.values()) / servers, "calls": told["calls"] / seconds}
+            counts = world.count
+            measurements.setdefault(ingresses, []).append(
+                {
+                    "kept": sum(len(s.conns) for s in world.servers.values()) / servers,
+                    "calls": counts["calls"] / seconds,
+                }
             )
 
-    def rows(name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [one[name] for one in some]) for n, some in found.items()]
+    def collect_points(name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [one[name] for one in repeats]) for n, repeats in measurements.items()]
 
     virtual = "virtual time"
     return [
-        slope(
+        make_slope(
             "connections.server",
             f"ingresses that a server has a connection from after {seconds:g} s",
             "ingresses",
             "connections",
-            rows("kept"),
+            collect_points("kept"),
             source=virtual,
             seed=seed,
         ),
-        slope(
+        make_slope(
             "connections.calls",
             "counter calls a second of all ingresses, quotas by shares",
             "ingresses",
             "calls/s",
-            rows("calls"),
+            collect_points("calls"),
             source=virtual,
             seed=seed,
         ),
--- a/benchmarks/capacity/kinds/lists.py
+++ b/benchmarks/capacity/kinds/lists.py
@@ -1,4 +1,4 @@
-"""Discovery's list in an ingress: bytes, processor time, longest hold, memory; and what a message costs beside it."""
+"""Measures discovery's list in an ingress, and the cost of a message by the number of servers."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from benchmarks.module_cost import micros
 from brackenpulley.net.inventory import MAX_LIST_BYTES, Inventory
 from brackenpulley.net.objects import JsonObjectSplitter
-from brackenpulley.policy import interface as i
+from brackenpulley.policy import interface
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
 from brackenpulley.standins.settings import settings
 
-from ..measure import REPEATS, Slope, cpu, memory, slope
+from ..measure import REPEATS, Slope, make_slope, measure_cpu, measure_memory
 
 SIZES = (60, 1000, 3000, 6000, 12000)
-MESSAGES = (10, 100, 1000, 4000, 12000)
-PART = 65536  # bytes read at a time
+MESSAGE_SIZES = (10, 100, 1000, 4000, 12000)
+PART_BYTES = 65536  # read at a time
 
 
-def entries(servers: int, seed: int = 1) -> list[dict[str, Any]]:
-    """In the form of the protocol page; three regions of four zones."""
+def make_entries(servers: int, seed: int = 1) -> list[dict[str, Any]]:
+    """Returns entries of the list in the wire format, in three regions of four zones."""
     rng = random.Random(seed)
     return [
         {
@@ -40,109 +40,149 @@
     ]
 
 
-def whole(rows: list[dict[str, Any]]) -> bytes:
+def encode_list(rows: list[dict[str, Any]]) -> bytes:
+    """Returns a whole list as discovery sends it."""
     return json.dumps({"generation": 7, "reset": True, "instances": rows}, separators=(",", ":")).encode()
 
 
-class Listed:
-    """An inventory before a decision module, fed with bytes as `Discovery` feeds it."""
+class ModuleWithInventory:
+    """An inventory in front of a decision module, fed with bytes as `Discovery` feeds it."""
 
     def __init__(self) -> None:
         self.now, self.serial = 1000.0, 0
         self.timers: list[tuple[float, int, int]] = []
-        self.gateway = DecisionModule(decode(settings(40, 0)), 1, self.now)
-        self.inventory = Inventory(self.tell)
+        self.decision_module = DecisionModule(decode(settings(40, 0)), 1, self.now)
+        self.inventory = Inventory(self.handle_event)
         self.objects = JsonObjectSplitter(MAX_LIST_BYTES)
 
-    def tell(self, event: i.Event) -> None:
-        for action in self.gateway.handle(self.now, event):
-            if isinstance(action, i.SetTimer):
+    def handle_event(self, event: interface.Event) -> None:
+        """Passes an event to the decision module and schedules its timers."""
+        for action in self.decision_module.handle(self.now, event):
+            if isinstance(action, interface.SetTimer):
                 self.serial += 1
                 heapq.heappush(self.timers, (self.now + action.delay, self.serial, action.token))
 
-    def told(self, data: bytes) -> None:
-        """The last turn: the part that ends the list, and the list taken."""
-        for found in self.objects.feed(data):
-            self.inventory.apply_object(json.loads(found))
+    def feed_last_part(self, data: bytes) -> None:
+        """Feeds the part that completes the list and applies it, which is the last turn of the loop."""
+        for encoded in self.objects.feed(data):
+            self.inventory.apply_object(json.loads(encoded))
 
-    def takes(self, data: bytes) -> bytes:
-        """All parts but the last one, which is returned."""
-        for at in range(0, len(data) - PART, PART):
-            assert not list(self.objects.feed(data[at : at + PART]))
-        return data[max(0, (len(data) - 1) // PART * PART) :]
+    def feed_leading_parts(self, data: bytes) -> bytes:
+        """Feeds all parts but the last one and returns that one."""
+        for start in range(0, len(data) - PART_BYTES, PART_BYTES):
+            assert not list(self.objects.feed(data[start : start + PART_BYTES]))
+        return data[max(0, (len(data) - 1) // PART_BYTES * PART_BYTES) :]
 
-    def rest(self, seconds: float) -> None:
-        """The module's own timers and no messages."""
+    def run_timers(self, seconds: float) -> None:
+        """Runs the decision module's own timers for so many s, without messages."""
         until = self.now + seconds
         while self.timers and self.timers[0][0] <= until:
             self.now, _, token = heapq.heappop(self.timers)
-            self.tell(i.TimerFired(token))
-
-
-def of(servers: int, seed: int) -> tuple[dict[str, float], Listed]:
-    rows = entries(servers, seed)
-    data = whole(rows)
-    kept, highest, made = memory(lambda: taken(Listed(), data))
-    fresh = Listed()
-    parts = cpu(lambda: None) if len(data) <= PART else cpu(lambda: fresh.takes(data))
-    last = data[max(0, (len(data) - 1) // PART * PART) :]
-    hold = cpu(lambda: fresh.told(last))
+            self.handle_event(interface.TimerFired(token))
+
+
+def measure_size(servers: int, seed: int) -> tuple[dict[str, float], ModuleWithInventory]:
+    """Measures a list of so many servers; also returns the module that holds it."""
+    rows = make_entries(servers, seed)
+    data = encode_list(rows)
+    retained, peak, made = measure_memory(lambda: feed_list(ModuleWithInventory(), data))
+    fresh = ModuleWithInventory()
+    parts = (
+        measure_cpu(lambda: None) if len(data) <= PART_BYTES else measure_cpu(lambda: fresh.feed_leading_parts(data))
+    )
+    last = data[max(0, (len(data) - 1) // PART_BYTES * PART_BYTES) :]
+    hold = measure_cpu(lambda: fresh.feed_last_part(last))
     changed = [
-        whole([{**rows[n % len(rows)], "lifecycle": "DRAINING"}]).replace(b'"reset":true', b'"reset":false')
+        encode_list([{**rows[n % len(rows)], "lifecycle": "DRAINING"}]).replace(b'"reset":true', b'"reset":false')
         for n in range(8)
     ]
     turn = iter(changed)
-    change = cpu(lambda: fresh.told(next(turn)), len(changed))
-    rest = cpu(lambda: fresh.rest(5.0)) / 5.0
+    change = measure_cpu(lambda: fresh.feed_last_part(next(turn)), len(changed))
+    idle_cpu = measure_cpu(lambda: fresh.run_timers(5.0)) / 5.0
     return {
         "bytes": len(data),
         "cpu": parts + hold,
         "hold": hold * 1000,
-        "memory": kept / 1e6,
-        "highest": highest / 1e6,
+        "memory": retained / 1e6,
+        "highest": peak / 1e6,
         "change": change * 1000,
-        "rest": rest * 100,
+        "rest": idle_cpu * 100,
         "changeBytes": len(changed[0]),
     }, fresh
 
 
-def taken(made: Listed, data: bytes) -> Listed:
-    made.told(made.takes(data))
-    return made
+def feed_list(module: ModuleWithInventory, data: bytes) -> ModuleWithInventory:
+    """Feeds a whole list to the module and returns the module."""
+    module.feed_last_part(module.feed_leading_parts(data))
+    return module
 
 
-def measured(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
-    found = {n: [of(n, seed + k)[0] for k in range(REPEATS)] for n in sizes}
+def measure_slopes(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
+    """Measures each size and returns the slopes of this kind."""
+    measurements = {n: [measure_size(n, seed + k)[0] for k in range(REPEATS)] for n in sizes}
 
-    def rows(name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [one[name] for one in ran]) for n, ran in found.items()]
+    def collect_points(name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [repeat[name] for repeat in repeats]) for n, repeats in measurements.items()]
 
     return [
-        slope("list.bytes", "a whole list as discovery tells it", "servers", "bytes", rows("bytes"), seed=seed),
-        slope("list.change_bytes", "one change of one server", "servers", "bytes", rows("changeBytes"), seed=seed),
-        slope("list.cpu", "processor time to take a whole list", "servers", "s", rows("cpu"), "least", seed=seed),
-        slope("list.hold", "the turn in which a whole list ends", "servers", "ms", rows("hold"), "least", seed=seed),
-        slope("list.change", "processor time of one change", "servers", "ms", rows("change"), "least", seed=seed),
-        slope(
-            "list.rest", "the module's timers, no messages", "servers", "% of a core", rows("rest"), "least", seed=seed
+        make_slope(
+            "list.bytes", "a whole list as discovery tells it", "servers", "bytes", collect_points("bytes"), seed=seed
+        ),
+        make_slope(
+            "list.change_bytes",
+            "one change of one server",
+            "servers",
+            "bytes",
+            collect_points("changeBytes"),
+            seed=seed,
+        ),
+        make_slope(
+            "list.cpu", "processor time to take a whole list", "servers", "s", collect_points("cpu"), "least", seed=seed
+        ),
+        make_slope(
+            "list.hold",
+            "the turn in which a whole list ends",
+            "servers",
+            "ms",
+            collect_points("hold"),
+            "least",
+            seed=seed,
+        ),
+        make_slope(
+            "list.change", "processor time of one change", "servers", "ms", collect_points("change"), "least", seed=seed
         ),
-        slope(
-            "list.memory", "a list that is held, with the module's records", "servers", "MB", rows("memory"), seed=seed
+        make_slope(
+            "list.rest",
+            "the module's timers, no messages",
+            "servers",
+            "% of a core",
+            collect_points("rest"),
+            "least",
+            seed=seed,
+        ),
+        make_slope(
+            "list.memory",
+            "a list that is held, with the module's records",
+            "servers",
+            "MB",
+            collect_points("memory"),
+            seed=seed,
         ),
-        slope(
+        make_slope(
             "list.highest",
             "the same at its highest point, while it is taken",
             "servers",
             "MB",
-            rows("highest"),
+            collect_points("highest"),
             seed=seed,
         ),
     ]
 
 
-def message(seed: int, sizes: tuple[int, ...] = MESSAGES, messages: int = 1500) -> list[Slope]:
+def measure_message(seed: int, sizes: tuple[int, ...] = MESSAGE_SIZES, messages: int = 1500) -> list[Slope]:
+    """Measures a message in the decision module by the number of servers."""
     return [
-        slope(
+        make_slope(
             "module.message",
             "a message in the decision module, 500 a second",
             "servers",
--- a/benchmarks/capacity/kinds/members.py
+++ b/benchmarks/capacity/kinds/members.py
@@ -1,4 +1,4 @@
-"""Membership and records in virtual time, and the turns that take a whole exchange."""
+"""Measures membership and records in virtual time, and the turns of the loop that take a whole exchange."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from brackenpulley.members.records import RecordTable
 from brackenpulley.members.wire import ALIVE, DEAD, Digest, Envelope, Sync, Update, _encode
 
-from ..measure import REPEATS, Slope, cpu, memory, slope
+from ..measure import REPEATS, Slope, make_slope, measure_cpu, measure_memory
 
 SIZES = (50, 100, 200, 400)
-WIDE = (100, 200, 400, 890)
-CALM, PATIENCE = 10.0, 60  # s looked at, and for a death
+LARGE_SIZES = (100, 200, 400, 890)
+IDLE_SECONDS = 10.0  # of one observed span
+DEATH_TIMEOUT_SECONDS = 60  # until a death must be known to all
 
 
-class Counted(Net):
-    """Counts what is sent, too."""
+class CountingNet(Net):
+    """A network that also counts the messages sent."""
 
     messages = 0
 
@@ -30,143 +31,170 @@
         super()._send(member, send)
 
 
-def calm(size: int, seed: int) -> list[dict[str, float]]:
-    """One fleet that joins, and some times a calm span and a death."""
-    began = time.thread_time()
+def measure_idle(size: int, seed: int) -> list[dict[str, float]]:
+    """Measures a fleet in which all join: spans without changes, then deaths of members.
+
+    All spans precede the deaths, because members probe the dead for a while and that costs bytes."""
+    started = time.thread_time()
     net = fleet(size, seed)
-    joined = time.thread_time() - began
-    net.__class__ = Counted
-    assert isinstance(net, Counted)
-    net.run(net.now + 12.0)  # what the joining left to be told
-    found: list[dict[str, float]] = []
+    join_cpu = time.thread_time() - started
+    net.__class__ = CountingNet
+    assert isinstance(net, CountingNet)
+    net.run(net.now + 12.0)  # until the news of joining is spread
+    measurements: list[dict[str, float]] = []
     for _ in range(REPEATS):
         net.measure, net.messages = True, 0
         net.bytes.clear()
-        began = time.thread_time()
-        net.run(net.now + CALM)
-        spent = time.thread_time() - began
-        found.append(
+        started = time.thread_time()
+        net.run(net.now + IDLE_SECONDS)
+        spent = time.thread_time() - started
+        measurements.append(
             {
-                "bytes": statistics.mean(net.bytes.values()) / CALM,
-                "messages": net.messages / size / CALM,
-                "cpu": spent / size / CALM * 100,
-                "joined": joined,
-                "death": float(PATIENCE),
+                "bytes": statistics.mean(net.bytes.values()) / IDLE_SECONDS,
+                "messages": net.messages / size / IDLE_SECONDS,
+                "cpu": spent / size / IDLE_SECONDS * 100,
+                "joined": join_cpu,
+                "death": float(DEATH_TIMEOUT_SECONDS),
             }
         )
     net.measure = False
-    for number, told in enumerate(found):  # after the calm: the dead are looked for a while, and that costs bytes
+    for number, figures in enumerate(measurements):
         victim, when = f"a{size - 1 - number}", net.now
         name = net.members[victim].id
         net.heard.clear()
         net.kill(victim)
-        for _ in range(2 * PATIENCE):
+        for _ in range(2 * DEATH_TIMEOUT_SECONDS):
             net.run(net.now + 0.5)
-            times = [at - when for at, _, whom, state in net.heard if whom == name and state == DEAD]
+            times = [heard_at - when for heard_at, _, whom, state in net.heard if whom == name and state == DEAD]
             if len(times) >= len(net.members):
-                told["death"] = max(times)
+                figures["death"] = max(times)
                 break
-    return found
+    return measurements
 
 
-def updates(size: int) -> list[Update]:
+def make_updates(size: int) -> list[Update]:
+    """Returns an update for each of so many members."""
     return [
         Update(f"ingress-{n}@1764651600{n:03d}", f"10.0.{n >> 8}.{n & 255}:9300", 1, ALIVE, "") for n in range(size)
     ]
 
 
-def exchange(size: int) -> dict[str, float]:
-    """One who joins takes all that another knows, in one turn."""
-    body = Sync(updates(size))
+def measure_exchange(size: int) -> dict[str, float]:
+    """Measures a member that joins and takes all that another one knows in one turn."""
+    body = Sync(make_updates(size))
 
-    def joins() -> Protocol:
+    def join() -> Protocol:
         made = Protocol("me@1", "10.9.9.9:1", random.Random(1), 1000.0)
         made.receive(1000.0, "x", body)
         return made
 
-    kept, _, made = memory(joins)
+    retained, _, made = measure_memory(join)
     return {
-        "hold": cpu(joins) * 1000,
-        "again": cpu(lambda: made.receive(1001.0, "x", body)) * 1000,
+        "hold": measure_cpu(join) * 1000,
+        "again": measure_cpu(lambda: made.receive(1001.0, "x", body)) * 1000,
         "bytes": len(_encode(Envelope("me@1", 1, 1, body))) + OVERHEAD_BYTES,
-        "memory": kept / 1e6,
+        "memory": retained / 1e6,
     }
 
 
-def measured(seed: int, sizes: tuple[int, ...] = SIZES, wide: tuple[int, ...] = WIDE) -> list[Slope]:
-    ran = {n: calm(n, seed) for n in sizes}
-    large = {n: [exchange(n) for _ in range(REPEATS)] for n in wide}
+def measure_slopes(
+    seed: int, sizes: tuple[int, ...] = SIZES, large_sizes: tuple[int, ...] = LARGE_SIZES
+) -> list[Slope]:
+    """Measures each size and returns the slopes of this kind."""
+    runs = {n: measure_idle(n, seed) for n in sizes}
+    exchanges = {n: [measure_exchange(n) for _ in range(REPEATS)] for n in large_sizes}
 
-    def rows(found: dict[int, list[dict[str, float]]], name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [one[name] for one in some]) for n, some in found.items()]
+    def collect_points(measurements: dict[int, list[dict[str, float]]], name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [repeat[name] for repeat in repeats]) for n, repeats in measurements.items()]
 
     virtual = "virtual time"
     return [
-        slope(
+        make_slope(
             "members.bytes",
             "bytes a second a member sends, in a calm fleet",
             "members",
             "bytes/s",
-            rows(ran, "bytes"),
+            collect_points(runs, "bytes"),
             source=virtual,
             seed=seed,
         ),
-        slope(
+        make_slope(
             "members.messages",
             "messages a second a member sends",
             "members",
             "/s",
-            rows(ran, "messages"),
+            collect_points(runs, "messages"),
             source=virtual,
             seed=seed,
         ),
-        slope(
+        make_slope(
             "members.cpu",
             "processor time of the protocol without sockets and seals",
             "members",
             "% of a core",
-            rows(ran, "cpu"),
+            collect_points(runs, "cpu"),
             "least",
             virtual,
             seed,
         ),
-        slope("members.death", "a death known to all", "members", "s", rows(ran, "death"), source=virtual, seed=seed),
-        slope(
+        make_slope(
+            "members.death",
+            "a death known to all",
+            "members",
+            "s",
+            collect_points(runs, "death"),
+            source=virtual,
+            seed=seed,
+        ),
+        make_slope(
             "members.trial",
             "processor time of a trial in which all join one after another",
             "members",
             "s",
-            rows(ran, "joined"),
+            collect_points(runs, "joined"),
             "least",
             virtual,
             seed,
         ),
-        slope(
+        make_slope(
             "members.hold",
             "the turn in which one that joins takes the whole exchange",
             "members",
             "ms",
-            rows(large, "hold"),
+            collect_points(exchanges, "hold"),
             "least",
             seed=seed,
         ),
-        slope(
-            "members.again", "the turn of a later exchange", "members", "ms", rows(large, "again"), "least", seed=seed
+        make_slope(
+            "members.again",
+            "the turn of a later exchange",
+            "members",
+            "ms",
+            collect_points(exchanges, "again"),
+            "least",
+            seed=seed,
         ),
-        slope(
+        make_slope(
             "members.exchange",
             "bytes of a whole exchange, one way",
             "members",
             "bytes",
-            rows(large, "bytes"),
+            collect_points(exchanges, "bytes"),
+            seed=seed,
+        ),
+        make_slope(
+            "members.memory",
+            "what a member holds of the others",
+            "members",
+            "MB",
+            collect_points(exchanges, "memory"),
             seed=seed,
         ),
-        slope("members.memory", "what a member holds of the others", "members", "MB", rows(large, "memory"), seed=seed),
     ]
 
 
-def table(size: int) -> dict[str, float]:
-    """Each member tells one record of what it carries, as `maintenance` does."""
+def measure_records(size: int) -> dict[str, float]:
+    """Measures a table with one record of each member, as `maintenance` publishes it."""
     value = b"\x95\xa9ingress-1\xcd\x01\x02\xc3\xcb@\x10\x00\x00\x00\x00\x00\x00\xce\x00\x01\x02\x03"
     rng = random.Random(1)
 
@@ -179,45 +207,61 @@
                 mine._store(row)
         return mine, other
 
-    kept, _, (mine, other) = memory(make)
+    retained, _, (mine, other) = measure_memory(make)
     digest = mine.digest("10.0.0.1:9300")
     empty = Digest("10.0.0.2:9300", [])
-    found = mine.compare(empty)
-    assert found is not None
+    missing = mine.compare(empty)
+    assert missing is not None
     return {
-        "memory": kept / 1e6,
+        "memory": retained / 1e6,
         "digest": len(_encode(Envelope("me@1", 1, 1, digest))) + OVERHEAD_BYTES,
-        "all": len(_encode(Envelope("me@1", 1, 1, found))) + OVERHEAD_BYTES,
-        "compare": cpu(lambda: mine.compare(digest)) * 1000,
-        "take": cpu(lambda: other.receive(1000.0, found)) * 1000,
-        "news": cpu(lambda: mine.queue.take(1100, size)) * 1000,
+        "all": len(_encode(Envelope("me@1", 1, 1, missing))) + OVERHEAD_BYTES,
+        "compare": measure_cpu(lambda: mine.compare(digest)) * 1000,
+        "take": measure_cpu(lambda: other.receive(1000.0, missing)) * 1000,
+        "news": measure_cpu(lambda: mine.queue.take(1100, size)) * 1000,
     }
 
 
-def records(seed: int, sizes: tuple[int, ...] = WIDE) -> list[Slope]:
-    found = {n: [table(n) for _ in range(REPEATS)] for n in sizes}
+def measure_record_slopes(seed: int, sizes: tuple[int, ...] = LARGE_SIZES) -> list[Slope]:
+    """Measures records and returns their slopes."""
+    measurements = {n: [measure_records(n) for _ in range(REPEATS)] for n in sizes}
 
-    def rows(name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [one[name] for one in some]) for n, some in found.items()]
+    def collect_points(name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [repeat[name] for repeat in repeats]) for n, repeats in measurements.items()]
 
     return [
-        slope("records.memory", "one record of each member", "members", "MB", rows("memory"), seed=seed),
-        slope("records.digest", "bytes of a table's digest, one way", "members", "bytes", rows("digest"), seed=seed),
-        slope(
+        make_slope("records.memory", "one record of each member", "members", "MB", collect_points("memory"), seed=seed),
+        make_slope(
+            "records.digest",
+            "bytes of a table's digest, one way",
+            "members",
+            "bytes",
+            collect_points("digest"),
+            seed=seed,
+        ),
+        make_slope(
             "records.all",
             "bytes of all records, told to one who holds none",
             "members",
             "bytes",
-            rows("all"),
+            collect_points("all"),
+            seed=seed,
+        ),
+        make_slope(
+            "records.take",
+            "the turn that takes all records",
+            "members",
+            "ms",
+            collect_points("take"),
+            "least",
             seed=seed,
         ),
-        slope("records.take", "the turn that takes all records", "members", "ms", rows("take"), "least", seed=seed),
-        slope(
+        make_slope(
             "records.news",
             "records for one datagram while all wait to be told",
             "members",
             "ms",
-            rows("news"),
+            collect_points("news"),
             "least",
             seed=seed,
         ),
--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -1,4 +1,4 @@
-"""Real processes: an ingress at the start, at rest and under messages; a supervisor with its instances."""
+"""Measures real processes: an ingress at its start, idle and relaying messages, and a supervisor with its instances."""
 
 from __future__ import annotations
 
@@ -23,196 +23,227 @@
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.servers import Discovery
 
-from ..measure import REPEATS, Slope, slope
-from .lists import entries
+from ..measure import REPEATS, Slope, make_slope
+from .lists import make_entries
 
-SIZES, REAL = (60, 1000, 4000, 12000), 5
+SIZES, REAL_SERVERS = (60, 1000, 4000, 12000), 5  # entries of the list; those with a server behind them
 INSTANCES = (1, 2, 4, 8)
 
 
-class Large(Discovery):
-    """Some real servers, and the rest of the list without any: told as draining before messages come."""
+class LargeDiscovery(Discovery):
+    """A discovery service with some real servers and entries without a server behind them.
+
+    Those entries are set to draining before messages are sent."""
 
     def __init__(self, loop: Loop, servers: list[Any], size: int) -> None:
         super().__init__(loop, servers)
-        self.rest = entries(size)[len(servers) :]
+        self.unserved_rows = make_entries(size)[len(servers) :]
 
-    def drained(self) -> None:
+    def drain(self) -> None:
+        """Sets all entries without a server to draining."""
         self.generation += 1
-        self.rest = [{**row, "lifecycle": "DRAINING"} for row in self.rest]
+        self.unserved_rows = [{**row, "lifecycle": "DRAINING"} for row in self.unserved_rows]
         for line in self.watchers:
-            self._tell(line, {"generation": self.generation, "reset": False, "instances": self.rest})
+            self._tell(line, {"generation": self.generation, "reset": False, "instances": self.unserved_rows})
 
     def _rows(self, servers: list[Any]) -> list[dict[str, object]]:
-        return [*super()._rows(servers), *(self.rest if len(servers) > 1 else [])]
+        return [*super()._rows(servers), *(self.unserved_rows if len(servers) > 1 else [])]
 
 
-def spent(pid: int) -> float:
-    """s of processor time, by the scheduler's own count: finer than the ticks of `stat`."""
+def read_cpu_seconds(pid: int) -> float:
+    """Returns a process's CPU time from the scheduler's statistics, which are finer than the ticks of `stat`."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def wait(loop: Loop, until: Callable[[], bool], patience: float) -> float:
-    began = time.monotonic()
-    while not until():
-        if time.monotonic() - began > patience:
-            raise TimeoutError(f"nothing within {patience:g} s")
+def wait_until(loop: Loop, condition: Callable[[], bool], timeout: float) -> float:
+    """Runs the loop until a condition holds and returns the time taken, in s. Raises TimeoutError."""
+    started = time.monotonic()
+    while not condition():
+        if time.monotonic() - started > timeout:
+            raise TimeoutError(f"condition not met within {timeout:g} s")
         loop.run_once(0.005)
-    return time.monotonic() - began
+    return time.monotonic() - started
 
 
-def spend(loop: Loop, seconds: float) -> None:
+def run_loop(loop: Loop, seconds: float) -> None:
+    """Runs the loop for so many s."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         loop.run_once(0.02)
 
 
-def one(size: int, seed: int) -> dict[str, float]:
+def measure_ingress(size: int, seed: int) -> dict[str, float]:
+    """Measures a daemon with a list of so many servers."""
     loop = Loop(wall_clock(), Metrics(), structlog.get_logger())
-    servers = [SimServer(loop, f"real-{n}", random.Random(n)) for n in range(REAL)]
-    discovery = Large(loop, [*servers], size)
+    servers = [SimServer(loop, f"real-{n}", random.Random(n)) for n in range(REAL_SERVERS)]
+    discovery = LargeDiscovery(loop, [*servers], size)
     with tempfile.TemporaryDirectory(prefix="bracken-capacity-") as name:
         port = free_ports(1)[0]
         daemon = Process(Path(name), "daemon", port, discovery.listener.text, "127.0.0.1:1", "")
         try:
             state = {"ready": False, "out": False}
 
-            def heard(status: int, body: bytes) -> None:
+            def handle_ready(status: int, body: bytes) -> None:
                 state.update(ready=status == 200, out=False)
 
-            def ready() -> bool:
+            def is_ready() -> bool:
                 if not state["out"] and not state["ready"]:
                     state["out"] = True
-                    Call(loop, ("127.0.0.1", port), "GET", "/ready", b"", 1.0, heard)
+                    Call(loop, ("127.0.0.1", port), "GET", "/ready", b"", 1.0, handle_ready)
                 return state["ready"]
 
-            start = wait(loop, ready, 30.0)
-            wait(loop, lambda: bool(discovery.watchers), 30.0)
-            spend(loop, 0.7)  # until the list of the watch is taken
+            start = wait_until(loop, is_ready, 30.0)
+            wait_until(loop, lambda: bool(discovery.watchers), 30.0)
+            run_loop(loop, 0.7)  # until the list from the watch is applied
             pid = daemon.process.pid
-            before, resident = spent(pid), usage(pid)[1]
-            spend(loop, 1.5)
-            rest = (spent(pid) - before) / 1.5
-            discovery.drained()
-            spend(loop, 0.7)
+            before, resident = read_cpu_seconds(pid), usage(pid)[1]
+            run_loop(loop, 1.5)
+            rest = (read_cpu_seconds(pid) - before) / 1.5
+            discovery.drain()
+            run_loop(loop, 0.7)
             load = Closed(loop, port, seed)
             load.start()
-            spend(loop, 0.3)
-            before, answers = spent(pid), load.answers
-            spend(loop, 0.8)
-            took, count = spent(pid) - before, load.answers - answers
+            run_loop(loop, 0.3)
+            before, answers = read_cpu_seconds(pid), load.answers
+            run_loop(loop, 0.8)
+            cpu_used, count = read_cpu_seconds(pid) - before, load.answers - answers
             load.running = False
-            wait(loop, lambda: not load.out, 10.0)
-            return {"start": start, "rest": rest * 100, "resident": resident / 1024, "message": took / count * 1e6}
+            wait_until(loop, lambda: not load.out, 10.0)
+            return {"start": start, "rest": rest * 100, "resident": resident / 1024, "message": cpu_used / count * 1e6}
         finally:
             daemon.process.terminate()
             daemon.process.wait()
 
 
-def ingress(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
-    found = {n: [one(n, seed + k) for k in range(REPEATS)] for n in sizes}
+def measure_ingress_slopes(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
+    """Measures daemons and returns their slopes."""
+    measurements = {n: [measure_ingress(n, seed + k) for k in range(REPEATS)] for n in sizes}
 
-    def rows(name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [ran[name] for ran in some]) for n, some in found.items()]
+    def collect_points(name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [repeat[name] for repeat in repeats]) for n, repeats in measurements.items()]
 
     return [
-        slope("process.start", "from the start of the process to /ready", "servers", "s", rows("start"), seed=seed),
-        slope("process.rest", "a daemon at rest", "servers", "% of a core", rows("rest"), "least", seed=seed),
-        slope(
+        make_slope(
+            "process.start",
+            "from the start of the process to /ready",
+            "servers",
+            "s",
+            collect_points("start"),
+            seed=seed,
+        ),
+        make_slope(
+            "process.rest", "a daemon at rest", "servers", "% of a core", collect_points("rest"), "least", seed=seed
+        ),
+        make_slope(
             "process.resident",
             "a daemon's resident memory after its list",
             "servers",
             "MB",
-            rows("resident"),
+            collect_points("resident"),
             seed=seed,
         ),
-        slope(
+        make_slope(
             "process.message",
             "a message relayed, closed loop of 16 connections",
             "servers",
             "us",
-            rows("message"),
+            collect_points("message"),
             "least",
             seed=seed,
         ),
     ]
 
 
-def fleet(instances: int, repeats: int = REPEATS, seconds: float = 2.0) -> list[dict[str, float]]:
-    """A supervisor with so many instances, membership on: some times at rest, then one of them killed."""
-    made = Trial(instances, 1, 0.0, 40.0, True)
+def measure_fleet(instances: int, repeats: int = REPEATS, seconds: float = 2.0) -> list[dict[str, float]]:
+    """Measures a supervisor with so many instances and membership on: idle, then after one of them is killed."""
+    trial = Trial(instances, 1, 0.0, 40.0, True)
 
     def pids() -> list[int]:
-        return [row["pid"] for row in made.status()["places"] if row["state"] == "ready"]
+        return [row["pid"] for row in trial.status()["places"] if row["state"] == "ready"]
 
-    found = []
+    measurements = []
     try:
-        made.run()
-        made.all_ready(max(1, instances // 2), 30.0, "the first")
-        made.ask("POST", "/v1/fleet/scale", {"instances": instances})
-        made.all_ready(instances, 30.0, "all")
-        assert made.supervisor is not None
-        own = made.supervisor.pid
+        trial.run()
+        trial.all_ready(max(1, instances // 2), 30.0, "the first")
+        trial.ask("POST", "/v1/fleet/scale", {"instances": instances})
+        trial.all_ready(instances, 30.0, "all")
+        assert trial.supervisor is not None
+        own = trial.supervisor.pid
         for _ in range(repeats):
-            spend(made.loop, 1.0)
+            run_loop(trial.loop, 1.0)
             at = pids()
-            before, mine = [spent(pid) for pid in at], spent(own)
-            spend(made.loop, seconds)
-            now, then = [spent(pid) for pid in at], spent(own)
+            before, mine = [read_cpu_seconds(pid) for pid in at], read_cpu_seconds(own)
+            run_loop(trial.loop, seconds)
+            now, then = [read_cpu_seconds(pid) for pid in at], read_cpu_seconds(own)
             resident = sum(usage(pid)[1] for pid in at) / instances / 1024
             os.kill(at[0], signal.SIGKILL)
-            began = time.monotonic()
+            started = time.monotonic()
             while at[0] in (ready := pids()) or len(ready) < instances:
-                if time.monotonic() - began > 30.0:
-                    raise TimeoutError("not started again")
-                spend(made.loop, 0.05)
-            found.append(
+                if time.monotonic() - started > 30.0:
+                    raise TimeoutError("killed instance not restarted within 30 s")
+                run_loop(trial.loop, 0.05)
+            measurements.append(
                 {
                     "supervisor": (then - mine) / seconds * 100,
                     "memory": usage(own)[1] / 1024,
-                    "again": time.monotonic() - began,
+                    "again": time.monotonic() - started,
                     "resident": resident,
                     "instance": sum(b - a for a, b in zip(before, now, strict=True)) / instances / seconds * 100,
                 }
             )
     finally:
-        made.close()
-    return found
+        trial.close()
+    return measurements
 
 
-def supervisor(seed: int, sizes: tuple[int, ...] = INSTANCES) -> list[Slope]:
-    found = {n: fleet(n) for n in sizes}
+def measure_supervisor_slopes(seed: int, sizes: tuple[int, ...] = INSTANCES) -> list[Slope]:
+    """Measures supervisors and returns their slopes."""
+    measurements = {n: measure_fleet(n) for n in sizes}
 
-    def rows(name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [ran[name] for ran in some]) for n, some in found.items()]
+    def collect_points(name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [repeat[name] for repeat in repeats]) for n, repeats in measurements.items()]
 
     return [
-        slope(
+        make_slope(
             "supervisor.rest",
             "a supervisor at rest",
             "instances",
             "% of a core",
-            rows("supervisor"),
+            collect_points("supervisor"),
             "least",
             seed=seed,
         ),
-        slope("supervisor.memory", "a supervisor's resident memory", "instances", "MB", rows("memory"), seed=seed),
-        slope("supervisor.again", "a killed instance, to all ready again", "instances", "s", rows("again"), seed=seed),
-        slope(
+        make_slope(
+            "supervisor.memory",
+            "a supervisor's resident memory",
+            "instances",
+            "MB",
+            collect_points("memory"),
+            seed=seed,
+        ),
+        make_slope(
+            "supervisor.again",
+            "a killed instance, to all ready again",
+            "instances",
+            "s",
+            collect_points("again"),
+            seed=seed,
+        ),
+        make_slope(
             "supervisor.instance",
             "an instance at rest, with membership",
             "instances",
             "% of a core",
-            rows("instance"),
+            collect_points("instance"),
             "least",
             seed=seed,
         ),
-        slope(
+        make_slope(
             "supervisor.resident",
             "an instance's resident memory, with membership",
             "instances",
             "MB",
-            rows("resident"),
+            collect_points("resident"),
             seed=seed,
         ),
     ]
--- a/benchmarks/capacity/kinds/news.py
+++ b/benchmarks/capacity/kinds/record_age.py
@@ -1,4 +1,6 @@
-"""How old what members tell of themselves is elsewhere: whole stations in virtual time, a record each, told anew."""
+"""Measures the age of what members publish about themselves when it reaches others.
+
+Whole stations run in virtual time; each publishes one record again and again."""
 
 from __future__ import annotations
 
@@ -9,15 +11,17 @@
 from brackenpulley.simulation.links import Link, Links
 from brackenpulley.simulation.world import Host, World
 
-from ..measure import REPEATS, Slope, slope
+from ..measure import REPEATS, Slope, make_slope
 
 SIZES = (20, 40, 80, 160)
-TOLD, SETTLE, LOOKS = 2.0, 30.0, 5  # s between two words of each, as `maintenance`; s before looks; looks, a s apart
-BYTES = 30  # of a value
+PUBLISH_INTERVAL_SECONDS = 2.0  # of each member, as in `maintenance`
+SETTLE_SECONDS = 30.0  # before the first observation
+OBSERVATIONS = 5  # of a span, one per second
+VALUE_BYTES = 30  # of a record
 
 
-def told(size: int, seed: int) -> list[dict[str, float]]:
-    """One fleet, looked at in spans one after another."""
+def measure_ages(size: int, seed: int) -> list[dict[str, float]]:
+    """Returns the median and the 99th percentile of the ages in s, for consecutive spans of one fleet."""
     world = World(seed, Links(Link()))
     rng = random.Random(seed)
 
@@ -30,9 +34,9 @@
     def publish(host: Host) -> None:
         station = host.process
         assert isinstance(station, Station)
-        station.records.publish("ingress", "", f"{world.now:.6f}".encode().ljust(BYTES))
+        station.records.publish("ingress", "", f"{world.now:.6f}".encode().ljust(VALUE_BYTES))
         world.apply_effects(host, station.said())
-        world.schedule(world.now + TOLD, lambda: publish(host))
+        world.schedule(world.now + PUBLISH_INTERVAL_SECONDS, lambda: publish(host))
 
     for host in hosts:
         station = host.process
@@ -41,37 +45,40 @@
         world.run(world.now + 0.02)
     world.run(world.now + 5.0)
     for host in hosts:
-        world.schedule(world.now + TOLD * rng.random(), lambda host=host: publish(host))  # type: ignore[misc]
-    world.run(world.now + SETTLE)
-    found = []
+        world.schedule(world.now + PUBLISH_INTERVAL_SECONDS * rng.random(), lambda host=host: publish(host))  # type: ignore[misc]
+    world.run(world.now + SETTLE_SECONDS)
+    measurements = []
     for _ in range(REPEATS):
         ages: list[float] = []
-        for _ in range(LOOKS):
+        for _ in range(OBSERVATIONS):
             world.run(world.now + 1.0)
             for host in rng.sample(hosts, min(10, size)):
                 station = host.process
                 assert isinstance(station, Station)
                 ages += [world.now - float(row.value) for row in station.records.iter_kind("ingress")]
-        found.append({"median": statistics.median(ages), "late": sorted(ages)[int(0.99 * len(ages))]})
-    return found
+        measurements.append({"median": statistics.median(ages), "late": sorted(ages)[int(0.99 * len(ages))]})
+    return measurements
 
 
-def measured(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
-    found = {n: told(n, seed) for n in sizes}
+def measure_slopes(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
+    """Measures each size and returns the slopes of this kind."""
+    measurements = {n: measure_ages(n, seed) for n in sizes}
 
-    def rows(name: str) -> list[tuple[float, list[float]]]:
-        return [(n, [one[name] for one in some]) for n, some in found.items()]
+    def collect_points(name: str) -> list[tuple[float, list[float]]]:
+        return [(n, [repeat[name] for repeat in repeats]) for n, repeats in measurements.items()]
 
     virtual = "virtual time"
     return [
-        slope(
+        make_slope(
             "news.late",
             "age of what a member is known to carry, 99 in 100",
             "members",
             "s",
-            rows("late"),
+            collect_points("late"),
             source=virtual,
             seed=seed,
         ),
-        slope("news.median", "the same, median", "members", "s", rows("median"), source=virtual, seed=seed),
+        make_slope(
+            "news.median", "the same, median", "members", "s", collect_points("median"), source=virtual, seed=seed
+        ),
     ]
--- a/benchmarks/capacity/line.py
+++ b/benchmarks/capacity/load.py
@@ -1,4 +1,7 @@
-"""The line from today's days to the size, and what stands at a point of it: each quantity in proportion. No I/O."""
+"""The current and the target load of the fleet, the assumptions, and estimates at any point between the two loads.
+
+Every quantity grows in proportion from one load to the other. Performs no I/O; `rows`, `page` and `crossings` use
+it."""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .fits import FAR, Fit, fit
+from .fits import MAX_EXTRAPOLATION, Fit, fit
 
-TODAY = {
+CURRENT_LOAD = {
     "ingresses": 40.0,
     "servers": 60.0,
     "services": 1.0,
@@ -22,7 +25,7 @@
     "failures": 0.0,
     "restarts": 0.0,
 }
-SIZE = {
+TARGET_LOAD = {
     "ingresses": 890.0,
     "servers": 12000.0,
     "services": 260.0,
@@ -36,7 +39,7 @@
     "restarts": 3700.0,
 }
 
-ASSUMED: dict[str, tuple[float, str, str]] = {
+ASSUMPTIONS: dict[str, tuple[float, str, str]] = {  # value, what it is, reason
     "route": (
         200.0,
         "bytes of a route in a configuration",
@@ -110,101 +113,108 @@
 }
 
 
-def value(point: dict[str, Any], take: str) -> float:
+def select_value(point: dict[str, Any], take: str) -> float:
+    """Returns the least, the median or the most of a point's repeats. Raises KeyError for another `take`."""
     values = point["values"]
     return float({"least": min, "most": max, "median": statistics.median}[take](values))
 
 
-def fitted(row: dict[str, Any]) -> Fit:
-    points = [(float(p["n"]), value(p, row["take"])) for p in row["points"]]
-    return fit(points, spread(row))
+def fit_row(row: dict[str, Any]) -> Fit:
+    """Fits the points of a row of the results."""
+    points = [(float(p["n"]), select_value(p, row["take"])) for p in row["points"]]
+    return fit(points, compute_spread(row))
 
 
-def spread(row: dict[str, Any]) -> float:
-    """The part by which repeats of one size differ, the median over sizes."""
-    parts = [
+def compute_spread(row: dict[str, Any]) -> float:
+    """Returns the relative difference between repeats of one size, as the median over sizes."""
+    spreads = [
         (max(p["values"]) - min(p["values"])) / statistics.median(p["values"])
         for p in row["points"]
         if statistics.median(p["values"])
     ]
-    return statistics.median(parts) if parts else 0.0
+    return statistics.median(spreads) if spreads else 0.0
 
 
 @dataclass(slots=True)
-class Use:
-    """What a need has looked at: the slope, and the size that it was asked for."""
+class SlopeUse:
+    """A slope that an estimate used, and the size that it was evaluated at."""
 
     key: str
     size: float
     fit: Fit
 
     @property
-    def far(self) -> bool:
-        return self.fit.stretched(self.size) > FAR
+    def is_extrapolated(self) -> bool:
+        """Whether the size is so far beyond the measured ones that a second source is needed."""
+        return self.fit.get_extrapolation(self.size) > MAX_EXTRAPOLATION
+
 
+class MeasuredSlopes:
+    """The rows of the results file by key, with the fit of each."""
 
-class Measured:
-    """The file of results, with its fits made once."""
+    def __init__(self, results: dict[str, Any]) -> None:
+        self.results = results
+        self.rows: dict[str, dict[str, Any]] = {row["key"]: row for row in results["slopes"]}
+        self.fits = {key: fit_row(row) for key, row in self.rows.items()}
 
-    def __init__(self, raw: dict[str, Any]) -> None:
-        self.raw = raw
-        self.rows: dict[str, dict[str, Any]] = {row["key"]: row for row in raw["slopes"]}
-        self.fits = {key: fitted(row) for key, row in self.rows.items()}
+    def find_second_source(self, key: str, size: float) -> dict[str, Any] | None:
+        """Returns the second source nearest to the size; None if there is none.
 
-    def second(self, key: str, size: float) -> dict[str, Any] | None:
-        """The second source nearest to that size; one that would itself be stretched too far is none, nor is a run
-        that went wrong."""
+        A source that would itself be extrapolated too far does not count, nor does a run that went wrong."""
         rows = [
             row
-            for row in self.raw.get("source2", [])
-            if row["key"] == key and size / row["n"] <= FAR and not row.get("wrong")
+            for row in self.results.get("source2", [])
+            if row["key"] == key and size / row["n"] <= MAX_EXTRAPOLATION and not row.get("wrong")
         ]
         return min(rows, key=lambda row: (abs(row["n"] - size), row["source"]), default=None)
 
 
-class At:
-    """The fleet at the part `f` of the line."""
+class LoadPoint:
+    """The fleet at a fraction of the way from the current load (0) to the target load (1).
 
-    def __init__(self, measured: Measured, f: float) -> None:
-        self.measured, self.f = measured, f
-        self.used: dict[str, Use] = {}
+    Every quantity of `CURRENT_LOAD` is an attribute. Collects the slopes that estimates use."""
+
+    def __init__(self, measured: MeasuredSlopes, fraction: float) -> None:
+        self.measured, self.fraction = measured, fraction
+        self.used_slopes: dict[str, SlopeUse] = {}
 
     def __getattr__(self, name: str) -> float:
         try:
-            return TODAY[name] + self.f * (SIZE[name] - TODAY[name])
+            return CURRENT_LOAD[name] + self.fraction * (TARGET_LOAD[name] - CURRENT_LOAD[name])
         except KeyError:
             raise AttributeError(name) from None
 
-    def slope(self, key: str, size: float) -> float:
-        """The figure by its fit; a size under the first measured counts as that one."""
-        found = self.measured.fits[key]
-        self.used[key] = Use(key, size, found)
-        least = min(p["n"] for p in self.measured.rows[key]["points"])
-        return found.at(max(size, least) if found.form != "constant" else size)
+    def estimate(self, key: str, size: float) -> float:
+        """Returns the fitted figure at a size; a size below the smallest measured one counts as that one."""
+        slope_fit = self.measured.fits[key]
+        self.used_slopes[key] = SlopeUse(key, size, slope_fit)
+        smallest_size = min(p["n"] for p in self.measured.rows[key]["points"])
+        return slope_fit.evaluate(max(size, smallest_size) if slope_fit.form != "constant" else size)
 
     @staticmethod
-    def assumed(name: str) -> float:
-        return ASSUMED[name][0]
-
-    # What follows from these.
+    def get_assumption(name: str) -> float:
+        """Returns the value of an assumption."""
+        return ASSUMPTIONS[name][0]
 
     @property
-    def each(self) -> float:
-        """Requests a second of an ingress."""
+    def requests_per_ingress(self) -> float:
+        """Requests per second of one ingress."""
         return self.requests / self.ingresses
 
     @property
-    def met(self) -> float:
-        """Firms that an ingress has met within the last minute, all alike."""
-        firms = self.tenants * self.assumed("spread")
-        return firms * (1 - math.exp(-self.each * self.assumed("minute") / firms)) if firms else 0.0
+    def firms_met(self) -> float:
+        """Firms that an ingress has seen within the last minute, if all firms send alike."""
+        firms = self.tenants * self.get_assumption("spread")
+        return (
+            firms * (1 - math.exp(-self.requests_per_ingress * self.get_assumption("minute") / firms)) if firms else 0.0
+        )
 
     @property
-    def pace(self) -> float:
-        """Tries a second of a firm at one ingress, all alike."""
+    def requests_per_firm(self) -> float:
+        """Requests per second of one firm at one ingress, if all firms send alike."""
         return self.requests / self.tenants / self.ingresses
 
     @property
-    def restarted(self) -> float:
-        """Servers among the machines that restart in a day."""
+    def server_restarts(self) -> float:
+        """Restarts of servers per day, of the restarts of all machines."""
         return self.restarts * self.servers / (self.servers + self.ingresses)
--- a/benchmarks/capacity/measure.py
+++ b/benchmarks/capacity/measure.py
@@ -1,4 +1,4 @@
-"""How a figure is taken: processor time of this thread, memory by the allocator's own count, a slope's row."""
+"""Measures processor time and memory, and builds the rows of benchmarks/capacity.json. Every kind uses it."""
 
 from __future__ import annotations
 
@@ -8,37 +8,39 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-REPEATS = 3
+REPEATS = 3  # of each measurement
 Slope = dict[str, Any]
 
 
-def cpu(call: Callable[[], Any], times: int = 1) -> float:
-    """s of processor time of this thread for one call, with the collector as the daemon has it: out of the way."""
+def measure_cpu(function: Callable[[], Any], times: int = 1) -> float:
+    """Returns the processor time of this thread for one call, in s.
+
+    Existing objects are frozen, as in the daemon, so that garbage collection does not scan them."""
     gc.collect()
     gc.freeze()
-    began = time.thread_time()
+    started = time.thread_time()
     for _ in range(times):
-        call()
-    spent = time.thread_time() - began
+        function()
+    spent = time.thread_time() - started
     gc.unfreeze()
     return spent / times
 
 
-def memory(make: Callable[[], Any]) -> tuple[float, float, Any]:
-    """Bytes that stay, bytes at the highest point, and what was made."""
+def measure_memory(make: Callable[[], Any]) -> tuple[float, float, Any]:
+    """Returns the bytes that the made object retains, the peak while it was made, and the object."""
     gc.collect()
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        made = make()
-        highest = tracemalloc.get_traced_memory()[1] - before
+        result = make()
+        peak = tracemalloc.get_traced_memory()[1] - before
         gc.collect()
-        return tracemalloc.get_traced_memory()[0] - before, highest, made
+        return tracemalloc.get_traced_memory()[0] - before, peak, result
     finally:
         tracemalloc.stop()
 
 
-def slope(
+def make_slope(
     key: str,
     what: str,
     by: str,
@@ -48,8 +50,9 @@
     source: str = "run",
     seed: int = 1,
 ) -> Slope:
-    """`rows`: size and the figures of its repeats. `take`: which of them counts, `median`, `least`, or `most` for a
-    time that has to hold with every seed."""
+    """Builds a row of the results from sizes and the figures of their repeats.
+
+    `take` selects the figure that counts: `median`, `least`, or `most` for a time that has to hold with every seed."""
     kind = key.partition(".")[0]
     return {
         "key": key,
--- a/benchmarks/capacity/needs.py
+++ b/benchmarks/capacity/needs.py
@@ -1,84 +1,98 @@
-"""What several rows need, put together from slopes and assumptions. No I/O."""
+"""Estimates of needs that several rows share, from slopes and assumptions. Performs no I/O; `rows` uses them."""
 
 from __future__ import annotations
 
-from .line import ASSUMED, At
+from .load import ASSUMPTIONS, LoadPoint
 
-BYTES = 14_000.0  # a second of an ingress: the letter's
+MAX_CONTROL_BYTES_PER_S = 14_000.0  # of an ingress, set by the operators
 
 
-def assumed(name: str) -> float:
-    return ASSUMED[name][0]
+def get_assumption(name: str) -> float:
+    """Returns the value of an assumption."""
+    return ASSUMPTIONS[name][0]
 
 
-def lists(at: At) -> float:
-    return at.slope("list.bytes", at.servers)
+def estimate_list_bytes(load: LoadPoint) -> float:
+    """Returns the bytes of a whole list of servers."""
+    return load.estimate("list.bytes", load.servers)
 
 
-def rest(at: At) -> float:
-    """Processor time of control at rest of an ingress with everything on, % of a core."""
+def estimate_idle_cpu(load: LoadPoint) -> float:
+    """Returns the processor time of control of an idle ingress with all features on, in % of a core."""
     return (
-        at.slope("supervisor.instance", 8)
-        + at.slope("list.rest", at.servers)
-        + at.slope("tenants.rest", at.met)
-        + at.slope("members.cpu", at.ingresses)
-        + at.servers * at.slope("shares.rest", at.ingresses)
+        load.estimate("supervisor.instance", 8)
+        + load.estimate("list.rest", load.servers)
+        + load.estimate("tenants.rest", load.firms_met)
+        + load.estimate("members.cpu", load.ingresses)
+        + load.servers * load.estimate("shares.rest", load.ingresses)
     )
 
 
-def held(at: At) -> float:
-    """MB of control that an ingress with everything on holds. `[configuration]` goes with neither `[plans]` nor
-    `[leases]`: the larger of the two counts."""
+def estimate_memory(load: LoadPoint) -> float:
+    """Returns the memory of control of an ingress with all features on, in MB.
+
+    `[configuration]` excludes `[plans]` and `[leases]`, so the larger of the two counts."""
     return (
-        at.slope("supervisor.resident", 8)
-        - at.slope("process.resident", 60)
-        + at.slope("list.memory", at.servers)
-        + at.slope("tenants.memory", at.met)
-        + at.slope("firms.ledger", at.met)
-        + max(at.slope("firms.leases", at.met), at.slope("configuration.memory", at.tenants))
-        + at.slope("members.memory", at.ingresses)
-        + at.slope("records.memory", at.ingresses)
-        + at.slope("log.memory", at.ingresses)
-        + at.servers * at.slope("shares.memory", at.ingresses)
+        load.estimate("supervisor.resident", 8)
+        - load.estimate("process.resident", 60)
+        + load.estimate("list.memory", load.servers)
+        + load.estimate("tenants.memory", load.firms_met)
+        + load.estimate("firms.ledger", load.firms_met)
+        + max(load.estimate("firms.leases", load.firms_met), load.estimate("configuration.memory", load.tenants))
+        + load.estimate("members.memory", load.ingresses)
+        + load.estimate("records.memory", load.ingresses)
+        + load.estimate("log.memory", load.ingresses)
+        + load.servers * load.estimate("shares.memory", load.ingresses)
     )
 
 
-def repair(at: At) -> float:
-    """Bytes a second of full exchanges, in and out: one begun and one answered each REPAIR s, longer for over 32."""
-    every = 20.0 * max(1.0, at.ingresses / 32)
-    return 2 * (2 * at.slope("records.digest", at.ingresses) + 2 * at.slope("records.all", at.ingresses)) / every
+def estimate_repair_bytes(load: LoadPoint) -> float:
+    """Returns the bytes per second of full exchanges of records, in and out.
+
+    One is started and one answered each `REPAIR` s; beyond 32 members the interval grows in proportion."""
+    interval = 20.0 * max(1.0, load.ingresses / 32)
+    return (
+        2
+        * (2 * load.estimate("records.digest", load.ingresses) + 2 * load.estimate("records.all", load.ingresses))
+        / interval
+    )
+
 
+def estimate_idle_bytes(load: LoadPoint) -> float:
+    """Returns the bytes per second in and out of an idle ingress.
 
-def spoken(at: At) -> float:
-    """Bytes a second in and out at rest: membership, records at their bound, the log, discovery's signs of life."""
+    That is membership, records at their rate limit, their repair, and the log."""
     return (
-        2 * at.slope("members.bytes", at.ingresses)
+        2 * load.estimate("members.bytes", load.ingresses)
         + 2 * 800.0
-        + repair(at)
-        + at.slope("log.follower", at.ingresses)
-        + at.slope("log.heard", at.ingresses)
+        + estimate_repair_bytes(load)
+        + load.estimate("log.follower", load.ingresses)
+        + load.estimate("log.heard", load.ingresses)
     )
 
 
-def per_minute(at: At) -> float:
-    """Bytes a second of the minute in which a whole list is told."""
-    return lists(at) / assumed("window")
+def estimate_list_minute_bytes(load: LoadPoint) -> float:
+    """Returns the bytes per second over the minute in which a whole list is sent."""
+    return estimate_list_bytes(load) / get_assumption("window")
+
 
+def estimate_change_bytes(load: LoadPoint) -> float:
+    """Returns the bytes per second of configuration changes that an ingress receives."""
+    return load.changes / 86400 * load.estimate("configuration.change", load.ingresses)
 
-def changed(at: At) -> float:
-    """Bytes a second that an ingress hears of changes, at the letter's rate."""
-    return at.changes / 86400 * at.slope("configuration.change", at.ingresses)
 
+def estimate_longest_turn(load: LoadPoint) -> float:
+    """Returns the longest turn of the loop for the agreed configuration, in ms.
 
-def turned(at: At) -> float:
-    """ms of the longest turn that the agreed configuration takes: a start, the own copy, a voter's snapshot."""
-    return max(at.slope(f"configuration.{turn}", at.tenants) for turn in ("begin", "copy", "dump"))
+    That is a start, the local copy, or a voter's snapshot."""
+    return max(load.estimate(f"configuration.{turn}", load.tenants) for turn in ("begin", "copy", "dump"))
 
 
-def zone(at: At) -> float:
-    return at.servers / at.zones
+def count_zone_servers(load: LoadPoint) -> float:
+    """Returns the number of servers in one zone."""
+    return load.servers / load.zones
 
 
-def release(at: At) -> float:
-    """Entries a second while a zone restarts."""
-    return zone(at) * assumed("told") / assumed("release")
+def estimate_release_updates(load: LoadPoint) -> float:
+    """Returns the entries of the list per second while a zone restarts."""
+    return count_zone_servers(load) * get_assumption("told") / get_assumption("release")
