--- a/brackenpulley/commands/ledger.py
+++ b/brackenpulley/commands/ledger.py
@@ -111,10 +111,20 @@
         raise report_error(str(error)) from None
     finally:
         store.close()
-    result = {"entries": seen, "countedUnits": heads.counted_micro_units / MICRO_UNITS_PER_UNIT, "good": not fault, "fault": fault or None}
+    result = {
+        "entries": seen,
+        "countedUnits": heads.counted_micro_units / MICRO_UNITS_PER_UNIT,
+        "good": not fault,
+        "fault": fault or None,
+    }
     if fault and not as_json:
         raise report_error(f"ledger: {fault}", 1)
-    print_result(result, as_json, ["entries", "counted units", "verdict"], [[seen, heads.counted_micro_units / MICRO_UNITS_PER_UNIT, "good"]])
+    print_result(
+        result,
+        as_json,
+        ["entries", "counted units", "verdict"],
+        [[seen, heads.counted_micro_units / MICRO_UNITS_PER_UNIT, "good"]],
+    )
     if fault:
         raise typer.Exit(1)
 
--- a/brackenpulley/control/api.py
+++ b/brackenpulley/control/api.py
@@ -366,7 +366,9 @@
     def set_count(request: Request) -> Any:
         call = decode(request.body, GatewaysCall)
         if not service.receive_count(call.serial, call.count, call.until, call.part):
-            raise ApiError(409, "serial", f"{call.serial}: a newer count was received, serial {service.count_lease.serial}")
+            raise ApiError(
+                409, "serial", f"{call.serial}: a newer count was received, serial {service.count_lease.serial}"
+            )
         return service.status()
 
     routes.add("GET", "/v1/gateways", lambda request: service.status())
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -260,8 +260,7 @@
     assert node.change_voter(102.2, "e", "5")[0] == "another change is under way"
     node.receive(102.2, "b", AppendReply(node.term, True, 3, 1, 7))
     assert (
-        node.change_voter(102.2, "b", "5")[0] == "b is one already"
-        and node.change_voter(102.2, "z")[0] == "no voter z"
+        node.change_voter(102.2, "b", "5")[0] == "b is one already" and node.change_voter(102.2, "z")[0] == "no voter z"
     )
     node.receive(102.3, "d", AppendReply(node.term, True, 3, 1, 4, nonce=5))
     assert "d" in node.config.learners  # not while unverified: it could not vote
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -240,7 +240,10 @@
         store.env.set_mapsize(4 << 20)  # the operator makes room
         r.advance_clock(1.1)
         r.run_until(lambda: not r.daemon.ledger.failure)
-        assert serve(r, 3) == 200 and r.daemon.ledger.tally.state.counted_micro_units == (6 + 3 * (mode == "serve")) * 1_000_000
+        assert (
+            serve(r, 3) == 200
+            and r.daemon.ledger.tally.state.counted_micro_units == (6 + 3 * (mode == "serve")) * 1_000_000
+        )
 
 
 def test_another_process_at_the_socket_is_not_pushed_away(tmp_path: Path) -> None:
