--- a/brackenpulley/fleet/instance.py
+++ b/brackenpulley/fleet/instance.py
@@ -148,7 +148,7 @@
             self._failed_probes = 0 if is_ready else self._failed_probes + 1
             # Alive but of no use to the front: it has no inventory, or its listener cannot be reached.
             if self._failed_probes >= MAX_FAILED_PROBES:
-                self.reason = "/ready failed"
+                self.reason = "/ready says no"
                 self._enter(now, STARTING)
                 self._deadline = inf  # no time limit: it has been ready before, and the watchdog covers it
 
@@ -172,7 +172,7 @@
             and not self._kill_reason
             and (now - self._notified_at >= self.times.watchdog)
         ):
-            return self._kill(now, f"no notification for {self.times.watchdog:g} s")
+            return self._kill(now, f"no life sign for {self.times.watchdog:g} s")
         if now < self._deadline:
             return []
         if self.state == WAITING:
--- a/brackenpulley/fleet/reload.py
+++ b/brackenpulley/fleet/reload.py
@@ -39,16 +39,16 @@
                 raise ConfigError(f"fleet.{name}: {getattr(spec.fleet, name)!r} cannot be changed in service")
         reload = cls(supervisor, supervisor.shared_config, SharedConfig.read(spec))
         reload._apply(reload._new)
-        for number, place in supervisor.places.items():
-            if place.process is not None and place.one.is_notified_ready:
-                reload.pending[number] = place.one.pid
-                place.process.send_signal(signal.SIGHUP)
+        for number, slot in supervisor.slots.items():
+            if slot.process is not None and slot.instance.is_notified_ready:
+                reload.pending[number] = slot.instance.pid
+                slot.process.send_signal(signal.SIGHUP)
         return reload
 
     def _apply(self, shared_config: SharedConfig) -> None:
         """Write the files of all running instances. Raises ConfigError and restores the old files if that fails."""
         supervisor = self._supervisor
-        running = [number for number, place in supervisor.places.items() if place.process is not None]
+        running = [number for number, slot in supervisor.slots.items() if slot.process is not None]
         try:
             for number in running:
                 if number < len(shared_config.listen_addresses):
@@ -71,8 +71,8 @@
         """Complete or revert the reload once its outcome is known. Returns whether it is over."""
         supervisor = self._supervisor
         for number, pid in list(self.pending.items()):
-            place = supervisor.places.get(number)
-            if place is None or place.one.pid != pid:  # it ended; its next process reads the new file
+            slot = supervisor.slots.get(number)
+            if slot is None or slot.instance.pid != pid:  # it ended; its next process reads the new file
                 del self.pending[number]
         if self.pending and now >= self.deadline:
             self.failure = (
@@ -87,23 +87,23 @@
                 self._apply(self._old)
             except ConfigError as error:
                 supervisor.log.error("reload", error=str(error))
-            for place in supervisor.places.values():
-                if place.process is not None:
-                    place.process.send_signal(signal.SIGHUP)
+            for slot in supervisor.slots.values():
+                if slot.process is not None:
+                    slot.process.send_signal(signal.SIGHUP)
             supervisor.reload_error = self.failure
             return True
         supervisor.metrics.add("reloads")
         supervisor.reload_error = ""
         supervisor.stream.reopen()
-        if self._new.spec.fleet.instances != supervisor.state.described:
-            supervisor.state.described = self._new.spec.fleet.instances
-            supervisor.scale(supervisor.state.described)
+        if self._new.spec.fleet.instances != supervisor.saved_state.described:
+            supervisor.saved_state.described = self._new.spec.fleet.instances
+            supervisor.scale(supervisor.saved_state.described)
         supervisor.log.info(
             "reloaded",
             old=[
                 number
-                for number, place in sorted(supervisor.places.items())
-                if place.process is not None and place.process.start_digest != supervisor.shared_config.start_digest
+                for number, slot in sorted(supervisor.slots.items())
+                if slot.process is not None and slot.process.start_digest != supervisor.shared_config.start_digest
             ],
         )
         return True
--- a/brackenpulley/fleet/routes.py
+++ b/brackenpulley/fleet/routes.py
@@ -51,19 +51,23 @@
 
     def start(request: Request) -> Any:
         return {
-            "instances": convert_errors(lambda: supervisor.start_some(decode(request.body, InstancesCall).instances))
+            "instances": convert_errors(
+                lambda: supervisor.start_instances(decode(request.body, InstancesCall).instances)
+            )
         }
 
     def stop(request: Request) -> Any:
         return {
-            "instances": convert_errors(lambda: supervisor.stop_some(decode(request.body, InstancesCall).instances))
+            "instances": convert_errors(
+                lambda: supervisor.stop_instances(decode(request.body, InstancesCall).instances)
+            )
         }
 
     def restart(request: Request) -> Any:
         call = decode(request.body, RestartCall)
         if not 1 <= call.at_once <= 1000:
             raise ApiError(400, "atOnce", f"{call.at_once} is no whole number from 1 to 1000")
-        return 202, convert_errors(lambda: supervisor.restart_some(call.instances, call.at_once)).status()
+        return 202, convert_errors(lambda: supervisor.restart_instances(call.instances, call.at_once)).status()
 
     def scale(request: Request) -> Any:
         call = decode(request.body, ScaleCall)
@@ -92,7 +96,7 @@
 
     def detach(request: Request) -> Any:
         supervisor.detach()
-        return 202, {"left": sum(place.process is not None for place in supervisor.places.values())}
+        return 202, {"left": sum(slot.process is not None for slot in supervisor.slots.values())}
 
     def end(request: Request) -> Any:
         supervisor.end()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -113,7 +113,7 @@
     one.record_notification(3.0, {"WATCHDOG": "1"})
     assert one.next_tick() == 7.0
     assert one.tick(6.9) == []
-    assert one.tick(7.0) == [Signal(signal.SIGKILL, "no notification for 4 s")]
+    assert one.tick(7.0) == [Signal(signal.SIGKILL, "no life sign for 4 s")]
     one.record_end(7.1, "SIGKILL")
     assert one.state == WAITING
 
