--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -1,4 +1,4 @@
-"""Real supervisors with real daemons: what is killed, stopped, taken, filled up or misread, and what becomes of it."""
+"""End-to-end tests of the supervisor with real processes: crashes, reloads, adoption, blocked logs and clock steps."""
 
 from __future__ import annotations
 
@@ -26,39 +26,39 @@
 
 
 @pytest.fixture
-def made() -> Iterator[Callable[..., Trial]]:
+def make_trial() -> Iterator[Callable[..., Trial]]:
     trials: list[Trial] = []
 
     def make(instances: int = 2, **more: Any) -> Trial:
-        one = Trial(2 * instances, 1, 0.0, 40.0, **more)
-        trials.append(one)
-        return one
+        fleet = Trial(2 * instances, 1, 0.0, 40.0, **more)
+        trials.append(fleet)
+        return fleet
 
     yield make
-    for one in trials:
-        one.close()
+    for fleet in trials:
+        fleet.close()
 
 
-def command(one: Trial, *words: str) -> subprocess.CompletedProcess[str]:
-    """A `fleet` command, beside which the stand-ins go on."""
-    words = (words[0], str(one.file), *words[1:])
+def command(fleet: Trial, *arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run a `fleet` command and keep the stand-ins running meanwhile."""
+    arguments = (arguments[0], str(fleet.file), *arguments[1:])
     process = subprocess.Popen(
-        [sys.executable, "-m", "brackenpulley", "fleet", *words],
+        [sys.executable, "-m", "brackenpulley", "fleet", *arguments],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     )
     while process.poll() is None:
-        one.turn(0.02)
+        fleet.turn(0.02)
     out, err = process.communicate()
-    return subprocess.CompletedProcess(words, process.returncode, out, err)
+    return subprocess.CompletedProcess(arguments, process.returncode, out, err)
 
 
-def change(one: Trial, old: str, new: str) -> None:
-    text = one.file.read_text()
+def replace_in_description(fleet: Trial, old: str, new: str) -> None:
+    text = fleet.file.read_text()
     assert old in text
-    one.file.write_text(text.replace(old, new))
+    fleet.file.write_text(text.replace(old, new))
 
 
 def test_a_whole_day_of_eight_instances() -> None:
@@ -69,194 +69,200 @@
     assert sum(cold["arrivals"] for cold in report["cold"]) > 0
 
 
-def test_twenty_at_once_do_not_fell_a_small_cold_server() -> None:
+def test_twenty_at_once_do_not_overload_a_small_cold_server() -> None:
     report = cold_start(20, 5, seconds=6.0)
     assert report["fell"] == 0 and report["worst"][0] < 1
-    assert report["refused"] > 50  # it was wanted: alone it can't do a tenth of the load
+    assert report["refused"] > 50  # the server was in demand: alone it can't serve a tenth of the load
 
 
-def test_a_taken_port_is_a_crash_loop_of_one_and_the_rest_serve(made: Callable[..., Trial]) -> None:
-    one = made(3)
-    change(one, "crashes = 10", "crashes = 3\nfirst_s = 0.05")
-    taken = socket.create_server(one.at[1])
-    one.run()
-    found = {}
+def test_a_port_in_use_is_a_crash_loop_of_one_instance_and_the_others_serve(make_trial: Callable[..., Trial]) -> None:
+    fleet = make_trial(3)
+    replace_in_description(fleet, "crashes = 10", "crashes = 3\nfirst_s = 0.05")
+    listener = socket.create_server(fleet.at[1])
+    fleet.run()
+    last_status = {}
 
-    def given_up(status: dict[str, Any]) -> bool:
-        found.update(status)
+    def has_crashed(status: dict[str, Any]) -> bool:
+        last_status.update(status)
         return [row["state"] for row in status["places"]] == ["ready", "crashed", "ready"]
 
-    one.until(given_up, 30, "crash loop")
-    row = found["places"][1]
+    fleet.until(has_crashed, 30, "crash loop")
+    row = last_status["places"][1]
     assert row["restarts"] == 3 and "Address already in use" in row["why"]
-    # its part goes to the others, and comes back before it starts again
-    one.until(lambda s: [r["sharing"] for r in s["places"]] == [2, None, 2], 30, "shares widened")
-    assert command(one, "status", "--json").returncode == 3
-    taken.close()
-    done = command(one, "start", "--instances", "1", "--json")
+    # its share goes to the others, and returns before it starts again
+    fleet.until(lambda s: [r["sharing"] for r in s["places"]] == [2, None, 2], 30, "shares widened")
+    assert command(fleet, "status", "--json").returncode == 3
+    listener.close()
+    done = command(fleet, "start", "--instances", "1", "--json")
     assert done.returncode == 0 and json.loads(done.stdout)["ready"] == 3
-    one.until(lambda s: [r["sharing"] for r in s["places"]] == [3, 3, 3], 30, "shares narrowed")
-
-
-def test_a_bad_file_changes_nobody_and_a_good_one_all(made: Callable[..., Trial]) -> None:
-    one = made(2, watchdog=30.0)  # longer than a reload waits
-    one.run()
-    one.all_ready(2, 30, "start")
-    before = [(r["pid"], r["life"]) for r in one.status()["places"]]
-    config = one.folder / "ingress.json"
-    good = config.read_text()
-    config.write_text(good.replace('"Resolution": 0.001', '"Resolution": "often"'))
-    done = command(one, "reload")
+    fleet.until(lambda s: [r["sharing"] for r in s["places"]] == [3, 3, 3], 30, "shares narrowed")
+
+
+def test_an_invalid_file_changes_no_instance_and_a_valid_one_changes_all(make_trial: Callable[..., Trial]) -> None:
+    fleet = make_trial(2, watchdog=30.0)  # longer than the reload timeout
+    fleet.run()
+    fleet.all_ready(2, 30, "start")
+    before = [(r["pid"], r["life"]) for r in fleet.status()["places"]]
+    config = fleet.folder / "ingress.json"
+    valid_config = config.read_text()
+    config.write_text(valid_config.replace('"Resolution": 0.001', '"Resolution": "often"'))
+    done = command(fleet, "reload")
     assert done.returncode == 1
     assert done.stderr == "brackenpulley: settings.tick: 'often' is not usable\n"
-    assert json.loads((one.folder / "run" / "0.json").read_text())["settings"]["Resolution"] == 0.001
-    config.write_text(good[:50])
-    done = command(one, "reload")
+    assert json.loads((fleet.folder / "run" / "0.json").read_text())["settings"]["Resolution"] == 0.001
+    config.write_text(valid_config[:50])
+    done = command(fleet, "reload")
     assert done.returncode == 1 and done.stderr.startswith("brackenpulley: fleet.config: ")
-    config.write_text(good.replace('"Resolution": 0.001', '"Resolution": 0.002'))
-    change(one, "instances = 2", "instances = 3")
-    done = command(one, "reload", "--json")
+    config.write_text(valid_config.replace('"Resolution": 0.001', '"Resolution": 0.002'))
+    replace_in_description(fleet, "instances = 2", "instances = 3")
+    done = command(fleet, "reload", "--json")
     assert json.loads(done.stdout)["oldUntilRestarted"] == [0, 1]
-    one.all_ready(3, 30, "one more")
-    assert [(r["pid"], r["life"]) for r in one.status()["places"]][:2] == before
-    # One that cannot answer takes the others back with it.
+    fleet.all_ready(3, 30, "one more")
+    assert [(r["pid"], r["life"]) for r in fleet.status()["places"]][:2] == before
+    # If one instance does not answer, all return to the old files.
     os.kill(before[1][0], signal.SIGSTOP)
-    config.write_text(good.replace('"Resolution": 0.001', '"Resolution": 0.004'))
-    one.ask("POST", "/v1/fleet/reload", {})
-    one.until(lambda s: not s["reloading"], 20, "reload given up")
+    config.write_text(valid_config.replace('"Resolution": 0.001', '"Resolution": 0.004'))
+    fleet.ask("POST", "/v1/fleet/reload", {})
+    fleet.until(lambda s: not s["reloading"], 20, "reload given up")
     os.kill(before[1][0], signal.SIGCONT)
-    assert one.status()["reloadFailed"] == "instance 1: did not answer within 5 s"
-    assert json.loads((one.folder / "run" / "0.json").read_text())["settings"]["Resolution"] == 0.002
+    assert fleet.status()["reloadFailed"] == "instance 1: did not answer within 5 s"
+    assert json.loads((fleet.folder / "run" / "0.json").read_text())["settings"]["Resolution"] == 0.002
 
 
-def test_one_supervisor_a_fleet_and_two_fleets_a_host(made: Callable[..., Trial]) -> None:
-    first, second = made(1), made(1)
+def test_a_fleet_has_one_supervisor_and_a_host_may_have_two_fleets(make_trial: Callable[..., Trial]) -> None:
+    first, second = make_trial(1), make_trial(1)
     first.run()
     second.run()
     first.all_ready(1, 30, "first")
     second.all_ready(1, 30, "second")
     assert first.supervisor is not None
-    again = command(first, "run")
-    assert again.returncode == 2
-    assert f"held by the supervisor of fleet trial, process {first.supervisor.pid}" in again.stderr
+    second_run = command(first, "run")
+    assert second_run.returncode == 2
+    assert f"held by the supervisor of fleet trial, process {first.supervisor.pid}" in second_run.stderr
     assert command(first, "stop", "--supervisor").returncode == 0
     assert first.supervisor.wait(20) == 0
     assert find_processes(first.folder / "run") == []
     assert second.status()["ready"] == 1
 
 
-def test_a_killed_supervisors_instances_serve_and_are_reaped_or_taken_over(made: Callable[..., Trial]) -> None:
-    one = made(2)
-    one.run()
-    one.all_ready(2, 30, "start")
-    one.ask("POST", "/v1/fleet/scale", {"instances": 3})
-    one.all_ready(3, 30, "scale")
-    pids = [row["pid"] for row in one.status()["places"]]
-    assert one.supervisor is not None
-    one.supervisor.kill()
-    one.supervisor.wait()
-    os.kill(pids[2], signal.SIGKILL)  # one ends while nobody looks
-    assert sorted(f.pid for f in find_processes(one.folder / "run") if f.number < 2) == sorted(pids[:2])
-    one.run()
-    one.all_ready(3, 30, "taken over, at the size it was scaled to")
-    status = one.status()
+def test_instances_of_a_killed_supervisor_serve_and_are_reaped_or_adopted(make_trial: Callable[..., Trial]) -> None:
+    fleet = make_trial(2)
+    fleet.run()
+    fleet.all_ready(2, 30, "start")
+    fleet.ask("POST", "/v1/fleet/scale", {"instances": 3})
+    fleet.all_ready(3, 30, "scale")
+    pids = [row["pid"] for row in fleet.status()["places"]]
+    assert fleet.supervisor is not None
+    fleet.supervisor.kill()
+    fleet.supervisor.wait()
+    os.kill(pids[2], signal.SIGKILL)  # ends while no supervisor runs
+    assert sorted(f.pid for f in find_processes(fleet.folder / "run") if f.number < 2) == sorted(pids[:2])
+    fleet.run()
+    fleet.all_ready(3, 30, "adopted, at the count it was scaled to")
+    status = fleet.status()
     assert [row["pid"] for row in status["places"]][:2] == pids[:2]
     assert [row["adopted"] for row in status["places"]] == [True, True, False]
-    text = command(one, "logs", "--lines", "2000").stdout
+    text = command(fleet, "logs", "--lines", "2000").stdout
     assert f"event=adopted instance=0 pid={pids[0]}" in text
-    os.kill(pids[0], signal.SIGUSR1)  # what an adopted one writes arrives as before
-    one.until(lambda s: "event=counters" in command(one, "logs", "--instance", "0").stdout, 20, "its log")
-    os.kill(pids[0], signal.SIGKILL)  # and its end is seen, though it is no child of this supervisor
-    one.until(lambda s: s["ready"] == 3 and s["places"][0]["pid"] != pids[0], 30, "replaced")
-    assert one.supervisor is not None
-    one.supervisor.kill()
-    one.supervisor.wait()
-    done = command(one, "reap", "--json")
-    assert len(json.loads(done.stdout)) == 3 and find_processes(one.folder / "run") == []
+    os.kill(pids[0], signal.SIGUSR1)  # the output of an adopted instance still arrives
+    fleet.until(
+        lambda s: "event=counters" in command(fleet, "logs", "--instance", "0").stdout,
+        20,
+        "log of the adopted instance",
+    )
+    os.kill(pids[0], signal.SIGKILL)  # its end is detected although it is no child of this supervisor
+    fleet.until(lambda s: s["ready"] == 3 and s["places"][0]["pid"] != pids[0], 30, "replaced")
+    assert fleet.supervisor is not None
+    fleet.supervisor.kill()
+    fleet.supervisor.wait()
+    done = command(fleet, "reap", "--json")
+    assert len(json.loads(done.stdout)) == 3 and find_processes(fleet.folder / "run") == []
 
 
 @pytest.mark.parametrize("target", ["a full disk", "a reader that does not read"])
-def test_the_log_stops_nobody(made: Callable[..., Trial], target: str) -> None:
-    one = made(1)
+def test_a_blocked_log_stops_no_instance(make_trial: Callable[..., Trial], target: str) -> None:
+    fleet = make_trial(1)
     if "disk" in target:
-        change(one, "[restart]", '[log]\npath = "/dev/full"\n[restart]')
+        replace_in_description(fleet, "[restart]", '[log]\npath = "/dev/full"\n[restart]')
     read, write = os.pipe()
-    one.supervisor = subprocess.Popen(
-        [sys.executable, "-m", "brackenpulley", "fleet", "run", str(one.file)],
+    fleet.supervisor = subprocess.Popen(
+        [sys.executable, "-m", "brackenpulley", "fleet", "run", str(fleet.file)],
         cwd=ROOT,
         stdout=write,
         stderr=subprocess.DEVNULL,
     )
     os.close(write)
-    one.all_ready(1, 30, "start")
-    pid = one.status()["places"][0]["pid"]
+    fleet.all_ready(1, 30, "start")
+    pid = fleet.status()["places"][0]["pid"]
 
-    def filled(status: dict[str, Any]) -> bool:
+    def is_log_blocked(status: dict[str, Any]) -> bool:
         for _ in range(50):
             os.kill(pid, signal.SIGUSR1)
-            one.turn(0.002)
+            fleet.turn(0.002)
         log = status["log"]
         return bool(log["failing"] == "No space left on device" if "disk" in target else log["waiting"] > 100_000)
 
-    one.until(filled, 60, target)
-    one.until(lambda s: s["ready"] == 1 and s["places"][0]["healthSeconds"] < 3, 10, "still there")
-    assert one.status()["places"][0]["life"] == 1
+    fleet.until(is_log_blocked, 60, target)
+    fleet.until(lambda s: s["ready"] == 1 and s["places"][0]["healthSeconds"] < 3, 10, "still ready")
+    assert fleet.status()["places"][0]["life"] == 1
     os.close(read)
 
 
-def test_it_tells_its_own_supervisor(made: Callable[..., Trial], monkeypatch: pytest.MonkeyPatch) -> None:
-    one = made(1)
-    above = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
-    above.bind(str(one.folder / "above"))
-    above.settimeout(20)
-    monkeypatch.setenv("NOTIFY_SOCKET", str(one.folder / "above"))
+def test_the_supervisor_notifies_its_own_supervisor(
+    make_trial: Callable[..., Trial], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    fleet = make_trial(1)
+    outer_socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+    outer_socket.bind(str(fleet.folder / "above"))
+    outer_socket.settimeout(20)
+    monkeypatch.setenv("NOTIFY_SOCKET", str(fleet.folder / "above"))
     monkeypatch.setenv("WATCHDOG_USEC", "900000")
-    one.run()
+    fleet.run()
     seen: list[dict[str, str]] = []
     end = time.monotonic() + 20
-    above.setblocking(False)
+    outer_socket.setblocking(False)
     while not any("READY" in fields for fields in seen) and time.monotonic() < end:
-        one.turn(0.02)
+        fleet.turn(0.02)
         try:
-            seen.append(parse_fields(above.recv(4096)))
+            seen.append(parse_fields(outer_socket.recv(4096)))
         except BlockingIOError:
             pass
     assert any(fields.get("READY") == "1" for fields in seen)
     assert any(fields.get("WATCHDOG") == "1" for fields in seen)
-    assert one.supervisor is not None
-    one.supervisor.terminate()
-    one.until(lambda s: one.supervisor is not None and one.supervisor.poll() is not None, 20, "end")
+    assert fleet.supervisor is not None
+    fleet.supervisor.terminate()
+    fleet.until(lambda s: fleet.supervisor is not None and fleet.supervisor.poll() is not None, 20, "end")
     while True:
         try:
-            seen.append(parse_fields(above.recv(4096)))
+            seen.append(parse_fields(outer_socket.recv(4096)))
         except BlockingIOError:
             break
     assert any(fields.get("STOPPING") == "1" for fields in seen)
-    above.close()
+    outer_socket.close()
 
 
-def test_members_find_each_other_though_a_seed_is_down_at_the_start(made: Callable[..., Trial]) -> None:
-    one = made(3, members=True)
-    one.run()
-    one.all_ready(3, 30, "start")
-    control = Control(f"unix:{one.folder}/run/1.sock")
+def test_members_find_each_other_though_a_seed_is_down_at_the_start(make_trial: Callable[..., Trial]) -> None:
+    fleet = make_trial(3, members=True)
+    fleet.run()
+    fleet.all_ready(3, 30, "start")
+    control = Control(f"unix:{fleet.folder}/run/1.sock")
 
-    def members(count: int) -> Callable[[dict[str, Any]], bool]:
-        def there(status: dict[str, Any]) -> bool:
+    def has_members(count: int) -> Callable[[dict[str, Any]], bool]:
+        def has_count(status: dict[str, Any]) -> bool:
             try:
                 return bool(control.call("GET", "/v1/members")["members"] == count)
             except ControlError:
                 return False
 
-        return there
+        return has_count
 
-    one.until(members(3), 30, "joined")
-    one.ask("POST", "/v1/fleet/stop", {"instances": [0, 2]})
-    one.until(members(1), 30, "left")
-    one.ask("POST", "/v1/fleet/restart", {"instances": [1]})  # its seeds, 0 and 2, are down while it starts
-    one.until(lambda s: bool(s["rolling"]["over"]) and s["ready"] == 1, 30, "alone")
-    one.ask("POST", "/v1/fleet/start", {"instances": [0, 2]})
-    one.until(members(3), 30, "together again")
+    fleet.until(has_members(3), 30, "joined")
+    fleet.ask("POST", "/v1/fleet/stop", {"instances": [0, 2]})
+    fleet.until(has_members(1), 30, "left")
+    fleet.ask("POST", "/v1/fleet/restart", {"instances": [1]})  # its seeds, 0 and 2, are down while it starts
+    fleet.until(lambda s: bool(s["rolling"]["over"]) and s["ready"] == 1, 30, "alone")
+    fleet.ask("POST", "/v1/fleet/start", {"instances": [0, 2]})
+    fleet.until(has_members(3), 30, "together again")
     done = subprocess.run(
         [
             sys.executable,
@@ -266,7 +272,7 @@
             "status",
             "--json",
             "--control",
-            f"unix:{one.folder}/run/0.sock",
+            f"unix:{fleet.folder}/run/0.sock",
         ],
         cwd=ROOT,
         capture_output=True,
@@ -275,36 +281,36 @@
     assert len(json.loads(done.stdout)[0]["keys"]) == 1
 
 
-def test_instances_started_after_a_step_of_an_hour_count_under_the_names_of_those_before(
-    made: Callable[..., Trial],
+def test_instances_started_after_a_clock_step_of_an_hour_use_the_same_counter_names(
+    make_trial: Callable[..., Trial],
 ) -> None:
-    one = made(1)
-    config = json.loads((one.folder / "ingress.json").read_text())
+    fleet = make_trial(1)
+    config = json.loads((fleet.folder / "ingress.json").read_text())
     for plan in config["settings"]["TiersOfService"]:
         plan.update(QuotaRate=6.0, Burst=24.0)
-    (one.folder / "ingress.json").write_text(json.dumps(config))
-    one.load.firms = [Firm(7, "county", 30.0, 2, 0)]
-    one.run()
-    one.all_ready(1, 30, "start")
-    one.load.start()
-    one.until(lambda s: one.counter.calls > 3, 30, "counting")
-    # From here on whatever starts believes that it is an hour later.
-    (one.folder / "sitecustomize.py").write_text("import time\nreal = time.time\ntime.time = lambda: real() + 3600\n")
-    one.file.write_text(one.file.read_text() + f'[environment]\nPYTHONPATH = "{one.folder}"\n')
-    change(one, "instances = 1", "instances = 2")
-    one.ask("POST", "/v1/fleet/reload", {})
-    one.all_ready(2, 30, "one after the step")
-    pid = one.status()["places"][1]["pid"]
-    assert str(one.folder).encode() in Path(f"/proc/{pid}/environ").read_bytes()
-    told = Control(f"unix:{one.folder}/run/1.sock")
-    one.until(lambda s: told.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "the second one counts")
-    here = int(one.clock() // 30)
-    assert {int(name) >> 33 for name in one.counter.numbers} <= {here - 2, here - 1, here}
-    one.load.stop()
-
-
-def test_a_step_of_the_time_of_day_does_not_divide_a_fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Names of the counter go by the fleet's clock: whoever starts after the step must use those of before."""
+    (fleet.folder / "ingress.json").write_text(json.dumps(config))
+    fleet.load.firms = [Firm(7, "county", 30.0, 2, 0)]
+    fleet.run()
+    fleet.all_ready(1, 30, "start")
+    fleet.load.start()
+    fleet.until(lambda s: fleet.counter.calls > 3, 30, "counting")
+    # Processes started from here on have a time of day that is an hour ahead.
+    (fleet.folder / "sitecustomize.py").write_text("import time\nreal = time.time\ntime.time = lambda: real() + 3600\n")
+    fleet.file.write_text(fleet.file.read_text() + f'[environment]\nPYTHONPATH = "{fleet.folder}"\n')
+    replace_in_description(fleet, "instances = 1", "instances = 2")
+    fleet.ask("POST", "/v1/fleet/reload", {})
+    fleet.all_ready(2, 30, "instance after the clock step")
+    pid = fleet.status()["places"][1]["pid"]
+    assert str(fleet.folder).encode() in Path(f"/proc/{pid}/environ").read_bytes()
+    second_control = Control(f"unix:{fleet.folder}/run/1.sock")
+    fleet.until(lambda s: second_control.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "second instance counts")
+    period = int(fleet.clock() // 30)
+    assert {int(name) >> 33 for name in fleet.counter.numbers} <= {period - 2, period - 1, period}
+    fleet.load.stop()
+
+
+def test_a_clock_step_does_not_change_the_clock_of_a_fleet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The counter's names derive from the fleet's clock: an instance started after a step must use the same names."""
     from brackenpulley.fleet.files import save_state
 
     first, _ = load_state(tmp_path, 3, 1_000_000.0, 50.0)
@@ -312,9 +318,9 @@
     later, _ = load_state(tmp_path, 3, 1_000_000.0 + 3600 + 10, 60.0)
     assert later.clock == first.clock == 999_950.0
     monkeypatch.setenv("BRACKENPULLEY_CLOCK", repr(later.clock))
-    real = time.time
+    real_time = time.time
     before = wall_clock()()
-    monkeypatch.setattr(time, "time", lambda: real() + 3600)
+    monkeypatch.setattr(time, "time", lambda: real_time() + 3600)
     assert abs(wall_clock()() - before) < 1.0
     first.boot = "another"
     save_state(tmp_path, first)
