--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -14,7 +14,7 @@
 from brackenpulley.operator import decode, load
 
 from .rig import Rig, rig
-from .test_control import FIRM, call, serve
+from .test_control import FIRM, call, relay_message
 
 FIGURES = {"rate": 50.0, "burst": 50.0}
 MEMBERS = {"fleet": "f", "listen": "127.0.0.1:9300", "keys": "k"}
@@ -127,7 +127,7 @@
     told = operator(tmp_path)
     with rig(operator=told) as r:
         knows(r)
-        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "p"
+        assert relay_message(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "p"
         first: dict[str, Any] = {"plans": {"big": FIGURES, "p": {"rate": 7.0, "burst": 9.0}}, "firms": {FIRM: "big"}}
         assert change(r, tmp_path, 0, **first) == {"revision": 1, "taken": "now"}
         gateway = r.daemon.ingress.decision_module
@@ -165,7 +165,7 @@
         assert r.daemon.configuration.force.number == 3 and r.daemon.configuration.force.source == "copy"
         assert r.daemon.ingress.decision_module.plans["big"].rate == 50.0
         knows(r)
-        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "big"
+        assert relay_message(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "big"
         assert call(r, tmp_path, "GET", "/v1/configuration")[1]["from"] == "log"
 
 
@@ -193,7 +193,7 @@
     with rig(operator=told) as r:
         assert not r.daemon.is_ready() and r.daemon.configuration.status()["from"] == "file"
         r.advance_clock(8.5)
-        assert r.daemon.is_ready() and serve(r, 1) == 200
+        assert r.daemon.is_ready() and relay_message(r, 1) == 200
         status = r.daemon.configuration.status()
         assert status["revision"] == 0 and status["logSilentS"] >= 8.5
         later = r.daemon.control.routes.answer(
@@ -219,7 +219,7 @@
         assert (message.plan, message.revision) == ("big", 1)
         server.send(ok)
         assert client.read_http()[0] == 200
-        assert serve(r, 1) == 200
+        assert relay_message(r, 1) == 200
         r.advance_clock(3.0)
         r.run_until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
         rows = [(e.key.plan, e.key.revision) for e in r.daemon.ledger.store.entries()]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control API on real sockets: what is wrong changes nothing; plans, reservations and the ledger end to end."""
+"""Tests of the control API over real sockets: invalid calls, and plans, reservations and the ledger end to end."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from brackenpulley.address import ConfigError
 from brackenpulley.ledger.store import LedgerError
-from brackenpulley.operator import decode as operator_of
+from brackenpulley.operator import decode as decode_operator_file
 
 from .rig import Rig, rig
 
@@ -21,7 +21,7 @@
 FIRM = f"{1:016x}"
 
 
-def operator(tmp_path: Path, **more: Any) -> dict[str, Any]:
+def operator_options(tmp_path: Path, **more: Any) -> dict[str, Any]:
     return {
         "control": {"listen": f"unix:{tmp_path}/c"},
         "plans": {"snapshot": f"{tmp_path}/plans"},
@@ -31,41 +31,41 @@
     }
 
 
-def call(r: Rig, path: Path, method: str, target: str, body: Any = None, raw: bytes | None = None) -> tuple[int, Any]:
-    """One call over the Unix socket, in this thread."""
+def call(r: Rig, folder: Path, method: str, target: str, body: Any = None, raw: bytes | None = None) -> tuple[int, Any]:
+    """Makes one call over the Unix socket while the daemon runs in this thread."""
     data = raw if raw is not None else b"" if body is None else json.dumps(body).encode()
     sock = socket.socket(socket.AF_UNIX)
-    sock.connect(f"{path}/c")
+    sock.connect(f"{folder}/c")
     sock.setblocking(False)
-    send = f"{method} {target} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
-    got = b""
+    unsent = f"{method} {target} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
+    received = b""
 
-    def done() -> bool:
-        nonlocal send, got
+    def is_complete() -> bool:
+        nonlocal unsent, received
         try:
-            if send:
-                send = send[sock.send(send) :]
+            if unsent:
+                unsent = unsent[sock.send(unsent) :]
         except BlockingIOError:
             pass
         try:
-            got += sock.recv(1 << 20)
+            received += sock.recv(1 << 20)
         except BlockingIOError:
             return False
-        head, end, rest = got.partition(b"\r\n\r\n")
-        return bool(end) and len(rest) >= int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
+        head, separator, body_part = received.partition(b"\r\n\r\n")
+        return bool(separator) and len(body_part) >= int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
 
-    r.run_until(done)
+    r.run_until(is_complete)
     sock.close()
-    head, _, rest = got.partition(b"\r\n\r\n")
-    return int(head.split(b" ")[1]), json.loads(rest)
+    head, _, response_body = received.partition(b"\r\n\r\n")
+    return int(head.split(b" ")[1]), json.loads(response_body)
 
 
-def change(r: Rig, **more: Any) -> dict[str, Any]:
+def plan_change(r: Rig, **more: Any) -> dict[str, Any]:
     now = r.daemon.clock()
     return {"revision": 1, "kind": "move", "at": now, "since": now, "plan": "p", "firm": FIRM, **more}
 
 
-BAD = [
+INVALID_CHANGES = [  # body of the call, and the status and field of its error
     (b"", 400, "body"),
     (b"[]", 400, "body"),
     (b"{", 400, "body"),
@@ -83,11 +83,13 @@
 ]
 
 
-@pytest.mark.parametrize(("body", "status", "field"), BAD, ids=[f"{n}" for n in range(len(BAD))])
-def test_what_is_wrong_is_a_4xx_that_names_the_field(tmp_path: Path, body: bytes, status: int, field: str) -> None:
-    with rig(operator=operator(tmp_path)) as r:
-        code, told = call(r, tmp_path, "POST", "/v1/changes", raw=body)
-        assert (code, told["error"]["field"]) == (status, field)
+@pytest.mark.parametrize(
+    ("body", "status", "field"), INVALID_CHANGES, ids=[f"{n}" for n in range(len(INVALID_CHANGES))]
+)
+def test_invalid_changes_get_a_4xx_that_names_the_field(tmp_path: Path, body: bytes, status: int, field: str) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
+        code, content = call(r, tmp_path, "POST", "/v1/changes", raw=body)
+        assert (code, content["error"]["field"]) == (status, field)
         assert r.daemon.plans.book.revision == 0 and not (tmp_path / "plans").exists()
 
 
@@ -105,20 +107,20 @@
         ("GET", "/v1/ledger/entries?from=0", 400, "from"),
     ],
 )
-def test_wrong_paths_and_arguments(tmp_path: Path, method: str, target: str, status: int, field: str) -> None:
-    with rig(operator=operator(tmp_path)) as r:
-        code, told = call(r, tmp_path, method, target)
-        assert (code, told["error"]["field"]) == (status, field)
+def test_unknown_paths_and_invalid_arguments(tmp_path: Path, method: str, target: str, status: int, field: str) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
+        code, content = call(r, tmp_path, method, target)
+        assert (code, content["error"]["field"]) == (status, field)
 
 
-def test_a_change_is_compare_and_set_saved_and_restored(tmp_path: Path) -> None:
-    with rig(operator=operator(tmp_path)) as r:
-        assert call(r, tmp_path, "POST", "/v1/changes", change(r, revision=2))[0] == 409
-        first = change(r)
+def test_a_change_is_compared_by_revision_saved_and_restored(tmp_path: Path) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
+        assert call(r, tmp_path, "POST", "/v1/changes", plan_change(r, revision=2))[0] == 409
+        first = plan_change(r)
         assert call(r, tmp_path, "POST", "/v1/changes", first) == (201, {"revision": 1, "taken": "now"})
         assert call(r, tmp_path, "POST", "/v1/changes", first) == (200, {"revision": 1, "taken": "before"})
-        code, told = call(r, tmp_path, "POST", "/v1/changes", change(r, note="another operator"))
-        assert code == 409 and told["error"]["text"] == "1 is another change; the next is 2"
+        code, content = call(r, tmp_path, "POST", "/v1/changes", plan_change(r, note="another operator"))
+        assert code == 409 and content["error"]["text"] == "1 is another change; the next is 2"
         figures = {"rate": 5.0, "burst": 5.0}
         assert (
             call(
@@ -126,25 +128,26 @@
                 tmp_path,
                 "POST",
                 "/v1/changes",
-                change(r, revision=2, kind="set", firm="", plan="new", figures=figures),
+                plan_change(r, revision=2, kind="set", firm="", plan="new", figures=figures),
             )[0]
             == 201
         )
         assert r.daemon.ingress.decision_module.plans["new"].rate == 5.0
-    with rig(operator=operator(tmp_path)) as r:  # the next life
+    with rig(operator=operator_options(tmp_path)) as r:  # after a restart
         assert call(r, tmp_path, "GET", "/v1/plans")[1]["revision"] == 2
         assert r.daemon.ingress.decision_module.plans["new"].rate == 5.0
         assert call(r, tmp_path, "GET", f"/v1/firms/{FIRM}")[1] == {"firm": FIRM, "plan": "p", "revision": 1}
 
 
-def test_a_snapshot_that_cannot_be_written_leaves_all_as_it_was(tmp_path: Path) -> None:
-    with rig(operator=operator(tmp_path)) as r:
-        (tmp_path / "plans.new").mkdir()  # in the way of the file that is written first
-        code, told = call(r, tmp_path, "POST", "/v1/changes", change(r))
-        assert code == 503 and told["error"]["field"] == "snapshot" and r.daemon.plans.book.revision == 0
+def test_a_change_is_rejected_when_its_snapshot_cannot_be_written(tmp_path: Path) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
+        (tmp_path / "plans.new").mkdir()  # blocks the temporary file of the snapshot
+        code, content = call(r, tmp_path, "POST", "/v1/changes", plan_change(r))
+        assert code == 503 and content["error"]["field"] == "snapshot" and r.daemon.plans.book.revision == 0
 
 
-def serve(r: Rig, number: int, **more: Any) -> int:
+def relay_message(r: Rig, number: int, **more: Any) -> int:
+    """Sends a message of true cost 3 through the ingress and returns its status."""
     client = r.send_request(number, ident=1000 + number, **more)
     _, server = r.accept_relay()
     server.read_http()
@@ -152,37 +155,38 @@
     return client.read_http()[0]
 
 
-def test_a_change_due_later_takes_effect_at_its_instant_and_use_is_counted_under_it(tmp_path: Path) -> None:
-    with rig(operator=operator(tmp_path)) as r:
+def test_a_scheduled_change_takes_effect_on_time_and_use_is_counted_under_its_plan(tmp_path: Path) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
         now = r.daemon.clock()
         figures = {"rate": 50.0, "burst": 50.0}
-        call(r, tmp_path, "POST", "/v1/changes", change(r, kind="set", firm="", plan="big", figures=figures))
-        call(r, tmp_path, "POST", "/v1/changes", change(r, revision=2, plan="big", since=now + 60))
-        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "p"
+        call(r, tmp_path, "POST", "/v1/changes", plan_change(r, kind="set", firm="", plan="big", figures=figures))
+        call(r, tmp_path, "POST", "/v1/changes", plan_change(r, revision=2, plan="big", since=now + 60))
+        assert relay_message(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "p"
         r.advance_clock(61.0)
-        assert serve(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "big"
+        assert relay_message(r, 1) == 200 and r.daemon.ingress.decision_module.firms[1].plan.name == "big"
         r.advance_clock(3.0)
         r.run_until(lambda: r.daemon.ledger.tally.heads.next_seq == 3)
         rows = [(e.key.plan, e.key.revision, e.units) for e in r.daemon.ledger.store.entries()]
         assert rows == [("p", 0, 3_000_000), ("big", 2, 3_000_000)]
 
 
-def test_a_reservation_pays_for_the_try_that_names_it(tmp_path: Path) -> None:
-    with rig(operator=operator(tmp_path)) as r:
-        book = {"id": "r1", "firm": FIRM, "units": 4.0, "lifetime": 30.0, "plan": "p"}
-        code, told = call(r, tmp_path, "POST", "/v1/reservations", book)
-        assert code == 201 and told["state"] == "held"
-        assert call(r, tmp_path, "POST", "/v1/reservations", book)[1]["state"] == "held"
+def test_a_reservation_pays_for_the_message_that_names_it(tmp_path: Path) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
+        reservation = {"id": "r1", "firm": FIRM, "units": 4.0, "lifetime": 30.0, "plan": "p"}
+        code, content = call(r, tmp_path, "POST", "/v1/reservations", reservation)
+        assert code == 201 and content["state"] == "held"
+        assert call(r, tmp_path, "POST", "/v1/reservations", reservation)[1]["state"] == "held"
         level = r.daemon.ingress.decision_module.firms[1].level
-        assert serve(r, 1, more="X-Reservation: r1\r\nX-Weight: units=4\r\n") == 200
-        assert r.daemon.ingress.decision_module.firms[1].level >= level  # paid, and the true cost was 3 of the 4
+        assert relay_message(r, 1, more="X-Reservation: r1\r\nX-Weight: units=4\r\n") == 200
+        # The reservation paid, and the true cost was 3 of its 4 units.
+        assert r.daemon.ingress.decision_module.firms[1].level >= level
         assert call(r, tmp_path, "GET", "/v1/reservations/r1")[1]["state"] == "used"
         assert r.daemon.ledger.tally.heads.counted == 3_000_000
         assert call(r, tmp_path, "POST", "/v1/reservations/r1/commit", {"units": 4})[0] == 409
 
 
-def test_commit_release_and_end_of_a_reservation_reach_store_and_ledger(tmp_path: Path) -> None:
-    with rig(operator=operator(tmp_path)) as r:
+def test_commit_release_and_expiry_of_a_reservation_reach_quota_and_ledger(tmp_path: Path) -> None:
+    with rig(operator=operator_options(tmp_path)) as r:
         for n in range(3):
             assert (
                 call(
@@ -194,31 +198,31 @@
                 )[0]
                 == 201
             )
-        full = r.daemon.ingress.decision_module.firms[1].level
+        level = r.daemon.ingress.decision_module.firms[1].level
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[1]["charged"] == 1.0
         assert call(r, tmp_path, "POST", "/v1/reservations/r0/commit", {"units": 1.0})[0] == 200
         assert call(r, tmp_path, "POST", "/v1/reservations/r1/release")[1]["state"] == "released"
-        assert r.daemon.ingress.decision_module.firms[1].level >= full + 3.0
+        assert r.daemon.ingress.decision_module.firms[1].level >= level + 3.0
         r.advance_clock(6.0)
         assert call(r, tmp_path, "POST", "/v1/reservations/r2/commit", {"units": 1.0})[0] == 410
         assert call(r, tmp_path, "GET", "/v1/reservations")[1]["held"] == 0
         assert r.daemon.ledger.tally.heads.counted == 1_000_000
-        code, told = call(
+        code, content = call(
             r,
             tmp_path,
             "POST",
             "/v1/reservations",
             {"id": "x", "firm": FIRM, "units": 9.0, "lifetime": 5.0, "plan": "p"},
         )
-        assert code == 400 and told["error"]["field"] == "units"
+        assert code == 400 and content["error"]["field"] == "units"
 
 
 @pytest.mark.parametrize("mode", ["serve", "refuse"])
-def test_a_store_that_takes_nothing_is_the_operators_choice(tmp_path: Path, mode: str) -> None:
-    """A store that is really full: 1 MB of LMDB, filled up by another table, and a full log."""
-    told = operator(tmp_path)
-    told["ledger"].update(on_failure=mode, size_mb=1)
-    with rig(operator=told) as r:
+def test_a_full_ledger_store_follows_on_failure(tmp_path: Path, mode: str) -> None:
+    """The store is really full: 1 MB of LMDB, filled by another table, and a full log."""
+    options = operator_options(tmp_path)
+    options["ledger"].update(on_failure=mode, size_mb=1)
+    with rig(operator=options) as r:
         store = r.daemon.ledger.store
         blocks = 0
         with pytest.raises(Exception, match="MDB_MAP_FULL"):
@@ -230,32 +234,35 @@
             with pytest.raises(LedgerError, match="the log is full"):
                 while True:
                     store.append(0, [("x" * size, 1, "p", 0, 1.0, 0.0)])
-        assert serve(r, 1) == 200  # it was taken before anybody knew
+        assert relay_message(r, 1) == 200  # accepted before the failure was noticed
         assert r.count("ledger_failures") >= 1 and r.daemon.ledger.failing
         if mode == "refuse":
             status, head, _ = r.send_request(2, ident=7).read_http()
             assert status == 503 and b"retry-after" in head.lower()
         else:
-            assert serve(r, 2) == 200
-        store.env.set_mapsize(4 << 20)  # the operator makes room
+            assert relay_message(r, 2) == 200
+        store.env.set_mapsize(4 << 20)  # the operator enlarges the store
         r.advance_clock(1.1)
         r.run_until(lambda: not r.daemon.ledger.failing)
-        assert serve(r, 3) == 200 and r.daemon.ledger.tally.heads.counted == (6 + 3 * (mode == "serve")) * 1_000_000
+        assert (
+            relay_message(r, 3) == 200
+            and r.daemon.ledger.tally.heads.counted == (6 + 3 * (mode == "serve")) * 1_000_000
+        )
 
 
-def test_another_process_at_the_socket_is_not_pushed_away(tmp_path: Path) -> None:
+def test_a_socket_in_use_and_a_file_that_is_no_socket_are_not_removed(tmp_path: Path) -> None:
     with (
-        rig(operator=operator(tmp_path)),
+        rig(operator=operator_options(tmp_path)),
         pytest.raises(ConfigError, match="another process is listening on this socket"),
     ):
-        Rig(operator=operator(tmp_path, ledger={"path": f"{tmp_path}/other"}))
+        Rig(operator=operator_options(tmp_path, ledger={"path": f"{tmp_path}/other"}))
     (tmp_path / "c").write_text("no socket")
     with pytest.raises(ConfigError, match="the file exists and is not a socket"):
-        Rig(operator=operator(tmp_path, ledger={"path": f"{tmp_path}/third"}))
+        Rig(operator=operator_options(tmp_path, ledger={"path": f"{tmp_path}/third"}))
 
 
 @pytest.mark.parametrize(
-    ("table", "said"),
+    ("table", "setting"),
     [
         ({"control": {"listen": "10.0.0.1:1"}}, "control.listen"),
         ({"control": {"listen": "unix:c"}}, "control.listen"),
@@ -269,12 +276,12 @@
         ({"leases": {"ahead_s": float("nan")}}, "leases.ahead_s"),
     ],
 )
-def test_the_operators_file_is_checked(table: dict[str, Any], said: str) -> None:
-    with pytest.raises(ConfigError, match=f"^{said}"):
-        operator_of(table)
+def test_invalid_settings_in_the_operators_file_are_rejected(table: dict[str, Any], setting: str) -> None:
+    with pytest.raises(ConfigError, match=f"^{setting}"):
+        decode_operator_file(table)
 
 
-def test_the_commands_speak_to_a_daemon(tmp_path: Path) -> None:
+def test_the_commands_work_against_a_daemon(tmp_path: Path) -> None:
     def run(r: Rig, *words: str) -> tuple[int, str, str]:
         process = subprocess.Popen(
             [sys.executable, "-m", "brackenpulley", *words, "--control", f"unix:{tmp_path}/c"],
@@ -286,7 +293,7 @@
         out, err = process.communicate()
         return process.returncode, out, err
 
-    with rig(operator=operator(tmp_path)) as r:
+    with rig(operator=operator_options(tmp_path)) as r:
         code, out, _ = run(r, "plans", "set", "big", "--rate", "5", "--burst", "9", "--in", "0", "--json")
         assert code == 0 and json.loads(out)["change"]["revision"] == 1
         code, out, _ = run(r, "plans", "move", FIRM, "big", "--in", "0", "--note", "mid-week")
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -35,7 +35,7 @@
 from . import util
 from .rig import rig
 from .test_authz import asker, check, result
-from .test_control import call, operator
+from .test_control import call, operator_options
 from .test_ledger import T0, Silent, faults, filled
 
 PLANS = [PlanSpec("school", rate=3.0, burst=8.0), PlanSpec("county", rate=7.0, burst=32.0)]
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("end", ["committed", "released", "expired"])
 def test_a_grant_holds_its_units_until_its_end_is_told_or_its_time_is_over(tmp_path: Path, end: str) -> None:
-    told = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
+    told = operator_options(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
     with rig(operator=told) as r, asker(r) as stub:
         assert result(r, stub.Check.future(check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.heads
