--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -35,7 +35,7 @@
 from . import util
 from .rig import rig
 from .test_authz import make_check, open_stub, wait_for_result
-from .test_control import call, operator
+from .test_control import call, operator_options
 from .test_ledger import START_TIME, NullLog, fill_store, find_faults
 
 PLANS = [PlanSpec("school", rate=3.0, burst=8.0), PlanSpec("county", rate=7.0, burst=32.0)]
@@ -231,7 +231,7 @@
 
 @pytest.mark.parametrize("end", ["committed", "released", "expired"])
 def test_grant_holds_its_units_until_it_ends_or_expires(tmp_path: Path, end: str) -> None:
-    operator_settings = operator(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
+    operator_settings = operator_options(tmp_path, authz={"server": {"listen": "127.0.0.1:0"}})
     with rig(operator=operator_settings) as r, open_stub(r) as stub:
         assert wait_for_result(r, stub.Check.future(make_check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.state
