--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -335,12 +335,12 @@
         ran = [row for server in self.servers for row in server.ran]
         verdict = audit.reconcile(ran, self.killed, counted, self.billing.units())
         faults += verdict.faults + self.billing.faults
-        faults += audit.answered_once(self.load.tries, self.down_once)
-        over = audit.excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
+        faults += audit.find_wrong_answer_counts(self.load.tries, self.down_once)
+        over = audit.compute_excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
         faults += [
             f"firm {one.firm:016x}: {one.over:.1f} units over an allowance of {one.allowed:.0f}"
             for one in over
-            if one.share > MOST_OVER
+            if one.over_ratio > MOST_OVER
         ]
         if self.plot:
             self._draw(ran, book, begin, end)
@@ -353,9 +353,9 @@
             "served": statuses_now.count(200),
             "refused": statuses_now.count(429) + statuses_now.count(503),
             "unanswered": statuses_now.count(0),
-            "ranUnits": verdict.ran / audit.MICRO,
-            "countedUnits": verdict.counted / audit.MICRO,
-            "exportedUnits": verdict.billed / audit.MICRO,
+            "ranUnits": verdict.ran / audit.MICRO_UNITS_PER_UNIT,
+            "countedUnits": verdict.counted / audit.MICRO_UNITS_PER_UNIT,
+            "exportedUnits": verdict.billed / audit.MICRO_UNITS_PER_UNIT,
             "ranButNeverAnswered": verdict.unanswered,
             "killed": {name: len(ids) for name, ids in self.killed.items()},
             "entries": entries,
@@ -365,7 +365,7 @@
             "firms": {
                 f"{one.firm:016x}": [round(one.over, 2), round(one.used, 1), round(one.allowed, 1)] for one in over
             },
-            "mostExcess": round(max((one.share for one in over), default=0.0), 4),
+            "mostExcess": round(max((one.over_ratio for one in over), default=0.0), 4),
             "counterCalls": self.counter.calls,
             "callsATry": round(self.counter.calls / max(1, len(ran)), 3),
             "memoryKb": self.memory,
@@ -394,13 +394,13 @@
         }
         shown = sorted(self.firms, key=lambda firm: (not moves[firm.key], -firm.rate))[:4]
         figure, axes = pyplot.subplots(2, 2, figsize=(13, 8), sharex=True)
-        final = audit.due(ran)
+        final = audit.compute_expected_charges(ran)
         for firm, axis in zip(shown, axes.flat, strict=False):
             first = {one.id: one for one in sorted(ran, key=lambda row: -row.at) if one.firm == firm.key}
             rows = sorted(first.values(), key=lambda row: row.at)
             times, used, total = [0.0], [0.0], 0.0
             for one in rows:
-                total += final[one.id].units / audit.MICRO
+                total += final[one.id].units / audit.MICRO_UNITS_PER_UNIT
                 times.append(one.at - begin)
                 used.append(total)
             grid = [begin + (end - begin) * n / 400 for n in range(401)]
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -128,8 +128,8 @@
         faults += [fault for fault, _ in daemon.ledger.store.verify() if fault]
         ran = [row for server in servers for row in server.ran]
         verdict = audit.reconcile(ran, {}, counted, billing.units())
-        faults += verdict.faults + audit.answered_once(load.tries, set())
-        over = audit.excess(ran, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
+        faults += verdict.faults + audit.find_wrong_answer_counts(load.tries, set())
+        over = audit.compute_excess(ran, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
         load.close()
         daemon.close()
         for listener in (discovery.listener, counter.listener, billing.listener, *(s.listener for s in servers)):
@@ -150,9 +150,9 @@
         "firmMoved": moved,
         "servedOnSchool": part(load.tries[:middle]),
         "servedOnCounty": part(load.tries[middle:]),
-        "ranUnits": verdict.ran / audit.MICRO,
-        "countedUnits": verdict.counted / audit.MICRO,
-        "exportedUnits": verdict.billed / audit.MICRO,
+        "ranUnits": verdict.ran / audit.MICRO_UNITS_PER_UNIT,
+        "countedUnits": verdict.counted / audit.MICRO_UNITS_PER_UNIT,
+        "exportedUnits": verdict.billed / audit.MICRO_UNITS_PER_UNIT,
         "exportedEvents": len(billing.events),
         "unitsOverAllowance": round(sum(one.over for one in over), 2),
         "agree": not faults,
--- a/brackenpulley/standins/audit.py
+++ b/brackenpulley/standins/audit.py
@@ -1,7 +1,10 @@
-"""Whether what was billed is what ran, and by how much firms passed their allowance. No I/O.
+"""Audit of a run: whether the billed units are those that ran, and by how much firms exceeded their allowance.
 
-What a try must have been charged follows from the sim servers' record alone: its true cost where a server answered it
-well, else its guess where a server had it whole (PROTOCOL: a try takes its units then), else nothing."""
+Works on records in memory, without I/O. The demo command and the plan change benchmark use it.
+
+The expected charge of a message follows from the sim servers' records alone. It is the true cost where a server
+answered with success, and the estimate where a server received the whole request without answering so, because the
+protocol takes the units at that point. A message that no server received is charged nothing."""
 
 from __future__ import annotations
 
@@ -13,76 +16,84 @@
 from .servers import Ran
 
 Key = tuple[int, str, int]  # firm, plan, revision
-MICRO = 1_000_000
+MICRO_UNITS_PER_UNIT = 1_000_000
 
 
 @dataclass(slots=True)
-class Due:
-    """What one try must have been charged, in micro-units, and under which plan."""
+class ExpectedCharge:
+    """What one message must have been charged, in micro-units, and under which firm, plan and plan revision."""
 
     key: Key
     units: int
 
 
-def due(ran: Iterable[Ran]) -> dict[str, Due]:
-    found: dict[str, Due] = {}
-    for one in sorted(ran, key=lambda row: row.at):
-        units = round((one.cost if one.said == "ok" else one.guess) * MICRO)
-        if one.id not in found:
-            found[one.id] = Due((one.firm, one.plan, one.revision), units)
-        elif one.said == "ok":
-            found[one.id].units = units
-    return found
+def compute_expected_charges(ran: Iterable[Ran]) -> dict[str, ExpectedCharge]:
+    """Return the expected charge of each message by message id, from the sim servers' records."""
+    charges: dict[str, ExpectedCharge] = {}
+    for row in sorted(ran, key=lambda row: row.at):
+        units = round((row.cost if row.said == "ok" else row.guess) * MICRO_UNITS_PER_UNIT)
+        if row.id not in charges:
+            charges[row.id] = ExpectedCharge((row.firm, row.plan, row.revision), units)
+        elif row.said == "ok":
+            charges[row.id].units = units
+    return charges
 
 
 @dataclass(slots=True)
-class Verdict:
+class Reconciliation:
+    """Totals in micro-units of what ran, was counted and was billed, and the differences found between them."""
+
     faults: list[str] = field(default_factory=list)
-    ran: int = 0  # micro-units that ran and whose answer left
-    unanswered: int = 0  # tries that ran in an ingress that was killed before their answer left
+    ran: int = 0  # micro-units of messages that ran, without the unanswered ones
+    unanswered: int = 0  # messages that ran for an ingress that was killed before their answer left
     counted: int = 0
     billed: int = 0
 
     @property
-    def agree(self) -> bool:
+    def is_consistent(self) -> bool:
+        """Whether the counted and the billed units both equal the units that ran, for each key."""
         return not self.faults
 
 
 def reconcile(
     ran: Iterable[Ran], killed: dict[str, set[str]], counted: dict[Key, int], billed: dict[Key, int]
-) -> Verdict:
-    """`killed`: for each kill a name, and the ids that were out at that moment and that its ledger had not counted."""
-    verdict = Verdict(counted=sum(counted.values()), billed=sum(billed.values()))
+) -> Reconciliation:
+    """Compare the units that ran with those that the ledgers counted and those that billing received.
+
+    `killed` maps the name of each kill to the ids of the messages that were in flight at that moment and that the
+    ledger of the killed ingress had not counted. `counted` and `billed` are in micro-units."""
+    result = Reconciliation(counted=sum(counted.values()), billed=sum(billed.values()))
     lost = set().union(*killed.values()) if killed else set()
-    must: dict[Key, int] = {}
-    for ident, one in due(ran).items():
-        if ident in lost:
-            verdict.unanswered += 1
+    expected: dict[Key, int] = {}
+    for message_id, charge in compute_expected_charges(ran).items():
+        if message_id in lost:
+            result.unanswered += 1
             continue
-        must[one.key] = must.get(one.key, 0) + one.units
-        verdict.ran += one.units
-    for name, told in (("counted", counted), ("billed", billed)):
-        for key in sorted(must.keys() | told.keys()):
-            if must.get(key, 0) != told.get(key, 0):
-                verdict.faults.append(
+        expected[charge.key] = expected.get(charge.key, 0) + charge.units
+        result.ran += charge.units
+    for name, reported in (("counted", counted), ("billed", billed)):
+        for key in sorted(expected.keys() | reported.keys()):
+            if expected.get(key, 0) != reported.get(key, 0):
+                result.faults.append(
                     f"firm {key[0]:016x}, plan {key[1]}, revision {key[2]}: ran "
-                    f"{must.get(key, 0) / MICRO:g} units, {name} {told.get(key, 0) / MICRO:g}"
+                    f"{expected.get(key, 0) / MICRO_UNITS_PER_UNIT:g} units, "
+                    f"{name} {reported.get(key, 0) / MICRO_UNITS_PER_UNIT:g}"
                 )
-    return verdict
+    return result
 
 
-def answered_once(tries: Iterable[Try], down: set[int]) -> list[str]:
-    """Tries that a living ingress took and that did not get exactly one answer."""
+def find_wrong_answer_counts(messages: Iterable[Try], down: set[int]) -> list[str]:
+    """Describe each message that an ingress took and did not answer exactly once, without the ingresses in `down`."""
     return [
-        f"try {one.id}: taken by ingress {one.ingress}, {one.answers} answers"
-        for one in tries
-        if one.taken and one.answers != 1 and one.ingress not in down
+        f"message {message.id}: taken by ingress {message.ingress}, {message.answers} answers"
+        for message in messages
+        if message.taken and message.answers != 1 and message.ingress not in down
     ]
 
 
 @dataclass(slots=True)
 class Excess:
-    """One firm's use against its allowance (integral of the rate and the burst it began with), in units."""
+    """One firm's use against its allowance (the integral of the rate plus the initial burst), in units."""
 
     firm: int
     used: float = 0.0
@@ -90,36 +101,41 @@
     over: float = 0.0
 
     @property
-    def share(self) -> float:
+    def over_ratio(self) -> float:
+        """Units over the allowance as a fraction of the allowance, 0 where nothing was allowed."""
         return self.over / self.allowed if self.allowed else 0.0
 
 
-def excess(ran: Iterable[Ran], book: Book, told: dict[int, str], begin: float, end: float) -> list[Excess]:
-    """Plays each firm's store over the servers' record: a try that is let in where the store lacks its units is over
-    by what was lacking, which then counts as excess once and is not taken from the store. True costs settle with the
-    try, as the quota counts them in the end."""
+def compute_excess(
+    ran: Iterable[Ran], book: Book, requested_plans: dict[int, str], begin: float, end: float
+) -> list[Excess]:
+    """Replay each firm's token bucket over the sim servers' records from `begin` to `end`.
+
+    A message admitted while the bucket lacks its units exceeds the allowance by the missing units. These count as
+    excess once and are not taken from the bucket. The true cost settles together with the message, because the quota
+    counts true costs in the end. `requested_plans` maps a firm to the plan that its clients send."""
     firms: dict[int, list[Ran]] = {}
     seen: set[str] = set()
     rows = sorted(ran, key=lambda row: row.at)
-    final = due(rows)
-    for one in rows:
-        if one.id not in seen:
-            seen.add(one.id)
-            firms.setdefault(one.firm, []).append(one)
-    found = []
-    for firm, tries in sorted(firms.items()):
+    charges = compute_expected_charges(rows)
+    for row in rows:
+        if row.id not in seen:
+            seen.add(row.id)
+            firms.setdefault(row.firm, []).append(row)
+    results = []
+    for firm, firm_rows in sorted(firms.items()):
         result, debt, at = Excess(firm), 0.0, begin
-        plan = book.figures(book.plan_of(firm, begin, told[firm])[0], begin)
-        result.allowed = (plan[1].burst if plan else 0.0) + book.integral(firm, told[firm], begin, end)
-        for one in tries:
-            debt = max(0.0, debt - book.integral(firm, told[firm], at, one.at))
-            at = max(at, one.at)
-            figures = book.figures(book.plan_of(firm, one.at, told[firm])[0], one.at)
+        plan = book.figures(book.plan_of(firm, begin, requested_plans[firm])[0], begin)
+        result.allowed = (plan[1].burst if plan else 0.0) + book.integral(firm, requested_plans[firm], begin, end)
+        for row in firm_rows:
+            debt = max(0.0, debt - book.integral(firm, requested_plans[firm], at, row.at))
+            at = max(at, row.at)
+            figures = book.figures(book.plan_of(firm, row.at, requested_plans[firm])[0], row.at)
             burst = figures[1].burst if figures else 0.0
-            over = min(one.guess, max(0.0, debt + one.guess - burst))
+            over = min(row.guess, max(0.0, debt + row.guess - burst))
             result.over += over
-            cost = final[one.id].units / MICRO
+            cost = charges[row.id].units / MICRO_UNITS_PER_UNIT
             result.used += cost
             debt += cost - over
-        found.append(result)
-    return found
+        results.append(result)
+    return results
