--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -37,7 +37,7 @@
 from brackenpulley.net.loop import READ, WRITE, Loop
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.servers import Discovery, SimServer
-from brackenpulley.standins.wire import Line
+from brackenpulley.standins.wire import Connection
 
 PIECE, SLOW, TICK = 65536, 64_000, 0.1  # bytes at once; bytes a second; s between pieces of a slow one
 SIZES = [1 << 10, 30 << 10, 65 << 10, 300 << 10, 1 << 20, 4 << 20, 32 << 20]
@@ -129,9 +129,9 @@
     def __init__(self, loop: Loop, name: str, wrong: Counter[str]) -> None:
         super().__init__(loop, name, random.Random(1))
         self.wrong = wrong
-        self.listener.shares = BodyMemory(1 << 30)
+        self.listener.body_memory = BodyMemory(1 << 30)
 
-    def _heard(self, line: Line, payload: Payload) -> None:
+    def _handle_request(self, line: Connection, payload: Payload) -> None:
         stream = payload.stream
         if stream is None:
             self._answer(line, payload, xxhash.xxh3_64(payload.body).hexdigest() if payload.body else "")
@@ -149,7 +149,7 @@
         stream.on_change = more
         more()
 
-    def _answer(self, line: Line, payload: Payload, seen: str) -> None:
+    def _answer(self, line: Connection, payload: Payload, seen: str) -> None:
         told = {k: v[0] for k, v in parse_qs(payload.target.decode().partition("?")[2], keep_blank_values=True).items()}
         if told["up"] and told["up"] != seen:
             self.wrong["a server got a wrong body"] += 1
@@ -165,13 +165,13 @@
             if not whole:
                 line.reset()
             elif form == "close":
-                line.drained = line.close
+                line.on_drained = line.close
                 line.send(b"")
 
         Writer(
             self.loop,
             line.send,
-            lambda call: setattr(line, "drained", call),
+            lambda call: setattr(line, "on_drained", call),
             size,
             int(told["seed"]),
             form,
@@ -492,7 +492,7 @@
             Path(name),
             "daemon",
             ports[0],
-            trial.discovery.listener.text,
+            trial.discovery.listener.address_text,
             "127.0.0.1:1",
             "",
             limits={"memory_mb": memory_mb, "sockets": 1024},
@@ -505,7 +505,7 @@
                 "--bare",
                 str(ports[1]),
                 "--to",
-                str(trial.servers[0].listener.at[1]),
+                str(trial.servers[0].listener.address[1]),
             ],
             cwd=ROOT,
         )
--- a/benchmarks/capacity/kinds/kept.py
+++ b/benchmarks/capacity/kinds/kept.py
@@ -8,7 +8,7 @@
 from brackenpulley.policy import interface as i
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 from ..line import SIZE, TODAY
 from ..measure import REPEATS, Slope, slope
@@ -23,7 +23,7 @@
 
     def __init__(self, servers: int, gateways: int, seed: int) -> None:
         super().__init__()
-        raw = settings(gateways, 0, counter=False)
+        raw = build_settings(gateways, 0, has_counter=False)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         self.gateway = DecisionModule(decode(raw), seed, self.now)
--- a/benchmarks/capacity/kinds/lists.py
+++ b/benchmarks/capacity/kinds/lists.py
@@ -13,7 +13,7 @@
 from brackenpulley.policy import interface as i
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
 
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.now, self.serial = 1000.0, 0
         self.timers: list[tuple[float, int, int]] = []
-        self.gateway = DecisionModule(decode(settings(40, 0)), 1, self.now)
+        self.gateway = DecisionModule(decode(build_settings(40, 0)), 1, self.now)
         self.inventory = Inventory(self.tell)
         self.objects = JsonObjectSplitter(MAX_LIST_BYTES)
 
--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -41,10 +41,10 @@
         self.generation += 1
         self.rest = [{**row, "lifecycle": "DRAINING"} for row in self.rest]
         for line in self.watchers:
-            self._tell(line, {"generation": self.generation, "reset": False, "instances": self.rest})
+            self._send_update(line, {"generation": self.generation, "reset": False, "instances": self.rest})
 
-    def _rows(self, servers: list[Any]) -> list[dict[str, object]]:
-        return [*super()._rows(servers), *(self.rest if len(servers) > 1 else [])]
+    def _list_instances(self, servers: list[Any]) -> list[dict[str, object]]:
+        return [*super()._list_instances(servers), *(self.rest if len(servers) > 1 else [])]
 
 
 def spent(pid: int) -> float:
@@ -73,7 +73,7 @@
     discovery = Large(loop, [*servers], size)
     with tempfile.TemporaryDirectory(prefix="bracken-capacity-") as name:
         port = free_ports(1)[0]
-        daemon = Process(Path(name), "daemon", port, discovery.listener.text, "127.0.0.1:1", "")
+        daemon = Process(Path(name), "daemon", port, discovery.listener.address_text, "127.0.0.1:1", "")
         try:
             state = {"ready": False, "out": False}
 
--- a/benchmarks/capacity/kinds/tenants.py
+++ b/benchmarks/capacity/kinds/tenants.py
@@ -5,7 +5,7 @@
 from brackenpulley.policy import interface as i
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 from ..measure import REPEATS, Slope, cpu, memory, slope
 from .lists import Listed
@@ -18,7 +18,7 @@
 
     def __init__(self, places: int = 40) -> None:
         super().__init__()
-        self.gateway = DecisionModule(decode(settings(places, 0)), 1, self.now)
+        self.gateway = DecisionModule(decode(build_settings(places, 0)), 1, self.now)
         self.calls = 0
         self.tell(i.ServerList("full", [i.ServerEntry(f"s{n}", "hall-a", n % 7) for n in range(20)]))
 
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -114,7 +114,7 @@
             Path(name),
             "daemon",
             ports[0],
-            trial.discovery.listener.text,
+            trial.discovery.listener.address_text,
             "127.0.0.1:1",
             "",
             limits={"memory_mb": 80, "sockets": 1500},
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -41,7 +41,7 @@
 from brackenpulley.standins.clients import Firm, Load, Try
 from brackenpulley.standins.cold import ColdServer
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 LOOK = 0.25  # s between the front's looks at /ready
 TICK = os.sysconf("SC_CLK_TCK")
@@ -113,14 +113,18 @@
         self.control = Control(f"unix:{self.folder}/run/supervisor.sock")
 
     def _write(self, count: int, watchdog: float) -> None:
-        raw = settings(1)
+        raw = build_settings(1)
         raw["Invariants"].update(ColdFrom=COLD_FROM, Cold=COLD, OverloadFactor=MULTIPLE, TipAfter=FALL)
         raw["Report"] = {"Via": "piggyback", "Fields": ["busy_reqs"]}
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         (self.folder / "ingress.json").write_text(
             json.dumps(
-                {"discovery": self.discovery.listener.text, "counter": self.counter.listener.text, "settings": raw}
+                {
+                    "discovery": self.discovery.listener.address_text,
+                    "counter": self.counter.listener.address_text,
+                    "settings": raw,
+                }
             )
         )
         text = (
@@ -188,17 +192,17 @@
         """The cold server starts anew; the last start's figures are kept."""
         self.warm()
         self.cold.start()
-        self.cold.worst, self.cold.arrivals = 0.0, []
-        self.discovery.change(self.cold, "SERVING")
+        self.cold.max_overload_ratio, self.cold.arrival_times = 0.0, []
+        self.discovery.set_state(self.cold, "SERVING")
         self.colds.append({"what": what, "at": self.clock()})
 
     def warm(self) -> None:
         if self.colds and "worst" not in self.colds[-1]:
             self.colds[-1].update(
-                worst=round(self.cold.worst, 3),
-                arrivals=len(self.cold.arrivals),
-                fell=self.cold.down,
-                seen=list(self.cold.arrivals),
+                worst=round(self.cold.max_overload_ratio, 3),
+                arrivals=len(self.cold.arrival_times),
+                fell=self.cold.is_down,
+                seen=list(self.cold.arrival_times),
             )
 
     def kill(self, places: list[int]) -> None:
@@ -483,7 +487,10 @@
         begin = cold["at"]
         times = [begin + n * 0.25 for n in range(int(4 * COLD))]
         bears = [
-            MULTIPLE * FALL * made.cold.full * (COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD)
+            MULTIPLE
+            * FALL
+            * made.cold.warm_rate
+            * (COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD)
             for t in times
         ]
         seen = [sum(t - FALL < a <= t for a in cold.get("seen", [])) for t in times]
@@ -518,7 +525,12 @@
     fleets = [Trial(instances, 1, 0.0, 40.0, members) for members in (False, True)]
     lone = [
         Process(
-            fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.text, fleets[0].counter.listener.text, ""
+            fleets[0].folder,
+            f"lone-{n}",
+            port,
+            fleets[0].discovery.listener.address_text,
+            fleets[0].counter.listener.address_text,
+            "",
         )
         for n, port in enumerate(free_ports(4))
     ]
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -33,7 +33,7 @@
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.clients import Firm, Load
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 MOST_RATIO, MOST_RECOVERY, LEAST_RATE = 1.10, 5.0, 20_000.0
 TICK = os.sysconf("SC_CLK_TCK")
@@ -54,7 +54,7 @@
         console: str = "",
     ) -> None:
         self.at = ("127.0.0.1", port)
-        raw = settings(1)
+        raw = build_settings(1)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)  # the cost is asked for, not the quota
         config = {
@@ -105,11 +105,11 @@
         folder, ports = Path(name), free_ports(2)
         told = (
             f'[ledger]\npath = "{folder}/ledger"\nperiod_s = 5.0\ngrace_s = 0.5\n[ledger.export]\n'
-            f'url = "http://{billing.listener.text}/use"\n'
+            f'url = "http://{billing.listener.address_text}/use"\n'
         )
         daemons = [
-            Process(folder, "off", ports[0], discovery.listener.text, counter.listener.text, ""),
-            Process(folder, "on", ports[1], discovery.listener.text, counter.listener.text, told),
+            Process(folder, "off", ports[0], discovery.listener.address_text, counter.listener.address_text, ""),
+            Process(folder, "on", ports[1], discovery.listener.address_text, counter.listener.address_text, told),
         ]
         firms = [Firm(n + 1, "county", rate / 20, 1, 0) for n in range(20)]
         loads = [Load(loop, [d.at], firms, random.Random(5)) for d in daemons]
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -22,7 +22,7 @@
 from brackenpulley.policy import interface as i
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 RATE, LATENCY = 500.0, 0.02  # messages a second, s
 MOST = 2.0  # times the cost at the fewest servers
@@ -32,7 +32,7 @@
     """One gateway, its timers, and servers that answer after a while."""
 
     def __init__(self, servers: int, seed: int = 1, gateways: int = 3) -> None:
-        raw = settings(gateways, 0, counter=False)
+        raw = build_settings(gateways, 0, has_counter=False)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         self.rng, self.now, self.serial = random.Random(seed), 1000.0, 0
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -37,8 +37,8 @@
 from brackenpulley.standins import audit
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.clients import Firm, Load
-from brackenpulley.standins.servers import Counter, Discovery, Ran, SimServer
-from brackenpulley.standins.settings import PLANS, settings
+from brackenpulley.standins.servers import Counter, Discovery, ReceivedRelay, SimServer
+from brackenpulley.standins.settings import PLANS, build_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 GATEWAYS, SERVERS, FIRMS = 3, 4, 12
@@ -58,10 +58,10 @@
         config = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{port}",
-            "discovery": trial.discovery.listener.text,
-            "counter": trial.counter.listener.text,
+            "discovery": trial.discovery.listener.address_text,
+            "counter": trial.counter.listener.address_text,
             "seed": f"{trial.seed + number:x}",
-            "settings": settings(GATEWAYS, number),
+            "settings": build_settings(GATEWAYS, number),
         }
         (self.folder / "config.json").write_text(json.dumps(config))
         (self.folder / "operator.toml").write_text(
@@ -69,7 +69,7 @@
             f'[plans]\nsnapshot = "{self.folder}/plans"\n[reservations]\n'
             + ("[leases]\n" if trial.exact else "")
             + f'[ledger]\npath = "{self.folder}/ledger"\nperiod_s = {trial.period}\ngrace_s = 1.0\n'
-            f'[ledger.export]\nurl = "http://{trial.billing.listener.text}/use"\nlongest_wait_s = 1.0\n'
+            f'[ledger.export]\nurl = "http://{trial.billing.listener.address_text}/use"\nlongest_wait_s = 1.0\n'
             "timeout_s = 1.0\nbatch = 40\n"
         )
 
@@ -198,7 +198,7 @@
         self.turn_until(lambda: self.load.out == 0, 15, "the last answers")
         self.rough = False
         self.billing.mode = "takes"
-        self.counter.speak("answers")
+        self.counter.set_mode("answers")
         self.turn_until(self._exported, 60, "the export of what is left")
         return self._verdict(begin, end)
 
@@ -227,8 +227,8 @@
         at(self.seconds * 0.35, lambda: self._kill(1))
         at(self.seconds * 0.35 + min(3.0, every / 2), lambda: self._restart(1))
         for part in (0.2, 0.6):  # the counter says nothing while a change takes effect
-            at(self.seconds * part, lambda: self.counter.speak("silent"))
-            at(self.seconds * part + min(2.0, every / 3), lambda: self.counter.speak("answers"))
+            at(self.seconds * part, lambda: self.counter.set_mode("silent"))
+            at(self.seconds * part + min(2.0, every / 3), lambda: self.counter.set_mode("answers"))
         for n in range(20):
             at(self.seconds * n / 20, self._look)
 
@@ -328,12 +328,12 @@
                 counted[key] = counted.get(key, 0) + units
             entries += store.heads().next_seq - 1
             store.end()
-        book = Book(decode_settings(settings(GATEWAYS)).plans)
+        book = Book(decode_settings(build_settings(GATEWAYS)).plans)
         load(str(self.ingresses[2].folder / "plans"), book, self.clock())
         if book.revision != len(self.changes):
             faults.append(f"book: revision {book.revision}, and {len(self.changes)} were decided")
-        ran = [row for server in self.servers for row in server.ran]
-        verdict = audit.reconcile(ran, self.killed, counted, self.billing.units())
+        ran = [row for server in self.servers for row in server.received_relays]
+        verdict = audit.reconcile(ran, self.killed, counted, self.billing.sum_micro_units())
         faults += verdict.faults + self.billing.faults
         faults += audit.find_wrong_answer_counts(self.load.tries, self.down_once)
         over = audit.compute_excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
@@ -359,9 +359,9 @@
             "ranButNeverAnswered": verdict.unanswered,
             "killed": {name: len(ids) for name, ids in self.killed.items()},
             "entries": entries,
-            "eventsSent": sum(self.billing.had.values()),
-            "eventsTwice": sum(1 for count in self.billing.had.values() if count > 1),
-            "billingAnswers": dict(self.billing.answers),
+            "eventsSent": sum(self.billing.delivery_counts.values()),
+            "eventsTwice": sum(1 for count in self.billing.delivery_counts.values() if count > 1),
+            "billingAnswers": dict(self.billing.answer_counts),
             "firms": {
                 f"{one.firm:016x}": [round(one.over, 2), round(one.used, 1), round(one.allowed, 1)] for one in over
             },
@@ -377,7 +377,7 @@
             "faults": faults,
         }
 
-    def _draw(self, ran: list[Ran], book: Book, begin: float, end: float) -> None:
+    def _draw(self, ran: list[ReceivedRelay], book: Book, begin: float, end: float) -> None:
         """Use of the firms whose plans changed most, against what their plans let in, over the run."""
         import matplotlib
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -35,7 +35,7 @@
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.servers import Discovery
 from brackenpulley.standins.servers import SimServer as Slow
-from brackenpulley.standins.wire import Line, header
+from brackenpulley.standins.wire import Connection, find_header
 
 CONNECTIONS, SERVERS, MOST = 16, 10, 4.0
 
@@ -43,8 +43,8 @@
 class SimServer(Slow):
     """Answers at once: the cost of what stands before it is asked for."""
 
-    def _heard(self, line: Line, payload: Any) -> None:
-        line.answer(200, header(payload, b"x-request-id"), "X-True-Cost: 1\r\n")
+    def _handle_request(self, line: Connection, payload: Any) -> None:
+        line.answer(200, find_header(payload, b"x-request-id"), "X-True-Cost: 1\r\n")
 
 
 class Half:
@@ -152,9 +152,17 @@
     discovery = Discovery(loop, [*servers])
     with tempfile.TemporaryDirectory(prefix="bracken-relay-") as name:
         ports = free_ports(2)
-        daemon = Process(Path(name), "daemon", ports[0], discovery.listener.text, "127.0.0.1:1", "")
+        daemon = Process(Path(name), "daemon", ports[0], discovery.listener.address_text, "127.0.0.1:1", "")
         relay = subprocess.Popen(
-            [sys.executable, "-m", "benchmarks.relay", "--bare", str(ports[1]), "--to", str(servers[0].listener.at[1])],
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.relay",
+                "--bare",
+                str(ports[1]),
+                "--to",
+                str(servers[0].listener.address[1]),
+            ],
             cwd=ROOT,
         )
         try:
@@ -197,7 +205,7 @@
     """The daemon's loop in this process under the profiler; the load and the servers in another one."""
     from brackenpulley.config import decode
     from brackenpulley.serve import Daemon
-    from brackenpulley.standins.settings import settings
+    from brackenpulley.standins.settings import build_settings
 
     ready, told = socket.socketpair()
     child = os.fork()
@@ -205,7 +213,7 @@
         loop = Loop(wall_clock(), Metrics(), structlog.get_logger())
         servers = [SimServer(loop, f"s-{n}", random.Random(n)) for n in range(SERVERS)]
         discovery = Discovery(loop, [*servers])
-        told.send(discovery.listener.text.encode())
+        told.send(discovery.listener.address_text.encode())
         told.setblocking(False)
         load: Closed | None = None
         while True:
@@ -216,7 +224,7 @@
                     load.start()
                 except BlockingIOError:
                     continue
-    raw = settings(1, counter=False)
+    raw = build_settings(1, has_counter=False)
     for plan in raw["TiersOfService"]:
         plan.update(QuotaRate=1e6, Burst=1e6)
     daemon = Daemon(
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -38,19 +38,19 @@
 
     def __init__(self, listener: Listener, limit: int) -> None:
         self.listener, self.limit, self.most, self.beyond = listener, limit, 0, 0
-        accept = listener._acceptable
+        accept = listener._accept_connections
 
         def counted(events: int) -> None:
-            for line in list(listener.lines):  # what has ended and was not read yet is held no more
-                line._event(1)
-            before = set(listener.lines)
+            for line in list(listener.connections):  # what has ended and was not read yet is held no more
+                line._handle_events(1)
+            before = set(listener.connections)
             accept(events)
-            self.most = max(self.most, len(listener.lines))
-            for line in [one for one in listener.lines if one not in before][max(0, limit - len(before)) :]:
+            self.most = max(self.most, len(listener.connections))
+            for line in [one for one in listener.connections if one not in before][max(0, limit - len(before)) :]:
                 self.beyond += 1
                 line.reset()
 
-        listener._acceptable = counted  # type: ignore[method-assign]
+        listener._accept_connections = counted  # type: ignore[method-assign]
         assert listener.sock is not None
         listener.loop.unregister(listener.sock)
         listener.loop.register(listener.sock, 1, counted)
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -25,8 +25,8 @@
 from brackenpulley.simulation.links import Link as Way
 from brackenpulley.standins.hollow import Firm, Hollow, Place, operator
 from brackenpulley.standins.links import Relays
-from brackenpulley.standins.servers import HEARTBEAT, Counter
-from brackenpulley.standins.wire import Line, Listener
+from brackenpulley.standins.servers import HEARTBEAT_SECONDS, Counter
+from brackenpulley.standins.wire import Connection, Listener
 
 MOST = 12  # that start at once
 LOOK = 0.05  # s between looks at those that are not whole yet
@@ -275,13 +275,13 @@
         self.encoded = {name: json.dumps(row) for name, row in self.rows.items()}
         self.whole: dict[int, tuple[int, bytes]] = {}  # by how many are listed
         self.changes: deque[tuple[int, bytes]] = deque(maxlen=KEPT)
-        self.watchers: dict[str, list[Line]] = {group: [] for group in told["groups"]}
+        self.watchers: dict[str, list[Connection]] = {group: [] for group in told["groups"]}
         self.counts: Tally[str] = Tally()
         self.listeners = {group: Listener(self.loop, partial(self._heard, group)) for group in told["groups"]}
-        self.loop.call_in(HEARTBEAT, self._beat)
+        self.loop.call_in(HEARTBEAT_SECONDS, self._beat)
 
     def ask_at(self) -> dict[str, str]:
-        return {group: listener.text for group, listener in self.listeners.items()}
+        return {group: listener.address_text for group, listener in self.listeners.items()}
 
     def _list(self, group: str) -> bytes:
         """The first of the list, as many as that group is told."""
@@ -298,7 +298,7 @@
         self.counts[f"{group} {kind}"] += 1
         self.counts[f"{group} {kind}_bytes"] += size
 
-    def _heard(self, group: str, line: Line, payload: Payload) -> None:
+    def _heard(self, group: str, line: Connection, payload: Payload) -> None:
         if b"watch=1" not in payload.target:
             data = self._list(group)
             self._count(group, "whole", len(data))
@@ -314,17 +314,17 @@
             if generation > since and self._told_to(group, data):
                 self._tell(group, "change", line, data)
 
-    def _tell(self, group: str, kind: str, line: Line, data: bytes) -> None:
+    def _tell(self, group: str, kind: str, line: Connection, data: bytes) -> None:
         framed = b"%x\r\n%b\n\r\n" % (len(data) + 1, data)
         self._count(group, kind, len(framed))
         line.send(framed)
 
     def _beat(self) -> None:
         for group, lines in self.watchers.items():
-            lines[:] = [line for line in lines if line.open]
+            lines[:] = [line for line in lines if line.is_open]
             for line in lines:
                 self._tell(group, "beat", line, b"")
-        self.loop.call_in(HEARTBEAT, self._beat)
+        self.loop.call_in(HEARTBEAT_SECONDS, self._beat)
 
     def _change(self, name: str, state: str) -> None:
         self.generation += 1
@@ -338,7 +338,7 @@
         self.changes.append((self.generation, data))
         for group, lines in self.watchers.items():
             for line in lines if self._told_to(group, data) else ():
-                if line.open:
+                if line.is_open:
                     self._tell(group, "change", line, data)
 
     def _told_to(self, group: str, data: bytes) -> bool:
@@ -375,11 +375,11 @@
 
     def __init__(self, role: Role, group: str, numbers: dict[bytes, tuple[float, float]], counts: Tally[str]) -> None:
         super().__init__(role.loop)
-        self.group, self.numbers, self.counts = group, numbers, counts
+        self.group, self.totals, self.counts = group, numbers, counts
 
-    def _feed(self, line: Line, data: bytes) -> None:
+    def _handle_data(self, line: Connection, data: bytes) -> None:
         self.counts[f"{self.group} asked_bytes"] += len(data)
-        super()._feed(line, data)
+        super()._handle_data(line, data)
 
     def _add(self, parts: list[bytes]) -> bytes:
         answer = super()._add(parts)
@@ -396,7 +396,7 @@
         self.parts = {group: Adds(self, group, numbers, self.counts) for group in told["groups"]}
 
     def ask_at(self) -> dict[str, str]:
-        return {group: part.listener.text for group, part in self.parts.items()}
+        return {group: part.listener.address_text for group, part in self.parts.items()}
 
     def ask_counts(self) -> dict[str, int]:
         return self.counts
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -31,7 +31,7 @@
 from brackenpulley.standins.clients import Load
 from brackenpulley.standins.hollow import Firm, Place, operator, toml
 from brackenpulley.standins.servers import Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 REGIONS, ZONES = 3, 12
 SIMS = 24  # that answer; discovery's many names share their addresses
@@ -166,7 +166,7 @@
             {
                 "seed": seed,
                 "listed": self.listed,
-                "at": [sim.listener.text for sim in self.sims],
+                "at": [sim.listener.address_text for sim in self.sims],
                 "groups": GROUPS,
                 "zones": [site(n) for n in range(ZONES)],
             },
@@ -269,9 +269,9 @@
             "name": place.name,
             "listen": listen,
             "counter": self.adds[group],
-            "discovery": self.alone.listener.text if kind == "bare" else self.lists[group],
+            "discovery": self.alone.listener.address_text if kind == "bare" else self.lists[group],
             "seed": f"{self.seed * 10000 + place.number:x}",
-            "settings": settings(self.total, place.number),
+            "settings": build_settings(self.total, place.number),
         }
 
     def _links(self, names: list[str], count: int) -> list[Child]:
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -47,7 +47,7 @@
 from brackenpulley.standins.clients import Firm, Load
 from brackenpulley.standins.links import Relays
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 OUT, ZONE, SETTLE = 2, 1, 1.0
 SLACK = 1.0  # s after the word
@@ -100,7 +100,7 @@
         """Its files; who seeds and who votes is known once all have their relays."""
         fleet = self.fleet
         self.folder.mkdir()
-        raw = settings(fleet.size, self.number)
+        raw = build_settings(fleet.size, self.number)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         (self.folder / "config.json").write_text(
@@ -108,8 +108,8 @@
                 {
                     "name": self.name,
                     "listen": f"{self.at[0]}:{self.at[1]}",
-                    "discovery": fleet.discovery.listener.text,
-                    "counter": fleet.counter.listener.text,
+                    "discovery": fleet.discovery.listener.address_text,
+                    "counter": fleet.counter.listener.address_text,
                     "settings": raw,
                 }
             )
@@ -211,8 +211,8 @@
         self.relays = Relays(self.loop, seed)
         self.servers = [SimServer(self.loop, f"s-{n}", random.Random(seed + n), mean) for n in range(machines)]
         self.discovery, self.counter = Discovery(self.loop, self.servers), Counter(self.loop)
-        rows = self.discovery._rows
-        self.discovery._rows = (
+        rows = self.discovery._list_instances
+        self.discovery._list_instances = (
             lambda servers: [  # type: ignore[method-assign]
                 {**row, "zone": ZONES[int(str(row["instanceId"])[2:]) % 3]} for row in rows(servers)
             ]
@@ -362,7 +362,9 @@
                     self.wrong.append(f"{server.name} got work while it was worked on")
                 row = self.jobs.get("h" + server.name[2:])
                 if row is not None and row["state"] in ("clearing", "clear", "at work"):
-                    sender = next((one.ingress for one in reversed(self.load.tries) if one.id == server.hearing), -1)
+                    sender = next(
+                        (one.ingress for one in reversed(self.load.tries) if one.id == server.current_message_id), -1
+                    )
                     since = self.words.get((row["id"], row["token"], sender), now)
                     self.arrived.append((server.name, row["id"], row["token"], since, now))
                 return "ok"
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -25,7 +25,7 @@
 from ..standins.billing import Billing
 from ..standins.clients import Firm, Load
 from ..standins.servers import Counter, Discovery, SimServer
-from ..standins.settings import PLANS, settings
+from ..standins.settings import PLANS, build_settings
 from .common import show
 
 FIRMS, SERVERS, PERIOD = 6, 3, 1.0
@@ -77,7 +77,7 @@
                     "path": f"{folder}/ledger",
                     "period_s": PERIOD,
                     "grace_s": 0.5,
-                    "export": {"url": f"http://{billing.listener.text}/use"},
+                    "export": {"url": f"http://{billing.listener.address_text}/use"},
                 },
             }
         )
@@ -85,9 +85,9 @@
             {
                 "name": "demo",
                 "listen": "127.0.0.1:0",
-                "discovery": discovery.listener.text,
-                "counter": counter.listener.text,
-                "settings": settings(),
+                "discovery": discovery.listener.address_text,
+                "counter": counter.listener.address_text,
+                "settings": build_settings(),
             },
             {},
             operator,
@@ -126,8 +126,8 @@
             faults.append("use that was not exported")
         counted = daemon.ledger.store.totals()
         faults += [fault for fault, _ in daemon.ledger.store.verify() if fault]
-        ran = [row for server in servers for row in server.ran]
-        verdict = audit.reconcile(ran, {}, counted, billing.units())
+        ran = [row for server in servers for row in server.received_relays]
+        verdict = audit.reconcile(ran, {}, counted, billing.sum_micro_units())
         faults += verdict.faults + audit.find_wrong_answer_counts(load.tries, set())
         over = audit.compute_excess(ran, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
         load.close()
--- a/brackenpulley/standins/__init__.py
+++ b/brackenpulley/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds an ingress: sim servers, discovery, the counter, billing and clients.
+"""Stand-ins for the parties around an ingress: sim servers, discovery, the counter, billing and clients.
 
-They speak the published protocols on loopback sockets and on any `net.loop.Loop`, keep a record of all that passed,
-and break on a script. The demo, the benchmarks and the tests run them; a daemon that serves never loads them."""
+They speak the published protocols on loopback sockets, run on any `net.loop.Loop`, record every exchange, and inject
+scripted faults. The demo, the benchmarks and the tests run them. A serving ingress never imports them."""
--- a/brackenpulley/standins/audit.py
+++ b/brackenpulley/standins/audit.py
@@ -13,7 +13,7 @@
 
 from ..plans.book import Book
 from .clients import Try
-from .servers import Ran
+from .servers import ReceivedRelay
 
 Key = tuple[int, str, int]  # firm, plan, revision
 MICRO_UNITS_PER_UNIT = 1_000_000
@@ -27,14 +27,14 @@
     units: int
 
 
-def compute_expected_charges(ran: Iterable[Ran]) -> dict[str, ExpectedCharge]:
+def compute_expected_charges(ran: Iterable[ReceivedRelay]) -> dict[str, ExpectedCharge]:
     """Return the expected charge of each message by message id, from the sim servers' records."""
     charges: dict[str, ExpectedCharge] = {}
     for row in sorted(ran, key=lambda row: row.at):
-        units = round((row.cost if row.said == "ok" else row.guess) * MICRO_UNITS_PER_UNIT)
+        units = round((row.cost if row.outcome == "ok" else row.estimate) * MICRO_UNITS_PER_UNIT)
         if row.id not in charges:
             charges[row.id] = ExpectedCharge((row.firm, row.plan, row.revision), units)
-        elif row.said == "ok":
+        elif row.outcome == "ok":
             charges[row.id].units = units
     return charges
 
@@ -56,7 +56,7 @@
 
 
 def reconcile(
-    ran: Iterable[Ran], killed: dict[str, set[str]], counted: dict[Key, int], billed: dict[Key, int]
+    ran: Iterable[ReceivedRelay], killed: dict[str, set[str]], counted: dict[Key, int], billed: dict[Key, int]
 ) -> Reconciliation:
     """Compare the units that ran with those that the ledgers counted and those that billing received.
 
@@ -107,14 +107,14 @@
 
 
 def compute_excess(
-    ran: Iterable[Ran], book: Book, requested_plans: dict[int, str], begin: float, end: float
+    ran: Iterable[ReceivedRelay], book: Book, requested_plans: dict[int, str], begin: float, end: float
 ) -> list[Excess]:
     """Replay each firm's token bucket over the sim servers' records from `begin` to `end`.
 
     A message admitted while the bucket lacks its units exceeds the allowance by the missing units. These count as
     excess once and are not taken from the bucket. The true cost settles together with the message, because the quota
     counts true costs in the end. `requested_plans` maps a firm to the plan that its clients send."""
-    firms: dict[int, list[Ran]] = {}
+    firms: dict[int, list[ReceivedRelay]] = {}
     seen: set[str] = set()
     rows = sorted(ran, key=lambda row: row.at)
     charges = compute_expected_charges(rows)
@@ -132,7 +132,7 @@
             at = max(at, row.at)
             figures = book.figures(book.plan_of(firm, row.at, requested_plans[firm])[0], row.at)
             burst = figures[1].burst if figures else 0.0
-            over = min(row.guess, max(0.0, debt + row.guess - burst))
+            over = min(row.estimate, max(0.0, debt + row.estimate - burst))
             result.over += over
             cost = charges[row.id].units / MICRO_UNITS_PER_UNIT
             result.used += cost
--- a/brackenpulley/standins/billing.py
+++ b/brackenpulley/standins/billing.py
@@ -1,4 +1,6 @@
-"""Billing: takes CloudEvents batches, drops ids that it has, and fails on a script."""
+"""Billing endpoint that accepts batches of CloudEvents, drops duplicate ids, and fails as its mode says.
+
+The ledger's export sends to it in the demo, in benchmarks and in tests, which check its records against what ran."""
 
 from __future__ import annotations
 
@@ -9,89 +11,98 @@
 from ..net.http import Payload
 from ..net.loop import Loop
 from ..net.requests import RequestError
-from .wire import Line, Listener, header
+from .wire import Connection, Listener, find_header
 
-LARGEST = 8 << 20
+MAX_BATCH_BYTES = 8 << 20
 
 
 class Billing:
-    """`mode`: takes, lost (takes and breaks before its answer), taken
-    silently (takes and never answers), part (takes the first half), 409 (says all is there),
-    413 (takes at most `room` events), 429, 500, silent. `had` counts how often each event came."""
+    """Receives batches and keeps each event once, by id. `mode` decides how it treats the next batch:
+
+    - takes: stores it and answers 204
+    - lost: stores it and resets the connection before it answers
+    - taken silently: stores it and never answers
+    - part: stores the first half and acknowledges that
+    - 409: answers that it has all of it already
+    - 413: refuses a batch of more than `max_events` events
+    - 429, 500: answers that status and stores nothing
+    - silent: stores nothing and never answers
+
+    `delivery_counts` counts how often each event arrived, and `answer_counts` the batches received in each mode."""
 
-    def __init__(self, loop: Loop, room: int = 10) -> None:
-        self.loop, self.mode, self.room = loop, "takes", room
+    def __init__(self, loop: Loop, max_events: int = 10) -> None:
+        self.loop, self.mode, self.max_events = loop, "takes", max_events
         self.events: dict[str, dict[str, Any]] = {}
-        self.had: Counter[str] = Counter()
-        self.answers: Counter[str] = Counter()
+        self.delivery_counts: Counter[str] = Counter()
+        self.answer_counts: Counter[str] = Counter()
         self.faults: list[str] = []
-        self.listener = Listener(loop, self._heard)
-        self.listener.feed = self._feed  # type: ignore[method-assign]
+        self.listener = Listener(loop, self._handle_request)
+        self.listener.feed = self._handle_data  # type: ignore[method-assign]
 
-    def _feed(self, line: Line, data: bytes) -> None:
-        """Batches are larger than what the ingress's own reader takes."""
-        line.data += data
-        head, end, body = line.data.partition(b"\r\n\r\n")
+    def _handle_data(self, connection: Connection, data: bytes) -> None:
+        # Batches are larger than what the ingress's own request reader accepts.
+        connection.received += data
+        head, end, body = connection.received.partition(b"\r\n\r\n")
         if not end:
             return
         size = next(
             (int(row.split(b":")[1]) for row in head.split(b"\r\n") if row.lower().startswith(b"content-length")), 0
         )
-        if size > LARGEST:
+        if size > MAX_BATCH_BYTES:
             raise RequestError(413)
         if len(body) >= size:
-            line.data = body[size:]
+            connection.received = body[size:]
             headers = [
                 (name.strip().lower(), value.strip())
                 for row in head.split(b"\r\n")[1:]
                 for name, _, value in [row.partition(b":")]
             ]
-            self._heard(line, Payload(b"POST", b"/use", headers, body[:size]))
+            self._handle_request(connection, Payload(b"POST", b"/use", headers, body[:size]))
 
-    def _heard(self, line: Line, payload: Payload) -> None:
-        self.answers[self.mode] += 1
+    def _handle_request(self, connection: Connection, payload: Payload) -> None:
+        self.answer_counts[self.mode] += 1
         if self.mode in ("429", "500"):
-            line.answer(int(self.mode), headers="Retry-After: 1\r\n" if self.mode == "429" else "")
+            connection.answer(int(self.mode), headers="Retry-After: 1\r\n" if self.mode == "429" else "")
             return
         if self.mode == "silent":
             return
-        if header(payload, b"content-type") != b"application/cloudevents-batch+json":
-            self.faults.append("content type")
-        told = json.loads(payload.body)
-        if self.mode == "413" and len(told) > self.room:
-            line.answer(413)
+        if find_header(payload, b"content-type") != b"application/cloudevents-batch+json":
+            self.faults.append("content type of a batch is not application/cloudevents-batch+json")
+        batch = json.loads(payload.body)
+        if self.mode == "413" and len(batch) > self.max_events:
+            connection.answer(413)
             return
-        taken = told[: max(1, len(told) // 2)] if self.mode == "part" else told
-        for event in taken:
-            self._take(event)
+        accepted = batch[: max(1, len(batch) // 2)] if self.mode == "part" else batch
+        for event in accepted:
+            self._store_event(event)
         if self.mode == "taken silently":
             return
         if self.mode == "lost":
-            line.reset()
+            connection.reset()
         elif self.mode == "part":
-            line.answer(200, json.dumps({"acked": taken[-1]["data"]["seq"]}).encode())
+            connection.answer(200, json.dumps({"acked": accepted[-1]["data"]["seq"]}).encode())
         elif self.mode == "409":
-            line.answer(409, json.dumps({"acked": told[-1]["data"]["seq"]}).encode())
+            connection.answer(409, json.dumps({"acked": batch[-1]["data"]["seq"]}).encode())
         else:
-            line.answer(204)
+            connection.answer(204)
 
-    def _take(self, event: dict[str, Any]) -> None:
-        ident = event["id"]
-        self.had[ident] += 1
-        if ident in self.events and self.events[ident] != event:
-            self.faults.append(f"{ident}: came again with other content")
-        self.events.setdefault(ident, event)
+    def _store_event(self, event: dict[str, Any]) -> None:
+        event_id = event["id"]
+        self.delivery_counts[event_id] += 1
+        if event_id in self.events and self.events[event_id] != event:
+            self.faults.append(f"{event_id}: received again with different content")
+        self.events.setdefault(event_id, event)
 
     def restore(self, until: int) -> None:
-        """Billing comes back from a backup that ends with this sequence number of each ingress."""
-        self.events = {ident: e for ident, e in self.events.items() if e["data"]["seq"] <= until}
+        """Restore from a backup that ends with sequence number `until` of each ingress: later events are lost."""
+        self.events = {event_id: event for event_id, event in self.events.items() if event["data"]["seq"] <= until}
 
-    def units(self) -> dict[tuple[int, str, int], int]:
-        """micro-units by firm, plan and plan revision."""
-        found: dict[tuple[int, str, int], int] = {}
+    def sum_micro_units(self) -> dict[tuple[int, str, int], int]:
+        """Return the billed micro-units by firm, plan and plan revision."""
+        totals: dict[tuple[int, str, int], int] = {}
         for event in self.events.values():
             data = event["data"]
-            whole, _, rest = data["units"].partition(".")
+            whole, _, fraction = data["units"].partition(".")
             key = (int(data["firm"], 16), data["plan"], data["planRevision"])
-            found[key] = found.get(key, 0) + int(whole) * 1_000_000 + int(rest)
-        return found
+            totals[key] = totals.get(key, 0) + int(whole) * 1_000_000 + int(fraction)
+        return totals
--- a/brackenpulley/standins/cold.py
+++ b/brackenpulley/standins/cold.py
@@ -1,4 +1,6 @@
-"""A sim server that starts cold and falls over where it is pushed, as the platform's wire page has it (rule 4)."""
+"""A sim server with a cold start that fails under overload, after rule 4 of the platform's wire specification.
+
+The fleet benchmark uses it to see whether ingresses ramp up the load of a new server slowly enough."""
 
 from __future__ import annotations
 
@@ -8,64 +10,79 @@
 from ..net.http import Payload
 from ..net.loop import Loop
 from .servers import SimServer
-from .wire import Line
+from .wire import Connection
 
 
 class ColdServer(SimServer):
-    """Does `full` attempts a second when warm and `cold_from` of that at its start, growing evenly over `cold` s.
-    Sent more than `multiple` times what it can do for `fall` s it falls over and stays down. Works on `cores` at a
-    time, so that what is too much waits; tells what it has in hand with each answer."""
+    """Sim server whose capacity grows linearly after its start, and which goes down when overloaded on the way.
+
+    It serves `warm_rate` relays a second when warm, and starts at the fraction `cold_from` of that for a warm-up of
+    `warm_up_s` seconds. During the warm-up it goes down, and stays down, once the arrivals of `overload_window_s`
+    seconds exceed `overload_multiple` times its capacity. Relays beyond its capacity wait in a queue, whose length it
+    reports with each answer unless `reports_load` is False."""
 
     def __init__(
         self,
         loop: Loop,
         name: str,
         rng: random.Random,
-        full: float,
+        warm_rate: float,
         cold_from: float,
-        cold: float,
-        multiple: float,
-        fall: float,
-        reports: bool = True,
+        warm_up_s: float,
+        overload_multiple: float,
+        overload_window_s: float,
+        reports_load: bool = True,
     ) -> None:
         super().__init__(loop, name, rng)
-        self.full, self.cold_from, self.cold = full, cold_from, cold
-        self.multiple, self.fall, self.reports = multiple, fall, reports
-        self.born = loop.clock() if cold else 0.0
-        self.down = False
-        self.worst = 0.0  # arrivals of any window over what fells it
-        self.arrivals: list[float] = []
+        self.warm_rate, self.cold_from, self.warm_up_s = warm_rate, cold_from, warm_up_s
+        self.overload_multiple = overload_multiple
+        self.overload_window_s = overload_window_s
+        self.reports_load = reports_load
+        self.started_at = loop.clock() if warm_up_s else 0.0
+        self.is_down = False
+        self.max_overload_ratio = 0.0  # highest ratio of a window's arrivals to those that take the server down
+        self.arrival_times: list[float] = []
         self._window: deque[float] = deque()
         self._free_at = 0.0
 
-    def can(self, at: float) -> float:
-        """Attempts a second at this instant."""
-        age = (at - self.born) / self.cold if self.cold and self.born else 1.0
-        return self.full * (self.cold_from + (1 - self.cold_from) * min(1.0, max(0.0, age)))
+    def compute_capacity(self, at: float) -> float:
+        """Return the capacity at the time `at`, in relays a second."""
+        progress = (at - self.started_at) / self.warm_up_s if self.warm_up_s and self.started_at else 1.0
+        return self.warm_rate * (self.cold_from + (1 - self.cold_from) * min(1.0, max(0.0, progress)))
 
     def start(self) -> None:
-        """A new process: cold again."""
-        self.born, self.down = self.loop.clock(), False
+        """Restart as a new process: up, and cold again."""
+        self.started_at, self.is_down = self.loop.clock(), False
         self._window.clear()
 
-    def _heard(self, line: Line, payload: Payload) -> None:
+    def _handle_request(self, connection: Connection, payload: Payload) -> None:
         now = self.loop.clock()
-        self.arrivals.append(now)
+        self.arrival_times.append(now)
         self._window.append(now)
-        while self._window[0] <= now - self.fall:
+        while self._window[0] <= now - self.overload_window_s:
             self._window.popleft()
-        if now < self.born + self.cold:  # a warm one has room enough, and no rule
-            part = len(self._window) / (self.multiple * self.can(now - self.fall / 2) * self.fall)
-            self.worst = max(self.worst, part)
-            self.down = self.down or part > 1 and len(self._window) > 1
-        if self.down:
-            line.reset()
+        if now < self.started_at + self.warm_up_s:  # the rule does not apply to a warm server, which has headroom
+            ratio = len(self._window) / (
+                self.overload_multiple
+                * self.compute_capacity(now - self.overload_window_s / 2)
+                * self.overload_window_s
+            )
+            self.max_overload_ratio = max(self.max_overload_ratio, ratio)
+            self.is_down = self.is_down or ratio > 1 and len(self._window) > 1
+        if self.is_down:
+            connection.reset()
             return
-        super()._heard(line, payload)
+        super()._handle_request(connection, payload)
 
-    def _done(self, line: Line, ident: str, cost: float, said: str) -> None:
-        """Its own time instead of the even one: a queue that is worked off at what it can do now."""
+    def _complete(self, connection: Connection, message_id: str, cost: float, outcome: str) -> None:
+        # Queues the relay behind those before it, and answers once the current capacity has worked it off.
         now = self.loop.clock()
-        self._free_at = max(now, self._free_at) + 1 / self.can(now)
-        report = f"X-Server-Load: TEXT busy_reqs={round((self._free_at - now) * self.can(now))}\r\n" * self.reports
-        self.loop.call_at(self._free_at, lambda: line.answer(200, ident.encode(), f"X-True-Cost: {cost:g}\r\n{report}"))
+        self._free_at = max(now, self._free_at) + 1 / self.compute_capacity(now)
+        load_header = (
+            f"X-Server-Load: TEXT busy_reqs={round((self._free_at - now) * self.compute_capacity(now))}\r\n"
+            * self.reports_load
+        )
+        self.loop.call_at(
+            self._free_at,
+            lambda: connection.answer(200, message_id.encode(), f"X-True-Cost: {cost:g}\r\n{load_header}"),
+        )
--- a/brackenpulley/standins/settings.py
+++ b/brackenpulley/standins/settings.py
@@ -1,4 +1,6 @@
-"""Settings for trials: three classes and two plans in the form of the platform's configuration. Figures of our own."""
+"""Settings with three classes and two plans, in the form of the platform's configuration.
+
+The demo, the benchmarks and the tests configure their ingresses with them."""
 
 from __future__ import annotations
 
@@ -10,12 +12,14 @@
 }
 
 
-def settings(gateways: int = 1, me: int = 0, counter: bool = True) -> dict[str, Any]:
-    def kind(name: str, give_up: float, worth: float, effect: str) -> dict[str, Any]:
+def build_settings(ingress_count: int = 1, ingress_number: int = 0, has_counter: bool = True) -> dict[str, Any]:
+    """Return the settings of ingress `ingress_number` out of `ingress_count`, with or without the quota counter."""
+
+    def build_class(name: str, deadline_s: float, worth: float, effect: str) -> dict[str, Any]:
         return {
             "Name": name,
             "Objective": 2.0,
-            "GiveUp": give_up,
+            "GiveUp": deadline_s,
             "Value": worth,
             "Idempotency": effect,
             "Group": "all",
@@ -23,14 +27,14 @@
         }
 
     return {
-        "NInstances": gateways,
-        "MyNumber": me,
+        "NInstances": ingress_count,
+        "MyNumber": ingress_number,
         "Zone": "hall-a",
         "Resolution": 0.001,
         "Classes": [
-            kind("load-sim", 4.0, 2.0, "free"),
-            kind("save-progress", 7.5, 2.0, "free"),
-            kind("submit-result", 7.5, 6.0, "guarded"),
+            build_class("load-sim", 4.0, 2.0, "free"),
+            build_class("save-progress", 7.5, 2.0, "free"),
+            build_class("submit-result", 7.5, 6.0, "guarded"),
         ],
         "TiersOfService": [{"Name": name, "Pays": 1.0, **figures} for name, figures in PLANS.items()],
         "Limits": {
@@ -42,6 +46,6 @@
             "ConnectTimeout": 0.25,
         },
         "Invariants": {"StopSendingWithin": 1.0, "ColdFrom": 0.2, "Cold": 10.0, "OverloadFactor": 2.5, "TipAfter": 3.0},
-        "Extra": {"MayCount": counter, "CountWait": 0.03, "Settles": True, "MostUnits": 8},
+        "Extra": {"MayCount": has_counter, "CountWait": 0.03, "Settles": True, "MostUnits": 8},
         "Report": {"Via": "silent", "Fields": []},
     }
--- a/brackenpulley/standins/wire.py
+++ b/brackenpulley/standins/wire.py
@@ -1,4 +1,6 @@
-"""A listener on the loop whose connections bring whole HTTP messages; answers may come later, or never."""
+"""A listener on the loop that reads whole HTTP requests and lets its owner answer at any later time, or never.
+
+The other stand-ins build on it. One that speaks another protocol replaces `Listener.feed`."""
 
 from __future__ import annotations
 
@@ -12,29 +14,29 @@
 from ..net.loop import READ, WRITE, Loop
 from ..net.requests import RequestError, RequestReader
 
-CHUNK = 1 << 18
-Heard = Callable[["Line", Payload], None]
+RECEIVE_CHUNK_BYTES = 1 << 18
+RequestCallback = Callable[["Connection", Payload], None]
 
 
-class Line:
-    """One accepted connection. `feed` of the server sees its bytes; `send` may be called at any later time."""
+class Connection:
+    """One accepted connection. Received bytes go to the listener's `feed`; `send` may be called at any later time."""
 
-    def __init__(self, server: Listener, sock: socket.socket) -> None:
-        self.server, self.sock = server, sock
-        self.reader = RequestReader(server.shares, DEFAULT_MAX_BODY_BYTES)
-        self.data = b""  # for listeners that speak no HTTP
-        self.out: bytes | memoryview = b""
-        self.drained: Callable[[], None] | None = None  # called when all that was sent has gone
-        self.open = True
-        server.loop.register(sock, READ, self._event)
+    def __init__(self, listener: Listener, sock: socket.socket) -> None:
+        self.listener, self.sock = listener, sock
+        self.reader = RequestReader(listener.body_memory, DEFAULT_MAX_BODY_BYTES)
+        self.received = b""  # unparsed bytes, for listeners that do not speak HTTP
+        self.unsent: bytes | memoryview = b""
+        self.on_drained: Callable[[], None] | None = None  # called once when everything passed to `send` is written
+        self.is_open = True
+        listener.loop.register(sock, READ, self._handle_events)
 
-    def _event(self, events: int) -> None:
+    def _handle_events(self, events: int) -> None:
         if events & WRITE:
             self.send(b"")
-        if not events & READ or not self.open:
+        if not events & READ or not self.is_open:
             return
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(RECEIVE_CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -42,71 +44,77 @@
         if not data:
             self.close()
             return
-        self.server.feed(self, data)
+        self.listener.feed(self, data)
 
     def send(self, data: bytes) -> None:
-        if not self.open:
+        """Write `data`, and keep in `unsent` what the socket does not accept yet. Does nothing once closed."""
+        if not self.is_open:
             return
-        self.out = bytes(self.out) + data if self.out else data
+        self.unsent = bytes(self.unsent) + data if self.unsent else data
         try:
-            while self.out:
-                self.out = memoryview(self.out)[self.sock.send(self.out) :]
+            while self.unsent:
+                self.unsent = memoryview(self.unsent)[self.sock.send(self.unsent) :]
         except BlockingIOError:
             pass
         except OSError:
             self.close()
             return
-        self.server.loop.set_interest(self.sock, READ | WRITE if self.out else READ, self._event)
-        if not self.out and self.drained is not None:
-            call, self.drained = self.drained, None
-            self.server.loop.call_soon(call)
+        self.listener.loop.set_interest(self.sock, READ | WRITE if self.unsent else READ, self._handle_events)
+        if not self.unsent and self.on_drained is not None:
+            callback, self.on_drained = self.on_drained, None
+            self.listener.loop.call_soon(callback)
 
     def answer(self, status: int, body: bytes = b"", headers: str = "") -> None:
-        """`headers` as lines, each with its end."""
+        """Send an HTTP response. `headers` are extra header lines, each with its CRLF."""
         self.send(f"HTTP/1.1 {status} Answer\r\nContent-Length: {len(body)}\r\n{headers}\r\n".encode() + body)
 
     def reset(self) -> None:
-        """Break: the other side sees a reset where something of it is unread or unanswered."""
+        """Close so that the peer sees a connection reset."""
         sockets.reset_on_close(self.sock)
         self.close()
 
     def close(self) -> None:
-        if self.open:
-            self.open = False
-            self.server.loop.set_interest(self.sock, 0, self._event)
+        """Close the socket and remove the connection from its listener. May be called more than once."""
+        if self.is_open:
+            self.is_open = False
+            self.listener.loop.set_interest(self.sock, 0, self._handle_events)
             self.sock.close()
-            self.server.lines.discard(self)
+            self.listener.connections.discard(self)
 
 
 class Listener:
-    """Port 0 takes a free one; `at` is where it listens. `stop` and `listen` again make it go and come back."""
+    """A listening socket and its open connections.
+
+    Port 0 takes a free port, and `address` is where it listens. After `stop`, `listen` opens the same address again."""
 
     def __init__(
         self,
         loop: Loop,
-        heard: Heard | None = None,
+        on_request: RequestCallback | None = None,
         host: str = "127.0.0.1",
         port: int = 0,
-        shares: BodyMemory | None = None,
+        body_memory: BodyMemory | None = None,
     ) -> None:
-        """`shares`: for long bodies, which are heard of while they come."""
-        self.loop, self.heard, self.shares = loop, heard, shares
-        self.lines: set[Line] = set()
+        """With `body_memory`, a request with a long body is reported while its body still arrives."""
+        self.loop, self.on_request, self.body_memory = loop, on_request, body_memory
+        self.connections: set[Connection] = set()
         self.sock: socket.socket | None = None
-        self.at = (host, port)
+        self.address = (host, port)
         self.listen()
 
     def listen(self) -> None:
-        self.sock = sockets.listen(self.at, 256)
+        """Open the listening socket and accept connections."""
+        self.sock = sockets.listen(self.address, 256)
         host, port = self.sock.getsockname()[:2]
-        self.at = (host, port)
-        self.loop.register(self.sock, READ, self._acceptable)
+        self.address = (host, port)
+        self.loop.register(self.sock, READ, self._accept_connections)
 
     @property
-    def text(self) -> str:
-        return f"{self.at[0]}:{self.at[1]}"
+    def address_text(self) -> str:
+        """The address as `host:port`."""
+        return f"{self.address[0]}:{self.address[1]}"
 
-    def _acceptable(self, events: int) -> None:
+    def _accept_connections(self, events: int) -> None:
         for _ in range(64):
             if self.sock is None:
                 return
@@ -114,27 +122,29 @@
                 sock = sockets.accept(self.sock)
             except OSError:
                 return
-            self.lines.add(Line(self, sock))
+            self.connections.add(Connection(self, sock))
 
-    def feed(self, line: Line, data: bytes) -> None:
-        """HTTP; a stand-in with another protocol has its own."""
+    def feed(self, connection: Connection, data: bytes) -> None:
+        """Parse received bytes as HTTP and report each complete request. Malformed requests get an error answer."""
         try:
-            line.reader.feed(memoryview(data))
+            connection.reader.feed(memoryview(data))
         except RequestError as error:
-            line.answer(error.status, headers="Connection: close\r\n")
-            line.close()
+            connection.answer(error.status, headers="Connection: close\r\n")
+            connection.close()
             return
-        while line.reader.complete and line.open and self.heard is not None:
-            self.heard(line, line.reader.complete.popleft()[0])
+        while connection.reader.complete and connection.is_open and self.on_request is not None:
+            self.on_request(connection, connection.reader.complete.popleft()[0])
 
     def stop(self) -> None:
+        """Close the listening socket and all connections."""
         if self.sock is not None:
             self.loop.set_interest(self.sock, 0, lambda events: None)
             self.sock.close()
             self.sock = None
-        for line in list(self.lines):
-            line.close()
+        for connection in list(self.connections):
+            connection.close()
 
 
-def header(payload: Payload, name: bytes, default: Any = b"") -> Any:
+def find_header(payload: Payload, name: bytes, default: Any = b"") -> Any:
+    """Return the first value of the header `name` (in lower case), or `default` where it is absent."""
     return next((value for found, value in payload.headers if found == name), default)
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -299,7 +299,7 @@
     told = Control(f"unix:{one.folder}/run/1.sock")
     one.until(lambda s: told.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "the second one counts")
     here = int(one.clock() // 30)
-    assert {int(name) >> 33 for name in one.counter.numbers} <= {here - 2, here - 1, here}
+    assert {int(name) >> 33 for name in one.counter.totals} <= {here - 2, here - 1, here}
     one.load.stop()
 
 
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -248,12 +248,14 @@
     servers = [SimServer(outside, "s-0", random.Random(1))]
     discovery, counter, billing = Discovery(outside, servers), Counter(outside), Billing(outside)
     told = (
-        f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.text}/use"\n'
+        f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.address_text}/use"\n'
         "batch = 10\ntimeout_s = 30.0\n"
     )
 
     def start() -> Process:
-        return Process(tmp_path, "n0", free_ports(1)[0], discovery.listener.text, counter.listener.text, told)
+        return Process(
+            tmp_path, "n0", free_ports(1)[0], discovery.listener.address_text, counter.listener.address_text, told
+        )
 
     def until(done: Any) -> None:
         end = time.monotonic() + 20
@@ -270,11 +272,13 @@
     billing.mode = "takes"
     second = start()
     until(lambda: len(billing.events) == 24)
-    until(lambda: billing.answers["takes"] >= 3)
+    until(lambda: billing.answer_counts["takes"] >= 3)
     second.process.terminate()
     until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
-    assert {billing.had[ident] for ident in before} == {2} and sum(billing.units().values()) == t.heads.counted
+    assert {billing.delivery_counts[ident] for ident in before} == {2} and sum(
+        billing.sum_micro_units().values()
+    ) == t.heads.counted
     last = Store(str(tmp_path / "ledger"))
     assert last.heads().acked == 24 and faults(last) == []
     last.end()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -30,7 +30,7 @@
     servers = [SimServer(loop, f"s-{n}", random.Random(seed + n), mean) for n in range(4)]
     discovery, counter = Discovery(loop, servers), Counter(loop)
     port = free_ports(1)[0]
-    daemon = Process(tmp_path, "n0", port, discovery.listener.text, counter.listener.text, "")
+    daemon = Process(tmp_path, "n0", port, discovery.listener.address_text, counter.listener.address_text, "")
     firm = Firm(1, "county", 0.0, 1, 0)
     load = Load(loop, [("127.0.0.1", port)], [firm], random.Random(seed))
 
@@ -72,5 +72,5 @@
     assert sum(attempt.sent > sigterm_at for attempt in answered) >= KEPT_CONNECTIONS / 2  # clients did go on sending
     unanswered = [attempt for attempt in load.tries if not attempt.status]
     assert len(unanswered) <= KEPT_CONNECTIONS and not {attempt.id for attempt in unanswered} & {
-        ran.id for server in servers for ran in server.ran
+        ran.id for server in servers for ran in server.received_relays
     }
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,7 @@
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.hollow import PARTS, USUAL, Firm, Hollow, Place, operator, toml
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 PATIENCE = 15.0  # s until a test that waits in vain fails
 
@@ -46,9 +46,9 @@
         raw = {
             "name": name,
             "listen": "127.0.0.1:0",
-            "discovery": self.discovery.listener.text,
-            "counter": self.counter.listener.text,
-            "settings": settings(self.count, number),
+            "discovery": self.discovery.listener.address_text,
+            "counter": self.counter.listener.address_text,
+            "settings": build_settings(self.count, number),
         }
         tables = operator(place, ("members", "plans", "leases"))
         seeds = [one.daemon.members.service.protocol.address for one in self.there[:1]]
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -154,9 +154,9 @@
     from brackenpulley.net.loop import Loop
 
     outside = Loop(clock.time, Metrics(), None)
-    billing = Billing(outside, room=3)
+    billing = Billing(outside, max_events=3)
     billing.mode = modes[0]
-    with export_rig(tmp_path, billing.listener.text) as r:
+    with export_rig(tmp_path, billing.listener.address_text) as r:
         for mode in modes:
             sends = r.count("export_sends")
             billing.mode = mode
@@ -169,7 +169,7 @@
         billing.mode = "takes"
         r.run_until(lambda: billed(r, billing, 12))
         assert len(billing.events) == 12 and billing.faults == []
-        assert sum(billing.units().values()) == 12 * 1_500_000 and faults(r.daemon.ledger.store) == []
+        assert sum(billing.sum_micro_units().values()) == 12 * 1_500_000 and faults(r.daemon.ledger.store) == []
         # Billing is restored from a backup: what it lost goes again, under the ids that it had.
         before = dict(billing.events)
         billing.restore(7)
