--- a/benchmarks/configuration_processes.py
+++ b/benchmarks/configuration_processes.py
@@ -90,7 +90,7 @@
         )
 
     def served(self, which: int) -> int:
-        return sum(one.ingress == which and one.status == 200 for one in self.fleet.load.tries)
+        return sum(one.ingress == which and one.status == 200 for one in self.fleet.load.messages)
 
 
 def figures(rate: float) -> dict[str, Any]:
@@ -180,9 +180,9 @@
             KNOWN,
         )
         fleet.load.stop()
-        fleet.until(lambda: not fleet.load.out, 12.0)
+        fleet.until(lambda: not fleet.load.in_flight, 12.0)
         killed = {number for _, number in fleet.killed}
-        lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
+        lost = [one for one in fleet.load.messages if not one.status and one.is_written and one.ingress not in killed]
         if lost:
             trial.wrong.append(f"{len(lost)} messages lost at ingresses that were not killed")
         return {
@@ -194,8 +194,8 @@
                 for number in sorted(trial.marks)
                 if number
             },
-            "tries": len(fleet.load.tries),
-            "served": sum(one.status == 200 for one in fleet.load.tries),
+            "tries": len(fleet.load.messages),
+            "served": sum(one.status == 200 for one in fleet.load.messages),
             "wrong": trial.wrong + fleet.wrong,
         }
     finally:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -38,7 +38,7 @@
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.serve import wall_clock
-from brackenpulley.standins.clients import Firm, Load, Try
+from brackenpulley.standins.clients import Firm, Load, SentMessage
 from brackenpulley.standins.cold import ColdServer
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import build_settings
@@ -56,7 +56,7 @@
     def __init__(self, loop: Loop, load: Load) -> None:
         self.loop, self.load = loop, load
         self.up: set[int] = set()
-        self.load.down = set(range(len(load.ingresses)))
+        self.load.unavailable_ingresses = set(range(len(load.ingresses)))
         self.running = True
         self._look()
 
@@ -68,9 +68,9 @@
 
     def _heard(self, place: int, status: int) -> None:
         if status == 200:
-            self.load.down.discard(place)
+            self.load.unavailable_ingresses.discard(place)
         else:
-            self.load.down.add(place)
+            self.load.unavailable_ingresses.add(place)
 
 
 class Trial:
@@ -221,18 +221,18 @@
     def faults(self) -> list[str]:
         """Tries that a living instance took without exactly one answer."""
 
-        def lost(one: Try) -> bool:
+        def lost(one: SentMessage) -> bool:
             return any(
-                place == one.ingress and one.sent < until and one.ended >= since - 0.01
+                place == one.ingress and one.sent_at < until and one.ended_at >= since - 0.01
                 for place, since, until in self.killed
             )
 
         zero = self.marks[0][0]
         return [
-            f"try {one.id}: taken by instance {one.ingress} at {one.sent - zero:.2f} s, {one.answers} answers, "
-            f"ended at {one.ended - zero:.2f} s"
-            for one in self.load.tries
-            if one.taken and one.answers != 1 and not lost(one)
+            f"try {one.id}: taken by instance {one.ingress} at {one.sent_at - zero:.2f} s, {one.answer_count} answers, "
+            f"ended at {one.ended_at - zero:.2f} s"
+            for one in self.load.messages
+            if one.is_written and one.answer_count != 1 and not lost(one)
         ]
 
     def close(self) -> None:
@@ -340,7 +340,7 @@
             step(steps[6])
             made.load.stop()
             end = time.monotonic() + 15
-            while made.load.out and time.monotonic() < end:
+            while made.load.in_flight and time.monotonic() < end:
                 made.turn(0.05)
             made.warm()
             found["health"] = [r["health"] for r in made.status()["places"]][:3]
@@ -348,7 +348,7 @@
             found["exit"] = made.supervisor.wait(30)
             found["orphans"] = len(search(made.folder / "run"))
         faults = made.faults()
-        faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.tries)] if n]
+        faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.messages)] if n]
         faults += [f"cold server, {c['what']}: {c['worst']:.2f} of what it bears" for c in made.colds if c["fell"]]
         for name, wanted in (
             ("rolled", instances),
@@ -359,7 +359,7 @@
         ):
             if found[name] != wanted:
                 faults.append(f"{name}: {found[name]}, not {wanted}")
-        statuses = [one.status for one in made.load.tries]
+        statuses = [one.status for one in made.load.messages]
         found = {
             "instances": instances,
             **{k: round(v, 2) if isinstance(v, float) else v for k, v in found.items()},
@@ -369,7 +369,7 @@
             "failed": statuses.count(502),
             "misread": statuses.count(400),
             "unanswered": statuses.count(0),
-            "takenUnanswered": sum(t.taken and not t.answers for t in made.load.tries),
+            "takenUnanswered": sum(t.is_written and not t.answer_count for t in made.load.messages),
             "cold": [{k: v for k, v in c.items() if k not in ("seen", "at")} for c in made.colds],
             "faults": faults,
         }
@@ -408,7 +408,7 @@
         made.load.firms = [Firm(n + 1, "county", load / instances, 1, n) for n in range(instances)]
         made.load.start()
         if believes:
-            made.load.numbers = believes
+            made.load.ingress_count = believes
             base = Base.read(spec_of(str(made.file)))
             (made.folder / "run").mkdir()
             with open(made.folder / "log", "ab") as log:
@@ -432,7 +432,7 @@
             made.run()
         made.chill("start")
         end = time.monotonic() + 30
-        while len(made.front.load.down) > 1.02 * instances and time.monotonic() < end:
+        while len(made.front.load.unavailable_ingresses) > 1.02 * instances and time.monotonic() < end:
             made.turn(0.05)
         for number in range(starts):
             made.chill(f"start {number + 1}")
@@ -446,10 +446,10 @@
             "worst": found,
             "fell": sum(c["fell"] for c in made.colds),
             "arrivals": [c["arrivals"] for c in made.colds[1:]],
-            "served": sum(t.status == 200 for t in made.load.tries),
-            "refused": sum(t.status in (429, 503) for t in made.load.tries),
-            "failed": sum(t.status == 502 for t in made.load.tries),
-            "tries": len(made.load.tries),
+            "served": sum(t.status == 200 for t in made.load.messages),
+            "refused": sum(t.status in (429, 503) for t in made.load.messages),
+            "failed": sum(t.status == 502 for t in made.load.messages),
+            "tries": len(made.load.messages),
         }
     finally:
         for process in processes:
@@ -477,9 +477,9 @@
         ("no answer", (0,), "tab:red"),
     ):
         counts = [0] * (seconds + 20)
-        for one in made.load.tries:
+        for one in made.load.messages:
             if one.status in wanted:
-                counts[min(seconds + 19, int(one.ended - zero))] += 1
+                counts[min(seconds + 19, int(one.ended_at - zero))] += 1
         middle.plot(counts[:seconds], label=name, color=colour)
     middle.set_ylabel("tries ended a second")
     middle.legend(loc="upper left")
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -121,20 +121,20 @@
         for turn in range(int(2 * seconds)):
             which = turn % 2
             load, daemon = loads[which], daemons[which]
-            before, count = daemon.cpu(), len(load.tries)
+            before, count = daemon.cpu(), len(load.messages)
             load.start()
             end = time.monotonic() + 1.0
             while time.monotonic() < end:
                 loop.run_once(0.01)
             load.stop()
-            while load.out:
+            while load.in_flight:
                 loop.run_once(0.01)
             if turn >= 2:  # the first turn of each warms up
                 used[which] += daemon.cpu() - before
-                taken[which] += len(load.tries) - count
+                taken[which] += len(load.messages) - count
             progress.update(task, advance=1)
         grown = [d.resident_kb() - kb for d, kb in zip(daemons, memory, strict=True)]
-        served = [sum(one.status == 200 for one in load.tries) for load in loads]
+        served = [sum(one.status == 200 for one in load.messages) for load in loads]
         for daemon in daemons:
             daemon.process.terminate()
         while any(daemon.process.poll() is None for daemon in daemons):
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -195,7 +195,7 @@
             progress.update(task, completed=now - begin)
         self.load.stop()
         end = self.clock()
-        self.turn_until(lambda: self.load.out == 0, 15, "the last answers")
+        self.turn_until(lambda: self.load.in_flight == 0, 15, "the last answers")
         self.rough = False
         self.billing.mode = "takes"
         self.counter.set_mode("answers")
@@ -268,7 +268,7 @@
                 self._tell(one)
 
     def _tell(self, one: Ingress) -> None:
-        if one.process is None or one.number in self.load.down:
+        if one.process is None or one.number in self.load.unavailable_ingresses:
             return
         try:
             one.catch_up(self.changes)
@@ -278,10 +278,10 @@
     def _kill(self, number: int) -> None:
         one = self.ingresses[number]
         assert one.process is not None
-        out = {t.id for t in self.load.tries if t.ingress == number and not t.ended}
+        out = {t.id for t in self.load.messages if t.ingress == number and not t.ended_at}
         one.process.send_signal(signal.SIGKILL)
         one.process.wait()
-        self.load.down.add(number)
+        self.load.unavailable_ingresses.add(number)
         self.down_once.add(number)
         store = Store(str(one.folder / "ledger"))
         counted = set(store.last_turn())
@@ -290,7 +290,7 @@
         self.loop.call_in(0.5, lambda: self._after_kill(number, out, counted))
 
     def _after_kill(self, number: int, out: set[str], counted: set[str]) -> None:
-        unanswered = {t.id for t in self.load.tries if t.id in out and t.status == 0}
+        unanswered = {t.id for t in self.load.messages if t.id in out and t.status == 0}
         self.killed[f"n{number}"] = unanswered - counted
 
     def _restart(self, number: int) -> None:
@@ -300,7 +300,7 @@
         def ready() -> None:
             if one.up():
                 one.catch_up(self.changes)
-                self.load.down.discard(number)
+                self.load.unavailable_ingresses.discard(number)
             else:
                 self.loop.call_in(0.1, ready)
 
@@ -335,7 +335,7 @@
         ran = [row for server in self.servers for row in server.received_relays]
         verdict = audit.reconcile(ran, self.killed, counted, self.billing.sum_micro_units())
         faults += verdict.faults + self.billing.faults
-        faults += audit.find_wrong_answer_counts(self.load.tries, self.down_once)
+        faults += audit.find_wrong_answer_counts(self.load.messages, self.down_once)
         over = audit.compute_excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
         faults += [
             f"firm {one.firm:016x}: {one.over:.1f} units over an allowance of {one.allowed:.0f}"
@@ -344,12 +344,12 @@
         ]
         if self.plot:
             self._draw(ran, book, begin, end)
-        statuses_now = [t.status for t in self.load.tries]
+        statuses_now = [t.status for t in self.load.messages]
         return {
             "seconds": round(end - begin, 1),
             "exact": self.exact,
             "changes": len(self.changes),
-            "tries": len(self.load.tries),
+            "tries": len(self.load.messages),
             "served": statuses_now.count(200),
             "refused": statuses_now.count(429) + statuses_now.count(503),
             "unanswered": statuses_now.count(0),
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -68,7 +68,7 @@
         fleet.wave = set(wave)  # type: ignore[attr-defined]
         for one in ones:
             one.call("POST", "/v1/drain", None, lambda status, body: None, 2.0)
-            fleet.load.down.add(one.number)
+            fleet.load.unavailable_ingresses.add(one.number)
         fleet.turn(0.3)
         for one in ones:
             if one.process is not None and one.process.poll() is None:
@@ -108,7 +108,7 @@
             if one.process is not None and one.process.poll() is None and ready(fleet, one) and not rolled:
                 if what == "kill":
                     one.kill()
-                    fleet.load.down.add(one.number)
+                    fleet.load.unavailable_ingresses.add(one.number)
                     fleet.loop.call_in(1.0, one.start)
                 else:
                     one.signal(signal.SIGSTOP)
@@ -131,7 +131,7 @@
 
     def share(since: int) -> float:
         """Served, of the tries that ended since."""
-        ended = [one for one in fleet.load.tries[since:] if one.ended]
+        ended = [one for one in fleet.load.messages[since:] if one.ended_at]
         return sum(one.status == 200 for one in ended) / max(1, len(ended))
 
     try:
@@ -143,7 +143,7 @@
         fleet.front()
         fleet.load.start()
         fleet.turn(2.0)
-        since = len(fleet.load.tries)
+        since = len(fleet.load.messages)
         fleet.turn(calm)
         served = share(since)
         rules = Rules(at_once, at_once, 2, size)
@@ -154,7 +154,7 @@
             if number:
                 fleet.rolling = True  # type: ignore[attr-defined]
                 faults(fleet, rng, 60.0)
-            since = len(fleet.load.tries)
+            since = len(fleet.load.messages)
             took.append(roll(fleet, found, wrong))
             fleet.rolling = False  # type: ignore[attr-defined]
             shares.append(share(since))
@@ -164,9 +164,9 @@
             fleet.turn(1.0)
         alone = roll(fleet, [[0]], wrong) * size if rolls else 0.0
         fleet.load.stop()
-        fleet.until(lambda: not fleet.load.out, 12.0)
+        fleet.until(lambda: not fleet.load.in_flight, 12.0)
         killed = {number for _, number in fleet.killed}
-        lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
+        lost = [one for one in fleet.load.messages if not one.status and one.is_written and one.ingress not in killed]
         if lost:
             wrong.append(f"{len(lost)} messages lost at ingresses that were not killed")
         if beyond := sum(one.beyond for one in bounded):
@@ -188,7 +188,7 @@
             "mostAtAServer": [one.most for one in bounded],
             "beyond": sum(one.beyond for one in bounded),
             "killed": len(fleet.killed),
-            "tries": len(fleet.load.tries),
+            "tries": len(fleet.load.messages),
             "lost": len(lost),
             "wrong": wrong,
         }
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -115,8 +115,8 @@
         for host in world.hosts:
             host.ask("traffic", on=False)
         world.load.stop()
-        self.step("clients", lambda: world.until(lambda: not world.load.out, 12.0, "clients have their answers"))
-        tries = world.load.tries
+        self.step("clients", lambda: world.until(lambda: not world.load.in_flight, 12.0, "clients have their answers"))
+        tries = world.load.messages
         served = sum(one.status == 200 for one in tries)
         return {
             "hollow": told.hollow,
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -211,7 +211,7 @@
             ],
             self.rng,
         )
-        self.load.numbers = self.total
+        self.load.ingress_count = self.total
 
     # Where all stand.
 
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -363,7 +363,7 @@
                 row = self.jobs.get("h" + server.name[2:])
                 if row is not None and row["state"] in ("clearing", "clear", "at work"):
                     sender = next(
-                        (one.ingress for one in reversed(self.load.tries) if one.id == server.current_message_id), -1
+                        (one.ingress for one in reversed(self.load.messages) if one.id == server.current_message_id), -1
                     )
                     since = self.words.get((row["id"], row["token"], sender), now)
                     self.arrived.append((server.name, row["id"], row["token"], since, now))
@@ -410,7 +410,7 @@
                 if one.name == self.leader:
                     self._leader_died = time.monotonic()
                 one.kill()
-                self.load.down.add(one.number)
+                self.load.unavailable_ingresses.add(one.number)
             elif line.what == "start":
                 one.start(words[1])
             elif line.what in ("stop", "go"):
@@ -444,7 +444,7 @@
         """As the platform's: it admits an ingress that says it is ready, and notices a dead one late."""
         for one in self.processes:
             ready = bool(one.status.get("ready")) and one.process is not None and one.process.poll() is None
-            (self.load.down.discard if ready else self.load.down.add)(one.number)
+            (self.load.unavailable_ingresses.discard if ready else self.load.unavailable_ingresses.add)(one.number)
         if self.going:
             self.loop.call_in(0.2, self.front)
 
@@ -485,7 +485,7 @@
     fleet.ask("/v1/work/ingress/begin", token(), lambda: state() != "clear")
     fleet.until(lambda: state() == "at work", 5.0)
     assert one.process is not None
-    before = sum(try_.ingress == place for try_ in fleet.load.tries if try_.status == 200)
+    before = sum(try_.ingress == place for try_ in fleet.load.messages if try_.status == 200)
     one.process.terminate()
     if not fleet.until(lambda: one.process is not None and one.process.poll() is not None, 15.0):
         fleet.wrong.append("the ingress has not ended 15 s after SIGTERM")
@@ -499,7 +499,7 @@
     fleet.ask("/v1/work/ingress/finish", token(), lambda: state() != "at work")
     if not fleet.until(lambda: state() == "done", 20.0):
         fleet.wrong.append(f"the ingress is not back: {fleet.jobs['ingress']}")
-    fleet.until(lambda: sum(try_.ingress == place for try_ in fleet.load.tries if try_.status == 200) > before, 5.0)
+    fleet.until(lambda: sum(try_.ingress == place for try_ in fleet.load.messages if try_.status == 200) > before, 5.0)
     return time.monotonic() - begin
 
 
@@ -548,20 +548,22 @@
         finished = time.monotonic() - calm
         ingress = ingress_goes(fleet, size - 1) if not wrong else 0.0
         fleet.load.stop()
-        fleet.until(lambda: not fleet.load.out, 12.0)
+        fleet.until(lambda: not fleet.load.in_flight, 12.0)
         # A process that is killed takes what it had in hand with it, and what came to it until the front saw that.
         excused = [(when - 8.0 - begin, number) for when, number in fleet.killed]
         lost = [
             one
-            for one in fleet.load.tries
-            if not one.status and one.taken and not any(number == one.ingress for _, number in excused)
+            for one in fleet.load.messages
+            if not one.status and one.is_written and not any(number == one.ingress for _, number in excused)
         ]
         # Nobody answers a client that has left before its message could be read: see ANSWERED.
         left = [
             one
             for one in lost
             if running(
-                one.sent - fleet.offset, one.ended - fleet.offset, [*fleet.still, *fleet.processes[one.ingress].still]
+                one.sent_at - fleet.offset,
+                one.ended_at - fleet.offset,
+                [*fleet.still, *fleet.processes[one.ingress].still],
             )
             < ANSWERED
         ]
@@ -585,9 +587,9 @@
             "killed": len(fleet.killed),
             "grantsAfterDeathS": grants,
             "latestWorkS": round(max(afters.values(), default=0.0), 2),
-            "tries": len(fleet.load.tries),
+            "tries": len(fleet.load.messages),
             "leftWhileStopped": len(left),
-            "served": sum(one.status == 200 for one in fleet.load.tries),
+            "served": sum(one.status == 200 for one in fleet.load.messages),
             "relayed": fleet.relays.passed,
             "relaysLost": fleet.relays.lost,
             "wrong": wrong,
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -116,11 +116,11 @@
         change = Change(1, "move", at=clock(), since=clock(), plan="county", firm=moved)
         if (status := _post(f"{folder}/control.sock", "/v1/changes", msgspec.json.encode(change), turn_until)) != 201:
             faults.append(f"the control API answered {status} to the change of plan")
-        middle = len(load.tries)
+        middle = len(load.messages)
         turn_until(lambda: clock() >= begin + seconds, seconds + 5)
         load.stop()
         end = clock()
-        if not turn_until(lambda: load.out == 0, 10):
+        if not turn_until(lambda: load.in_flight == 0, 10):
             faults.append("messages without an answer")
         if not turn_until(lambda: daemon.ledger.status()["openSums"] + daemon.ledger.status()["backlog"] == 0, 15):
             faults.append("use that was not exported")
@@ -128,7 +128,7 @@
         faults += [fault for fault, _ in daemon.ledger.store.verify() if fault]
         ran = [row for server in servers for row in server.received_relays]
         verdict = audit.reconcile(ran, {}, counted, billing.sum_micro_units())
-        faults += verdict.faults + audit.find_wrong_answer_counts(load.tries, set())
+        faults += verdict.faults + audit.find_wrong_answer_counts(load.messages, set())
         over = audit.compute_excess(ran, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
         load.close()
         daemon.close()
@@ -144,12 +144,12 @@
 
     summary = {
         "seconds": round(end - begin, 1),
-        "tries": len(load.tries),
-        "served": sum(one.status == 200 for one in load.tries),
-        "refused": sum(one.status in (429, 503) for one in load.tries),
+        "tries": len(load.messages),
+        "served": sum(one.status == 200 for one in load.messages),
+        "refused": sum(one.status in (429, 503) for one in load.messages),
         "firmMoved": moved,
-        "servedOnSchool": part(load.tries[:middle]),
-        "servedOnCounty": part(load.tries[middle:]),
+        "servedOnSchool": part(load.messages[:middle]),
+        "servedOnCounty": part(load.messages[middle:]),
         "ranUnits": verdict.ran / audit.MICRO_UNITS_PER_UNIT,
         "countedUnits": verdict.counted / audit.MICRO_UNITS_PER_UNIT,
         "exportedUnits": verdict.billed / audit.MICRO_UNITS_PER_UNIT,
--- a/brackenpulley/standins/audit.py
+++ b/brackenpulley/standins/audit.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ..plans.book import Book
-from .clients import Try
+from .clients import SentMessage
 from .servers import ReceivedRelay
 
 Key = tuple[int, str, int]  # firm, plan, revision
@@ -82,12 +82,12 @@
     return result
 
 
-def find_wrong_answer_counts(messages: Iterable[Try], down: set[int]) -> list[str]:
+def find_wrong_answer_counts(messages: Iterable[SentMessage], down: set[int]) -> list[str]:
     """Describe each message that an ingress took and did not answer exactly once, without the ingresses in `down`."""
     return [
-        f"message {message.id}: taken by ingress {message.ingress}, {message.answers} answers"
+        f"message {message.id}: taken by ingress {message.ingress}, {message.answer_count} answers"
         for message in messages
-        if message.taken and message.answers != 1 and message.ingress not in down
+        if message.is_written and message.answer_count != 1 and message.ingress not in down
     ]
 
 
--- a/brackenpulley/standins/clients.py
+++ b/brackenpulley/standins/clients.py
@@ -1,4 +1,6 @@
-"""Clients: an open-loop load from many firms over kept connections, with a record of what each try got."""
+"""Clients: an open-loop load from many firms over keep-alive connections, with a record of each message's answer.
+
+The demo, the benchmarks and the tests drive real ingresses with it."""
 
 from __future__ import annotations
 
@@ -13,57 +15,61 @@
 from ..net import sockets
 from ..net.loop import READ, WRITE, Loop, Timer
 
+# Class name, HTTP method and timeout in milliseconds; messages go through them in turn.
 CLASSES = (("load-sim", "GET", 4000), ("save-progress", "POST", 7500), ("submit-result", "POST", 7500))
 
 
 @dataclass(slots=True)
 class Firm:
+    """A firm whose clients send messages to `spread` ingresses, from number `first` on."""
+
     key: int
     plan: str
-    rate: float  # tries a second
+    rate: float  # messages a second, over all its ingresses
     spread: int
     first: int
 
 
 @dataclass(slots=True)
-class Try:
-    """`status` 0: no answer (the connection ended, or its time was over)."""
+class SentMessage:
+    """One message and its end. `status` 0 means no answer: the connection ended or the timeout passed."""
 
     id: str
     firm: int
-    guess: int
+    estimate: int  # units
     ingress: int
-    sent: float
+    sent_at: float
     status: int = 0
-    ended: float = 0.0
-    taken: bool = False  # written whole to a connection that was up
-    answers: int = 0
+    ended_at: float = 0.0
+    is_written: bool = False  # whole, to an established connection
+    answer_count: int = 0
 
 
 class Client:
-    """A connection to one ingress; one try at a time."""
+    """A connection to one ingress that carries one message at a time."""
 
     def __init__(self, load: Load, ingress: int, sock: socket.socket) -> None:
         self.load, self.ingress, self.sock = load, ingress, sock
         self.parser = httptools.HttpResponseParser(self)
-        self.one: Try | None = None
-        self.out = b""
-        self.up = False
+        self.message: SentMessage | None = None
+        self.unsent = b""
+        self.is_connected = False
         self.timer: Timer | None = None
-        load.loop.register(sock, WRITE, self._event)
+        load.loop.register(sock, WRITE, self._handle_events)
 
-    def ask(self, one: Try, data: bytes, wait: float) -> None:
-        self.one, self.out = one, data
-        self.timer = self.load.loop.call_in(wait, self._late)
-        if self.up:
+    def send(self, message: SentMessage, data: bytes, timeout_s: float) -> None:
+        """Send the encoded request `data` of `message`, and close the connection if no answer comes in time."""
+        self.message, self.unsent = message, data
+        self.timer = self.load.loop.call_in(timeout_s, self._expire)
+        if self.is_connected:
             self._write()
 
-    def _event(self, events: int) -> None:
-        if not self.up:
+    def _handle_events(self, events: int) -> None:
+        if not self.is_connected:
             if sockets.connect_error(self.sock):
                 self.close()
                 return
-            self.up = True
+            self.is_connected = True
         if events & READ:
             try:
                 data = self.sock.recv(1 << 16)
@@ -79,107 +85,111 @@
             except httptools.HttpParserError:
                 self.close()
                 return
-        if self.sock.fileno() >= 0 and self.out:
+        if self.sock.fileno() >= 0 and self.unsent:
             self._write()
         elif self.sock.fileno() >= 0:
-            self.load.loop.set_interest(self.sock, READ, self._event)
+            self.load.loop.set_interest(self.sock, READ, self._handle_events)
 
     def _write(self) -> None:
         try:
-            self.out = self.out[self.sock.send(self.out) :]
+            self.unsent = self.unsent[self.sock.send(self.unsent) :]
         except BlockingIOError:
             pass
         except OSError:
             self.close()
             return
-        if not self.out and self.one is not None:
-            self.one.taken = True
-        self.load.loop.set_interest(self.sock, READ | WRITE if self.out else READ, self._event)
+        if not self.unsent and self.message is not None:
+            self.message.is_written = True
+        self.load.loop.set_interest(self.sock, READ | WRITE if self.unsent else READ, self._handle_events)
 
     def on_message_complete(self) -> None:
-        one, self.one = self.one, None
+        """Record the answer, and keep the connection if the ingress does. Called by the response parser."""
+        message, self.message = self.message, None
         if self.timer is not None:
             self.timer.cancel()
-        if one is not None:
-            self.load.ended(one, self.parser.get_status_code())
+        if message is not None:
+            self.load.record_end(message, self.parser.get_status_code())
         if self.parser.should_keep_alive():
-            self.load.idle.setdefault(self.ingress, []).append(self)
+            self.load.idle_clients.setdefault(self.ingress, []).append(self)
             self.parser = httptools.HttpResponseParser(self)
         else:
             self.load.loop.call_soon(self.close)
 
-    def _late(self) -> None:
+    def _expire(self) -> None:
         self.close()
 
     def close(self) -> None:
+        """Close the connection; a message in flight ends without an answer. May be called more than once."""
         if self.sock.fileno() < 0:
             return
-        self.load.loop.set_interest(self.sock, 0, self._event)
+        self.load.loop.set_interest(self.sock, 0, self._handle_events)
         self.sock.close()
-        idle = self.load.idle.get(self.ingress, [])
+        idle = self.load.idle_clients.get(self.ingress, [])
         if self in idle:
             idle.remove(self)
         if self.timer is not None:
             self.timer.cancel()
-        if (one := self.one) is not None:
-            self.one = None
-            self.load.ended(one, 0)
+        if (message := self.message) is not None:
+            self.message = None
+            self.load.record_end(message, 0)
 
 
 class Load:
-    """Poisson arrivals of each firm, over the ingresses of its set, the first of them twice as often."""
+    """Open-loop load: Poisson arrivals of each firm, spread over its ingresses, the first of them twice as likely."""
 
     def __init__(self, loop: Loop, ingresses: list[Address], firms: list[Firm], rng: random.Random) -> None:
         self.loop, self.ingresses, self.firms, self.rng = loop, ingresses, firms, rng
-        self.tries: list[Try] = []
-        self.idle: dict[int, list[Client]] = {}
-        self.out = 0
-        self.numbers = len(ingresses)  # over which the ingresses number a firm's set
-        self.running = False
-        self.down: set[int] = set()  # ingresses that the front knows to be away
-        self.heard: Callable[[Try], None] = lambda one: None
+        self.messages: list[SentMessage] = []
+        self.idle_clients: dict[int, list[Client]] = {}  # keep-alive connections by ingress
+        self.in_flight = 0
+        self.ingress_count = len(ingresses)  # that the ingresses are configured with, for the X-Weight header
+        self.is_running = False
+        self.unavailable_ingresses: set[int] = set()  # as the load balancer in front of the ingresses knows them
+        self.on_end: Callable[[SentMessage], None] = lambda message: None
         self._serial = rng.getrandbits(40) << 20
 
     def start(self) -> None:
-        self.running = True
+        """Start the arrivals of all firms."""
+        self.is_running = True
         for firm in self.firms:
-            self._next(firm)
+            self._schedule_next(firm)
 
-    def _next(self, firm: Firm) -> None:
-        if self.running and firm.rate > 0:
+    def _schedule_next(self, firm: Firm) -> None:
+        if self.is_running and firm.rate > 0:
             self.loop.call_in(self.rng.expovariate(firm.rate), lambda: self._arrive(firm))
 
     def _arrive(self, firm: Firm) -> None:
-        self._next(firm)
-        if self.running:
-            self.ask(firm)
-
-    def ask(self, firm: Firm) -> None:
-        places = [(firm.first + n) % len(self.ingresses) for n in range(firm.spread)]
-        places = [place for place in [*places, places[0]] if place not in self.down] or places
+        self._schedule_next(firm)
+        if self.is_running:
+            self.send_message(firm)
+
+    def send_message(self, firm: Firm) -> None:
+        """Send one message of the firm to one of its available ingresses, or to any of them if none is available."""
+        numbers = [(firm.first + n) % len(self.ingresses) for n in range(firm.spread)]
+        numbers = [number for number in [*numbers, numbers[0]] if number not in self.unavailable_ingresses] or numbers
         self._serial += 1
-        name, method, wait = CLASSES[self._serial % 3]
-        guess = self.rng.choice((1, 1, 1, 2, 2, 3))
-        one = Try(f"{self._serial:016x}", firm.key, guess, self.rng.choice(places), self.loop.clock())
-        self.tries.append(one)
-        self.out += 1
+        name, method, timeout_ms = CLASSES[self._serial % 3]
+        estimate = self.rng.choice((1, 1, 1, 2, 2, 3))
+        message = SentMessage(f"{self._serial:016x}", firm.key, estimate, self.rng.choice(numbers), self.loop.clock())
+        self.messages.append(message)
+        self.in_flight += 1
         body = b"state" if method == "POST" else b""
         data = (
-            f"{method} /{name}/{firm.key:016x} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {one.id}\r\n"
-            f"X-Priority-Class: {name}\r\nX-Tariff: {firm.plan}\r\nX-Timeout: {wait}m\r\n"
-            f"X-Weight: units={guess},spread={firm.spread},first={firm.first % self.numbers}\r\n"
+            f"{method} /{name}/{firm.key:016x} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {message.id}\r\n"
+            f"X-Priority-Class: {name}\r\nX-Tariff: {firm.plan}\r\nX-Timeout: {timeout_ms}m\r\n"
+            f"X-Weight: units={estimate},spread={firm.spread},first={firm.first % self.ingress_count}\r\n"
         )
         if body:
-            data += f"Idempotency-Key: {one.id}\r\nContent-Length: {len(body)}\r\n"
-        client = self._client(one.ingress)
+            data += f"Idempotency-Key: {message.id}\r\nContent-Length: {len(body)}\r\n"
+        client = self._get_client(message.ingress)
         if client is None:
-            self.ended(one, 0)
+            self.record_end(message, 0)
         else:
-            client.ask(one, data.encode() + b"\r\n" + body, wait / 1000)
+            client.send(message, data.encode() + b"\r\n" + body, timeout_ms / 1000)
 
-    def _client(self, ingress: int) -> Client | None:
-        while kept := self.idle.get(ingress):
-            client = kept.pop()
+    def _get_client(self, ingress: int) -> Client | None:
+        while idle := self.idle_clients.get(ingress):
+            client = idle.pop()
             if sockets.peek(client.sock) is None:
                 return client
             client.close()
@@ -188,16 +198,19 @@
         except OSError:
             return None
 
-    def ended(self, one: Try, status: int) -> None:
-        one.status, one.ended = status, self.loop.clock()
-        one.answers += status > 0
-        self.out -= 1
-        self.heard(one)
+    def record_end(self, message: SentMessage, status: int) -> None:
+        """Record the end of a message, with status 0 where no answer came, and call `on_end`."""
+        message.status, message.ended_at = status, self.loop.clock()
+        message.answer_count += status > 0
+        self.in_flight -= 1
+        self.on_end(message)
 
     def stop(self) -> None:
-        self.running = False
+        """Stop the arrivals. Messages in flight go on."""
+        self.is_running = False
 
     def close(self) -> None:
-        for kept in list(self.idle.values()):
-            for client in list(kept):
+        """Close all idle connections."""
+        for idle in list(self.idle_clients.values()):
+            for client in list(idle):
                 client.close()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,7 +18,7 @@
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.serve import wall_clock
-from brackenpulley.standins.clients import Firm, Load, Try
+from brackenpulley.standins.clients import Firm, Load, SentMessage
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 
 KEPT_CONNECTIONS = 50
@@ -40,24 +40,24 @@
             assert time.monotonic() < end
             loop.run_once(0.01)
 
-    def send_again(attempt: Try) -> None:
+    def send_again(attempt: SentMessage) -> None:
         """Send a client's next message at once, on its connection while that lasts."""
         if attempt.status:
-            loop.call_soon(lambda: load.ask(firm))
+            loop.call_soon(lambda: load.send_message(firm))
 
     log_file = tmp_path / "n0.log"
     try:
         wait_until(lambda: "event=listening" in log_file.read_text())
         wait_until(lambda: discovery.watchers)
         for _ in range(KEPT_CONNECTIONS):
-            load.ask(firm)
-        load.heard = send_again
-        wait_until(lambda: sum(attempt.status == 200 for attempt in load.tries) > 4 * KEPT_CONNECTIONS)
+            load.send_message(firm)
+        load.on_end = send_again
+        wait_until(lambda: sum(attempt.status == 200 for attempt in load.messages) > 4 * KEPT_CONNECTIONS)
         daemon.process.send_signal(signal.SIGTERM)
         sigterm_monotonic, sigterm_at = time.monotonic(), loop.clock()
         wait_until(lambda: daemon.process.poll() is not None)
         shutdown_seconds = time.monotonic() - sigterm_monotonic
-        wait_until(lambda: not load.out)
+        wait_until(lambda: not load.in_flight)
     finally:
         daemon.process.kill()
         daemon.process.wait()
@@ -67,10 +67,12 @@
         loop.close()
     assert daemon.process.returncode == 0 and shutdown_seconds < 4.0
     counts = dict(word.split("=", 1) for word in log_file.read_text().splitlines()[-1].split() if "=" in word)
-    answered = [attempt for attempt in load.tries if attempt.status]
-    assert int(counts["messages"]) == len(answered) and all(attempt.answers == 1 for attempt in answered)
-    assert sum(attempt.sent > sigterm_at for attempt in answered) >= KEPT_CONNECTIONS / 2  # clients did go on sending
-    unanswered = [attempt for attempt in load.tries if not attempt.status]
+    answered = [attempt for attempt in load.messages if attempt.status]
+    assert int(counts["messages"]) == len(answered) and all(attempt.answer_count == 1 for attempt in answered)
+    assert (
+        sum(attempt.sent_at > sigterm_at for attempt in answered) >= KEPT_CONNECTIONS / 2
+    )  # clients did go on sending
+    unanswered = [attempt for attempt in load.messages if not attempt.status]
     assert len(unanswered) <= KEPT_CONNECTIONS and not {attempt.id for attempt in unanswered} & {
         ran.id for server in servers for ran in server.received_relays
     }
