--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -38,7 +38,7 @@
 
 from benchmarks.scale.report import compared, limits, spread, window
 from benchmarks.scale.world import Ended, World
-from brackenpulley.standins.hollow import PARTS, USUAL
+from brackenpulley.standins.hollow import DEFAULT_SECTIONS, OPERATOR_SECTIONS
 
 A_DAY, MACHINES = 3700, 12_890  # restarts, and the servers and ingresses over which they are spread evenly
 START, SOON = 600.0, 60.0  # s until all are up, until something asked for has come
@@ -325,7 +325,7 @@
     made.add_argument("--profile", default="", help="a file: what the first host of hollow ones does, for pstats")
     made.add_argument("--factor", type=float, default=1.0, help="times the letter's 3,700 restarts a day")
     made.add_argument("--tries", type=float, default=2.0, help="a second at each ingress, hollow or real")
-    made.add_argument("--parts", default=",".join(USUAL), help=f"of {', '.join(PARTS)}")
+    made.add_argument("--parts", default=",".join(DEFAULT_SECTIONS), help=f"of {', '.join(OPERATOR_SECTIONS)}")
     made.add_argument("--changes", type=int, default=3)
     made.add_argument("--deaths", type=int, default=1)
     made.add_argument("--rest", type=float, default=10.0, help="s between whole and the first window")
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -23,7 +23,7 @@
 from brackenpulley.net.http import Payload
 from brackenpulley.net.loop import READ
 from brackenpulley.simulation.links import Link as Way
-from brackenpulley.standins.hollow import Firm, Hollow, Place, operator
+from brackenpulley.standins.hollow import Firm, HollowIngress, ProcessSpec, build_operator_tables
 from brackenpulley.standins.links import Relays
 from brackenpulley.standins.servers import HEARTBEAT_SECONDS, Counter
 from brackenpulley.standins.wire import Connection, Listener
@@ -41,7 +41,7 @@
         super().__init__(told)
         self.rng = random.Random(told["seed"])
         self.rows = {row["place"]["name"]: row for row in told["hollows"]}
-        self.there: dict[str, Hollow] = {}
+        self.there: dict[str, HollowIngress] = {}
         self.gone: Tally[str] = Tally()  # counts of lives that are over
         self.waits: dict[str, float] = {}  # not whole yet: when they were started
         self.took: list[list[float]] = []  # s until ready, until the list is whole
@@ -54,23 +54,23 @@
 
     def _make(self, name: str) -> None:
         row = self.rows[name]
-        place = Place(
+        place = ProcessSpec(
             **{
                 **row["place"],
                 "seeds": tuple(row["place"]["seeds"]),
                 "voters": tuple(tuple(pair) for pair in row["place"]["voters"]),
             }
         )
-        one = Hollow(
+        one = HollowIngress(
             self.loop,
             place,
             row["config"],
-            operator(place, self.told["parts"]),
+            build_operator_tables(place, self.told["parts"]),
             [Firm(**firm) for firm in row["firms"]],
             Silent(),
             self.rng.getrandbits(32),
         )
-        one.dead, one.applied = self._dead, lambda entry: self._applied(entry.index)
+        one.on_member_dead, one.on_applied = self._dead, lambda entry: self._applied(entry.index)
         self.there[name] = one
         self.waits[name] = time.monotonic()
         one.start()
@@ -113,8 +113,8 @@
         return True
 
     def ask_state(self) -> dict[str, Any]:
-        members = [one.members for one in self.there.values()] or [0]
-        indexes = [one.index for one in self.there.values()] or [0]
+        members = [one.member_count for one in self.there.values()] or [0]
+        indexes = [one.applied_index for one in self.there.values()] or [0]
         entered = [
             one.daemon.maintenance is None or bool(one.daemon.maintenance.clerk.entered) for one in self.there.values()
         ]
@@ -132,12 +132,12 @@
         busy = 0.0
         for one in self.there.values():
             counts.update(one.daemon.metrics.counts)
-            busy += one.berth.busy
+            busy += one.ingress_loop.busy_seconds
         del counts["longest_turn_us"]
         holds = sorted(one.daemon.metrics.counts.pop("longest_turn_us", 0) for one in self.there.values())
         tries = [
-            sum(one.traffic.tries for one in self.there.values()),
-            sum(one.traffic.served for one in self.there.values()),
+            sum(one.traffic.message_count for one in self.there.values()),
+            sum(one.traffic.served_count for one in self.there.values()),
         ]
         return {"counts": counts, "holds": holds, "busy": busy, "tries": tries}
 
@@ -178,8 +178,8 @@
             self._make(name)
             self.there[name].traffic.start()
 
-        one.ended = over
-        one.end()
+        one.on_end = over
+        one.shut_down()
         return True
 
     def ask_deaths(self) -> dict[str, list[float]]:
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -29,7 +29,7 @@
 from brackenpulley.serve import wall_clock
 from brackenpulley.standins.clients import Firm as Customer
 from brackenpulley.standins.clients import Load
-from brackenpulley.standins.hollow import Firm, Place, operator, toml
+from brackenpulley.standins.hollow import Firm, ProcessSpec, build_operator_tables, format_toml
 from brackenpulley.standins.servers import Discovery, SimServer
 from brackenpulley.standins.settings import build_settings
 
@@ -55,7 +55,7 @@
 class Real:
     """A daemon as a process, `kind` real, voter or bare: one with nothing switched on, to compare with."""
 
-    def __init__(self, world: World, kind: str, place: Place) -> None:
+    def __init__(self, world: World, kind: str, place: ProcessSpec) -> None:
         """It listens at a host of its own, so that no connection of others takes its port before it does."""
         self.world, self.kind, self.place = world, kind, place
         host = place.listen.partition(":")[0]
@@ -71,8 +71,8 @@
         (folder / "config.json").write_text(json.dumps(config))
         tables = {"control": {"listen": f"unix:{self.control}"}}
         if self.kind != "bare":
-            tables.update(operator(place, self.world.parts))
-        (folder / "operator.toml").write_text(toml(tables))
+            tables.update(build_operator_tables(place, self.world.parts))
+        (folder / "operator.toml").write_text(format_toml(tables))
         env = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
@@ -177,7 +177,7 @@
         self.links = self._links(names, max(1, -(-len(names) // A_LINK)))
         chosen = tuple((name, self.advertised[name]) for name in names[real : real + voters])
         places = [
-            Place(
+            ProcessSpec(
                 name,
                 number,
                 str(self.folder / name),
@@ -189,7 +189,7 @@
             )
             for number, name in enumerate(names)
         ]
-        bare = Place("bare", 0, str(self.folder / "bare"), f"127.{self.first}.0.1:0", "", (), "", ())
+        bare = ProcessSpec("bare", 0, str(self.folder / "bare"), f"127.{self.first}.0.1:0", "", (), "", ())
         for kind, place in (
             [("real", p) for p in places[:real]]
             + [("voter", p) for p in places[real : real + voters]]
@@ -234,7 +234,7 @@
         self.children.append(child)
         return child
 
-    def _host(self, number: int, here: list[Place]) -> None:
+    def _host(self, number: int, here: list[ProcessSpec]) -> None:
         firms = self._firms(self.total - self.hollow, self.hollow)
         sets = {
             place.name: [asdict(firm) for firm in firms if firm.first <= place.number < firm.first + firm.spread]
@@ -263,7 +263,7 @@
             )
         )
 
-    def config(self, place: Place, kind: str, listen: str) -> dict[str, Any]:
+    def config(self, place: ProcessSpec, kind: str, listen: str) -> dict[str, Any]:
         group = kind if kind in GROUPS else "real"
         return {
             "name": place.name,
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -1,12 +1,14 @@
-"""Hollow ingresses: daemons put together from the parts that serve, many on one loop, without clients or sim servers.
+"""Hollow ingresses: complete ingresses without client and server connections, many of them on one event loop.
 
-A hollow one is a `Daemon` as `serve` builds it (list, counter, core and decision module, members, records, follower of
-the agreed log, whatever the operator's file switches on), on sockets of its own. In place of clients it has tries that
-`Traffic` draws, which go through the core as any message; in place of connections to sim servers an answer after a
-drawn time. Left out: reading and writing of requests and answers, connections to sim servers, the control API, and
-lines of the log. One process holds many, so that its interpreter's memory and the turns of its loop are shared.
+A hollow ingress is a `Daemon` as `serve` builds it, on sockets of its own: inventory, quota counter, core and decision
+module, membership, records, follower of the agreed log, and whatever the operator's file enables. In place of clients,
+`Traffic` draws messages and passes them to the core. In place of connections to sim servers, each relay is answered
+after a random time. Left out are the parsing and writing of requests and answers, connections to sim servers, the
+control API, and log lines. All hollow ingresses of a process share the interpreter's memory and one event loop. The
+scale benchmark runs them next to real ingresses.
 
-`PARTS` is the table of what the operator's file may switch on, a row each, for hollow and real ones alike."""
+`OPERATOR_SECTIONS` lists the sections of the operator's file that a run may enable, for hollow and real ingresses
+alike."""
 
 from __future__ import annotations
 
@@ -28,128 +30,138 @@
 from ..operator import decode as decode_operator
 from ..serve import Daemon
 
-MEAN = 0.02  # s that an answer takes
-PATIENCE = 4.0  # s that a try waits
+MEAN_ANSWER_SECONDS = 0.02
+MESSAGE_TIMEOUT_SECONDS = 4.0
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """One process of the fleet, hollow or not."""
+class ProcessSpec:
+    """One ingress of the fleet, hollow or real: its name, number, files and addresses."""
 
     name: str
     number: int
-    folder: str  # of its own files
-    listen: str  # of membership
-    advertise: str  # where its link stands
+    folder: str  # for its own files
+    listen: str  # membership address
+    advertise: str  # membership address for the others, where its link proxy listens
     seeds: tuple[str, ...]
-    keys: str
-    voters: tuple[tuple[str, str], ...]
+    keys: str  # file with the membership keys
+    voters: tuple[tuple[str, str], ...]  # name and address of each voter of the agreed log
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
+        """Whether this process votes in consensus."""
         return self.name in dict(self.voters)
 
 
-def _consensus(place: Place) -> dict[str, Any]:
-    disk = {"path": f"{place.folder}/log"} if place.votes else {}
-    return {**disk, "voters": dict(place.voters)}
+def _build_consensus_table(spec: ProcessSpec) -> dict[str, Any]:
+    disk = {"path": f"{spec.folder}/log"} if spec.is_voter else {}
+    return {**disk, "voters": dict(spec.voters)}
 
 
-PARTS: dict[str, Callable[[Place], dict[str, Any]]] = {
-    "members": lambda place: {
+OPERATOR_SECTIONS: dict[str, Callable[[ProcessSpec], dict[str, Any]]] = {
+    "members": lambda spec: {
         "fleet": "scale",
-        "listen": place.listen,
-        "advertise": place.advertise,
-        "seeds": list(place.seeds),
-        "keys": place.keys,
+        "listen": spec.listen,
+        "advertise": spec.advertise,
+        "seeds": list(spec.seeds),
+        "keys": spec.keys,
     },
-    "consensus": _consensus,
-    "maintenance": lambda place: {"out": 2, "zone": 1, "reserve": 0.0, "settle_s": 1.0, "late_s": 120.0},
-    "drains": lambda place: {"limit": 64},
-    "plans": lambda place: {"snapshot": f"{place.folder}/plans"},
-    "leases": lambda place: {},
+    "consensus": _build_consensus_table,
+    "maintenance": lambda spec: {"out": 2, "zone": 1, "reserve": 0.0, "settle_s": 1.0, "late_s": 120.0},
+    "drains": lambda spec: {"limit": 64},
+    "plans": lambda spec: {"snapshot": f"{spec.folder}/plans"},
+    "leases": lambda spec: {},
 }
-USUAL = ("members", "consensus", "maintenance", "plans", "leases")
+DEFAULT_SECTIONS = ("members", "consensus", "maintenance", "plans", "leases")
 
 
-def operator(place: Place, parts: Iterable[str]) -> dict[str, Any]:
-    """The operator's file, as read."""
-    return {name: PARTS[name](place) for name in parts}
+def build_operator_tables(spec: ProcessSpec, sections: Iterable[str]) -> dict[str, Any]:
+    """Return the operator's file with these sections, as its parsed tables."""
+    return {name: OPERATOR_SECTIONS[name](spec) for name in sections}
 
 
-def toml(tables: dict[str, Any], above: str = "") -> str:
-    """As a file. Values are texts, numbers and lists of texts; a table's own values stand before the tables in it."""
+def format_toml(tables: dict[str, Any], prefix: str = "") -> str:
+    """Format tables as TOML, with `prefix` before the name of each.
+
+    Values must be strings, numbers or lists of strings. A table's own values precede its nested tables."""
     lines = []
     for name, table in tables.items():
-        lines.append(f"[{above}{name}]")
+        lines.append(f"[{prefix}{name}]")
         lines += [f"{key} = {json.dumps(value)}" for key, value in table.items() if not isinstance(value, dict)]
-        inner = {key: value for key, value in table.items() if isinstance(value, dict)}
-        lines += [toml(inner, f"{above}{name}.")] if inner else []
+        nested = {key: value for key, value in table.items() if isinstance(value, dict)}
+        lines += [format_toml(nested, f"{prefix}{name}.")] if nested else []
     return "\n".join(lines) + "\n"
 
 
-class Berth(Loop):
-    """One hollow ingress's part of a loop that many share: its sockets, its timers, and the time that its calls took.
+class IngressLoop(Loop):
+    """One hollow ingress's view of the shared event loop. Tracks its sockets and the time that its callbacks take.
 
-    `close` is what the end of a process is: sockets are closed, nothing of it is called any more."""
+    `close` acts like the end of a process: its sockets are closed, and none of its callbacks runs any more."""
 
-    def __init__(self, loop: Loop, metrics: Metrics, ended: Callable[[], None]) -> None:
-        # Not Loop's own: there is one selector and one heap of timers, those of `loop`.
-        self.loop, self.clock, self.log, self.metrics, self.ended = loop, loop.clock, loop.log, metrics, ended
-        self.open, self.is_lagging, self.running = True, False, True
-        self.busy = 0.0  # s of its calls
+    def __init__(self, loop: Loop, metrics: Metrics, on_stop: Callable[[], None]) -> None:
+        # Loop.__init__ is not called, as the selector and the heap of timers are those of `loop`.
+        self.loop, self.clock, self.log, self.metrics, self.on_stop = loop, loop.clock, loop.log, metrics, on_stop
+        self.is_open, self.is_lagging, self.running = True, False, True
+        self.busy_seconds = 0.0  # total run time of its callbacks
         self._sockets: set[Selectable] = set()
 
-    def _timed(self, call: Callable[[], None]) -> Callable[[], None]:
-        def timed() -> None:
-            if self.open:
-                began = time.perf_counter()
+    def _wrap_callback(self, callback: Callable[[], None]) -> Callable[[], None]:
+        def run() -> None:
+            if self.is_open:
+                started_at = time.perf_counter()
                 try:
-                    call()
+                    callback()
                 finally:
-                    self._took(time.perf_counter() - began)
+                    self._record_run_time(time.perf_counter() - started_at)
 
-        return timed
+        return run
 
-    def _took(self, seconds: float) -> None:
-        self.busy += seconds
+    def _record_run_time(self, seconds: float) -> None:
+        self.busy_seconds += seconds
         self.metrics.record_maximum("longest_turn_us", int(seconds * 1e6))
 
-    def _ready(self, ready: EventCallback) -> EventCallback:
-        def timed(events: int) -> None:
-            if self.open:
-                began = time.perf_counter()
+    def _wrap_event_callback(self, callback: EventCallback) -> EventCallback:
+        def run(events: int) -> None:
+            if self.is_open:
+                started_at = time.perf_counter()
                 try:
-                    ready(events)
+                    callback(events)
                 finally:
-                    self._took(time.perf_counter() - began)
+                    self._record_run_time(time.perf_counter() - started_at)
 
-        return timed
+        return run
 
-    def register(self, sock: Selectable, events: int, ready: EventCallback, urgent: bool = False) -> None:
+    def register(self, sock: Selectable, events: int, callback: EventCallback, urgent: bool = False) -> None:
+        """Register a socket with the shared loop, and track it for `close`."""
         self._sockets.add(sock)
-        self.loop.register(sock, events, self._ready(ready), urgent)
+        self.loop.register(sock, events, self._wrap_event_callback(callback), urgent)
 
-    def set_interest(self, sock: Selectable, events: int, ready: EventCallback) -> None:
+    def set_interest(self, sock: Selectable, events: int, callback: EventCallback) -> None:
+        """Change the events that a socket waits for; 0 unregisters it."""
         if sock.fileno() >= 0:
             (self._sockets.add if events else self._sockets.discard)(sock)
-        self.loop.set_interest(sock, events, self._ready(ready))
+        self.loop.set_interest(sock, events, self._wrap_event_callback(callback))
 
     def unregister(self, sock: Selectable) -> None:
+        """Remove a socket from the shared loop."""
         self._sockets.discard(sock)
         self.loop.unregister(sock)
 
-    def call_at(self, when: float, call: Callable[[], None]) -> Timer:
-        return self.loop.call_at(when, self._timed(call))
+    def call_at(self, when: float, callback: Callable[[], None]) -> Timer:
+        """Schedule a callback that runs unless this loop is closed before."""
+        return self.loop.call_at(when, self._wrap_callback(callback))
 
-    def call_soon(self, call: Callable[[], None]) -> None:
-        self.loop.call_soon(self._timed(call))
+    def call_soon(self, callback: Callable[[], None]) -> None:
+        """Defer a callback that runs unless this loop is closed before."""
+        self.loop.call_soon(self._wrap_callback(callback))
 
     def stop(self) -> None:
-        self.loop.call_soon(self.ended)
+        """Call `on_stop` from the shared loop, which keeps running."""
+        self.loop.call_soon(self.on_stop)
 
     def close(self) -> None:
-        self.open = False
+        """Close the ingress's sockets and disable its callbacks."""
+        self.is_open = False
         for sock in self._sockets:
             if sock.fileno() >= 0:
                 self.loop.unregister(sock)
@@ -157,81 +169,86 @@
         self._sockets.clear()
 
 
-class Due:
-    """A relay of a hollow one: its answer comes by time alone."""
+class TimedRelay:
+    """A relay of a hollow ingress that a timer answers."""
 
     def __init__(self, timer: Timer) -> None:
         self.timer = timer
 
     def drop(self) -> bool:
+        """Cancel the relay. Returns True, as the sim server may have run it."""
         self.timer.cancel()
         return True
 
     def recall(self) -> bool:
+        """Return False: the relay counts as sent from its start, so that it cannot be recalled."""
         return False
 
 
-class Answers:
-    """In place of `Southside`: each attempt ends well after an exponential time, and costs what was guessed."""
+class TimedSouthside:
+    """Replaces `Southside`: each relay succeeds after an exponential time of mean `mean_s`, at its estimated cost."""
 
-    def __init__(self, loop: Loop, rng: random.Random, mean: float = MEAN) -> None:
-        self.loop, self.rng, self.mean = loop, rng, mean
+    def __init__(self, loop: Loop, rng: random.Random, mean_s: float = MEAN_ANSWER_SECONDS) -> None:
+        self.loop, self.rng, self.mean_s = loop, rng, mean_s
 
     def start(
         self,
         message: Message,
         server: str,
-        left: float,
-        done: Callable[[RelayResult], None],
-        began: Callable[[RelayResult], None],
-    ) -> Due:
-        end = RelayResult("ok", cost=message.units)
-        return Due(self.loop.call_in(self.rng.expovariate(1 / self.mean), lambda: done(end)))
+        timeout: float,
+        on_done: Callable[[RelayResult], None],
+        on_streaming: Callable[[RelayResult], None],
+    ) -> TimedRelay:
+        """Start one relay. `timeout` and `on_streaming` are not used."""
+        result = RelayResult("ok", cost=message.units)
+        return TimedRelay(self.loop.call_in(self.rng.expovariate(1 / self.mean_s), lambda: on_done(result)))
 
 
 @dataclass(slots=True, frozen=True)
 class Firm:
-    """`rate`: tries a second at each ingress of its set."""
+    """A firm whose clients send messages to `spread` ingresses, from number `first` on."""
 
     key: int
     plan: str
-    rate: float
+    rate: float  # messages a second at each of its ingresses
     spread: int
     first: int
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Tries of firms at one hollow ingress, each by itself (Poisson)."""
+    """Messages of firms at one hollow ingress, as independent Poisson arrivals."""
 
     daemon: Daemon
     rng: random.Random
     firms: list[Firm] = field(default_factory=list)
-    tries: int = 0
-    served: int = 0
-    going: bool = False
+    message_count: int = 0
+    served_count: int = 0
+    is_running: bool = False
     _serial: int = 0
 
     def start(self) -> None:
-        if self.going:
+        """Start the arrivals of all firms. Does nothing while they run."""
+        if self.is_running:
             return
-        self.going, self._serial = True, self.rng.getrandbits(40) << 20
+        self.is_running, self._serial = True, self.rng.getrandbits(40) << 20
         for firm in self.firms:
-            self._next(firm)
+            self._schedule_next(firm)
 
     def stop(self) -> None:
-        self.going = False
+        """Stop the arrivals. Messages in flight go on."""
+        self.is_running = False
 
-    def _next(self, firm: Firm) -> None:
+    def _schedule_next(self, firm: Firm) -> None:
         if firm.rate > 0:
             self.daemon.loop.call_in(self.rng.expovariate(firm.rate), lambda: self._arrive(firm))
 
     def _arrive(self, firm: Firm) -> None:
-        if not self.going:
+        if not self.is_running:
             return
-        self._next(firm)
+        self._schedule_next(firm)
         self._serial += 1
-        self.tries += 1
+        self.message_count += 1
         classes = self.daemon.config.settings.classes
         units = float(self.rng.choice((1, 1, 1, 2, 2, 3)))
         message = Message(
@@ -239,81 +256,86 @@
             classes[self._serial % len(classes)].name,
             firm.plan,
             firm.key,
-            PATIENCE,
+            MESSAGE_TIMEOUT_SECONDS,
             units,
             firm.spread,
             firm.first,
             False,
             requested_plan=firm.plan,
         )
-        self.daemon.ingress.accept(message, self._answered, Answers(self.daemon.loop, self.rng))
+        self.daemon.ingress.accept(message, self._handle_answer, TimedSouthside(self.daemon.loop, self.rng))
+
+    def _handle_answer(self, answer: Answer) -> None:
+        self.served_count += answer.kind == "served"
 
-    def _answered(self, answer: Answer) -> None:
-        self.served += answer.kind == "served"
 
+class HollowIngress:
+    """One hollow ingress, with the interface of a process: start, graceful shutdown and kill.
 
-class Hollow:
-    """One of them. `dead` is told which member this one takes for dead, `applied` which entry of the log it has."""
+    Calls `on_end` after a shutdown, `on_member_dead` with the id of each member that it considers dead, and `on_applied`
+    with each log entry that it has applied."""
 
     def __init__(
         self,
         loop: Loop,
-        place: Place,
-        raw: dict[str, Any],
-        tables: dict[str, Any],
+        spec: ProcessSpec,
+        config: dict[str, Any],
+        operator_tables: dict[str, Any],
         firms: list[Firm],
         log: Any,
         seed: int,
     ) -> None:
-        """`raw` and `tables`: its configuration and the operator's, as the files of a real one would hold them.
-        Raises ConfigError."""
-        self.place, self.alive = place, True
-        self.ended: Callable[[], None] = lambda: None
-        self.dead: Callable[[str], None] = lambda ident: None
-        self.applied: Callable[[Entry], None] = lambda entry: None
-        self.berth = Berth(loop, Metrics(), self._over)
-        self.daemon = Daemon(decode(raw, {}, decode_operator(tables)), log, loop.clock, self.berth)
-        self.berth.metrics = self.daemon.metrics
+        """Build the daemon. `config` and `operator_tables` are what a real ingress would read from its two files.
+
+        Raises ConfigError where one of them is invalid."""
+        self.spec, self.is_alive = spec, True
+        self.on_end: Callable[[], None] = lambda: None
+        self.on_member_dead: Callable[[str], None] = lambda member_id: None
+        self.on_applied: Callable[[Entry], None] = lambda entry: None
+        self.ingress_loop = IngressLoop(loop, Metrics(), self._finish_shutdown)
+        self.daemon = Daemon(decode(config, {}, decode_operator(operator_tables)), log, loop.clock, self.ingress_loop)
+        self.ingress_loop.metrics = self.daemon.metrics
         self.traffic = Traffic(self.daemon, random.Random(seed), firms)
 
     def start(self) -> None:
+        """Start the daemon, and observe its membership and its agreed log. The traffic is started apart."""
         self.daemon.start(signals=False)
         if self.daemon.members is not None:
             service = self.daemon.members.service
-            known = service.changed
+            daemon_callback = service.changed
 
-            def changed(change: Changed) -> None:
-                known(change)
+            def handle_change(change: Changed) -> None:
+                daemon_callback(change)
                 if change.state == DEAD:
-                    self.dead(change.id)
+                    self.on_member_dead(change.id)
 
-            service.changed = changed
+            service.changed = handle_change
         if self.daemon.agreement is not None:
-            self.daemon.agreement.agreement.applied = lambda entry: self.applied(entry)
+            self.daemon.agreement.agreement.applied = lambda entry: self.on_applied(entry)
 
     @property
-    def members(self) -> int:
-        """That it sees, itself too."""
+    def member_count(self) -> int:
+        """Number of members that it knows, itself included."""
         return self.daemon.members.service.protocol.size if self.daemon.members is not None else 1
 
     @property
-    def index(self) -> int:
-        """Of the agreed log, applied."""
+    def applied_index(self) -> int:
+        """Index of the last entry of the agreed log that it has applied, 0 without a log."""
         return self.daemon.agreement.agreement.machine.index if self.daemon.agreement is not None else 0
 
-    def end(self) -> None:
-        """As SIGTERM does; `ended` is called once it is over."""
+    def shut_down(self) -> None:
+        """Begin a graceful shutdown, as SIGTERM does. `on_end` is called once it is complete."""
         self.traffic.stop()
         self.daemon.begin_shutdown()
 
-    def _over(self) -> None:
-        if self.alive:
-            self.alive = False
+    def _finish_shutdown(self) -> None:
+        if self.is_alive:
+            self.is_alive = False
             self.daemon.close()
-            self.ended()
+            self.on_end()
 
     def kill(self) -> None:
-        """As SIGKILL does: nobody is told."""
-        self.alive = False
+        """End at once, as SIGKILL does: no other member is told."""
+        self.is_alive = False
         self.traffic.stop()
-        self.berth.close()
+        self.ingress_loop.close()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,15 @@
 from brackenpulley.net.loop import Loop
 from brackenpulley.operator import decode, decode_text
 from brackenpulley.serve import wall_clock
-from brackenpulley.standins.hollow import PARTS, USUAL, Firm, Hollow, Place, operator, toml
+from brackenpulley.standins.hollow import (
+    DEFAULT_SECTIONS,
+    OPERATOR_SECTIONS,
+    Firm,
+    HollowIngress,
+    ProcessSpec,
+    build_operator_tables,
+    format_toml,
+)
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import build_settings
 
@@ -26,7 +34,7 @@
 
 
 class Rig:
-    """Hollow ingresses on one loop, the first of them seed of the others; no log, so no voters."""
+    """Hollow ingresses on one loop. The first is the seed of the others; there is no agreed log, hence no voter."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self.loop = Loop(wall_clock(), Metrics(), Silent())
@@ -35,14 +43,14 @@
         (folder / "keys").write_text("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\n")
         (folder / "keys").chmod(0o600)
         self.folder, self.count = folder, count
-        self.there: list[Hollow] = []
+        self.there: list[HollowIngress] = []
         for number in range(count):
             self.start(number)
 
-    def start(self, number: int) -> Hollow:
+    def start(self, number: int) -> HollowIngress:
         name = f"h{number}"
         (self.folder / name).mkdir(exist_ok=True)
-        place = Place(name, number, str(self.folder / name), "127.0.0.1:0", "", (), str(self.folder / "keys"), ())
+        place = ProcessSpec(name, number, str(self.folder / name), "127.0.0.1:0", "", (), str(self.folder / "keys"), ())
         raw = {
             "name": name,
             "listen": "127.0.0.1:0",
@@ -50,11 +58,11 @@
             "counter": self.counter.listener.address_text,
             "settings": build_settings(self.count, number),
         }
-        tables = operator(place, ("members", "plans", "leases"))
+        tables = build_operator_tables(place, ("members", "plans", "leases"))
         seeds = [one.daemon.members.service.protocol.address for one in self.there[:1]]
         tables["members"].update(seeds=seeds)
         del tables["members"]["advertise"]
-        made = Hollow(self.loop, place, raw, tables, [Firm(7, "school", 20.0, self.count, 0)], Silent(), number)
+        made = HollowIngress(self.loop, place, raw, tables, [Firm(7, "school", 20.0, self.count, 0)], Silent(), number)
         made.start()
         self.there.append(made)
         return made
@@ -67,7 +75,7 @@
 
     def close(self) -> None:
         for one in self.there:
-            if one.alive:
+            if one.is_alive:
                 one.kill()
         for listener in (self.discovery.listener, self.counter.listener, *(sim.listener for sim in self.sims)):
             listener.stop()
@@ -84,46 +92,50 @@
 
 
 def test_hollow_ones_find_each_other_and_serve_through_the_core(rig: Rig) -> None:
-    rig.until(lambda: all(one.members == 4 and one.daemon.is_ready() for one in rig.there))
+    rig.until(lambda: all(one.member_count == 4 and one.daemon.is_ready() for one in rig.there))
     for one in rig.there:
         one.traffic.start()
-    rig.until(lambda: all(one.traffic.served > 5 for one in rig.there))
+    rig.until(lambda: all(one.traffic.served_count > 5 for one in rig.there))
     counts = rig.there[1].daemon.metrics.counts
     assert counts["lease_calls"] > 0 and counts["relays"] > 0 and counts["faults"] == 0
     assert counts["members_sent_ping"] > 0 and counts["members_heard_ack_bytes"] > 0
 
 
 def test_one_that_ends_says_so_and_one_that_is_killed_says_nothing(rig: Rig) -> None:
-    rig.until(lambda: all(one.members == 4 for one in rig.there))
+    rig.until(lambda: all(one.member_count == 4 for one in rig.there))
     dead: list[str] = []
-    rig.there[0].dead = dead.append
-    rig.there[3].end()
-    rig.until(lambda: not rig.there[3].alive)
-    rig.until(lambda: rig.there[0].members == 3)
+    rig.there[0].on_member_dead = dead.append
+    rig.there[3].shut_down()
+    rig.until(lambda: not rig.there[3].is_alive)
+    rig.until(lambda: rig.there[0].member_count == 3)
     assert dead == []
     rig.there[2].kill()
-    rig.until(lambda: rig.there[0].members == 2)
+    rig.until(lambda: rig.there[0].member_count == 2)
     assert [ident.partition("@")[0] for ident in dead] == ["h2"]
 
 
 def test_nothing_of_a_killed_one_runs_on(rig: Rig) -> None:
-    rig.until(lambda: all(one.members == 4 and one.daemon.is_ready() for one in rig.there))
+    rig.until(lambda: all(one.member_count == 4 and one.daemon.is_ready() for one in rig.there))
     one = rig.there[3]
     one.traffic.start()
-    rig.until(lambda: one.traffic.tries > 0)
+    rig.until(lambda: one.traffic.message_count > 0)
     one.kill()
-    before = dict(one.daemon.metrics.counts), one.traffic.tries, one.berth.busy
-    rig.until(lambda: rig.there[0].members == 3)
-    assert (dict(one.daemon.metrics.counts), one.traffic.tries, one.berth.busy) == before
+    before = dict(one.daemon.metrics.counts), one.traffic.message_count, one.ingress_loop.busy_seconds
+    rig.until(lambda: rig.there[0].member_count == 3)
+    assert (dict(one.daemon.metrics.counts), one.traffic.message_count, one.ingress_loop.busy_seconds) == before
 
 
 def test_a_hollow_one_and_a_real_one_have_the_same_operators_file() -> None:
     voters = (("v0", "127.0.0.1:9001"),)
     for name in ("n1", "v0"):
-        place = Place(name, 1, "/tmp/x", "127.0.0.1:9300", "127.0.0.1:9400", ("127.0.0.1:9001",), "/tmp/keys", voters)
-        for parts in (USUAL, PARTS):
-            assert decode_text(toml(operator(place, parts)), "file") == decode(operator(place, parts))
-        assert ("path" in operator(place, USUAL)["consensus"]) == (name == "v0")
+        place = ProcessSpec(
+            name, 1, "/tmp/x", "127.0.0.1:9300", "127.0.0.1:9400", ("127.0.0.1:9001",), "/tmp/keys", voters
+        )
+        for parts in (DEFAULT_SECTIONS, OPERATOR_SECTIONS):
+            assert decode_text(format_toml(build_operator_tables(place, parts)), "file") == decode(
+                build_operator_tables(place, parts)
+            )
+        assert ("path" in build_operator_tables(place, DEFAULT_SECTIONS)["consensus"]) == (name == "v0")
 
 
 def test_messages_by_kind_are_rates_of_one_process() -> None:
