--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -24,7 +24,7 @@
 from brackenpulley.net.loop import READ
 from brackenpulley.simulation.links import Link as Way
 from brackenpulley.standins.hollow import Firm, HollowIngress, ProcessSpec, build_operator_tables
-from brackenpulley.standins.links import Relays
+from brackenpulley.standins.links import LinkProxies
 from brackenpulley.standins.servers import HEARTBEAT_SECONDS, Counter
 from brackenpulley.standins.wire import Connection, Listener
 
@@ -233,19 +233,19 @@
         return on
 
     def ask_counts(self) -> dict[str, int]:
-        return {"passed": self.relays.passed, "lost": self.relays.lost}
+        return {"passed": self.relays.forwarded_datagrams, "lost": self.relays.lost_datagrams}
 
 
-class Handed(Relays):
+class Handed(LinkProxies):
     """Relays whose sockets were opened by another process, and are shared by several: each reads some of them."""
 
     def take(self, name: str, listens: tuple[str, int], datagrams: int, listener: int | None) -> None:
-        self.real[name], self._names[listens[0]] = listens, name
-        self._sockets[name] = socket.socket(fileno=datagrams)
+        self.process_addresses[name], self._names_by_host[listens[0]] = listens, name
+        self._datagram_sockets[name] = socket.socket(fileno=datagrams)
         if listener is not None:
             self._listeners[name] = socket.socket(fileno=listener)
-            self.loop.register(self._listeners[name], READ, lambda events: self._acceptable(name))
-            self.loop.register(self._sockets[name], READ, lambda events: self._readable(name))
+            self.loop.register(self._listeners[name], READ, lambda events: self._accept_connection(name))
+            self.loop.register(self._datagram_sockets[name], READ, lambda events: self._receive_datagrams(name))
 
 
 class Servers(Role):
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -45,7 +45,7 @@
 from brackenpulley.net.loop import Loop
 from brackenpulley.simulation.script import Line, drawn, parse
 from brackenpulley.standins.clients import Firm, Load
-from brackenpulley.standins.links import Relays
+from brackenpulley.standins.links import LinkProxies
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import build_settings
 
@@ -123,7 +123,7 @@
         )
         (self.folder / "operator.toml").write_text(
             f'[control]\nlisten = "{self.control[0]}:{self.control[1]}"\n'
-            f'[members]\nfleet = "trial"\nlisten = "{self.host}:{self.fleet.relays.real[self.name][1]}"\n'
+            f'[members]\nfleet = "trial"\nlisten = "{self.host}:{self.fleet.relays.process_addresses[self.name][1]}"\n'
             f'advertise = "{self.address}"\nseeds = {json.dumps(seeds)}\nkeys = "{fleet.folder}/keys"\n'
             + (agreed if fleet.agrees else "")
             + fleet.more
@@ -208,7 +208,7 @@
         self.offset = time.time() - time.monotonic()  # one clock of all processes: times in the log are the trial's
         self.clock = lambda: time.monotonic() + self.offset
         self.loop = Loop(self.clock, Metrics(), structlog.get_logger())
-        self.relays = Relays(self.loop, seed)
+        self.relays = LinkProxies(self.loop, seed)
         self.servers = [SimServer(self.loop, f"s-{n}", random.Random(seed + n), mean) for n in range(machines)]
         self.discovery, self.counter = Discovery(self.loop, self.servers), Counter(self.loop)
         rows = self.discovery._list_instances
@@ -590,8 +590,8 @@
             "tries": len(fleet.load.messages),
             "leftWhileStopped": len(left),
             "served": sum(one.status == 200 for one in fleet.load.messages),
-            "relayed": fleet.relays.passed,
-            "relaysLost": fleet.relays.lost,
+            "relayed": fleet.relays.forwarded_datagrams,
+            "relaysLost": fleet.relays.lost_datagrams,
             "wrong": wrong,
         }
     finally:
--- a/brackenpulley/standins/hollow.py
+++ b/brackenpulley/standins/hollow.py
@@ -272,8 +272,8 @@
 class HollowIngress:
     """One hollow ingress, with the interface of a process: start, graceful shutdown and kill.
 
-    Calls `on_end` after a shutdown, `on_member_dead` with the id of each member that it considers dead, and `on_applied`
-    with each log entry that it has applied."""
+    Calls `on_end` after a shutdown, `on_member_dead` with the id of each member that it considers dead, and
+    `on_applied` with each log entry that it has applied."""
 
     def __init__(
         self,
