--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A hollow ingress is a daemon without clients; a scale run in its short form; what its report makes of counts."""
+"""Hollow ingresses, a short run of the scale benchmark, and the figures that its report derives from counts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import build_settings
 
-PATIENCE = 15.0  # s until a test that waits in vain fails
+WAIT_TIMEOUT_SECONDS = 15.0
 
 
 class Rig:
@@ -43,40 +43,42 @@
         (folder / "keys").write_text("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\n")
         (folder / "keys").chmod(0o600)
         self.folder, self.count = folder, count
-        self.there: list[HollowIngress] = []
+        self.ingresses: list[HollowIngress] = []
         for number in range(count):
             self.start(number)
 
     def start(self, number: int) -> HollowIngress:
         name = f"h{number}"
         (self.folder / name).mkdir(exist_ok=True)
-        place = ProcessSpec(name, number, str(self.folder / name), "127.0.0.1:0", "", (), str(self.folder / "keys"), ())
-        raw = {
+        spec = ProcessSpec(name, number, str(self.folder / name), "127.0.0.1:0", "", (), str(self.folder / "keys"), ())
+        config = {
             "name": name,
             "listen": "127.0.0.1:0",
             "discovery": self.discovery.listener.address_text,
             "counter": self.counter.listener.address_text,
             "settings": build_settings(self.count, number),
         }
-        tables = build_operator_tables(place, ("members", "plans", "leases"))
-        seeds = [one.daemon.members.service.protocol.address for one in self.there[:1]]
+        tables = build_operator_tables(spec, ("members", "plans", "leases"))
+        seeds = [ingress.daemon.members.service.protocol.address for ingress in self.ingresses[:1]]
         tables["members"].update(seeds=seeds)
         del tables["members"]["advertise"]
-        made = HollowIngress(self.loop, place, raw, tables, [Firm(7, "school", 20.0, self.count, 0)], Silent(), number)
-        made.start()
-        self.there.append(made)
-        return made
-
-    def until(self, done: Callable[[], bool]) -> None:
-        end = time.monotonic() + PATIENCE
-        while not done():
-            assert time.monotonic() < end, "waited in vain"
+        ingress = HollowIngress(
+            self.loop, spec, config, tables, [Firm(7, "school", 20.0, self.count, 0)], Silent(), number
+        )
+        ingress.start()
+        self.ingresses.append(ingress)
+        return ingress
+
+    def run_until(self, condition: Callable[[], bool]) -> None:
+        end = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while not condition():
+            assert time.monotonic() < end, "condition not met before the timeout"
             self.loop.run_once(0.01)
 
     def close(self) -> None:
-        for one in self.there:
-            if one.is_alive:
-                one.kill()
+        for ingress in self.ingresses:
+            if ingress.is_alive:
+                ingress.kill()
         for listener in (self.discovery.listener, self.counter.listener, *(sim.listener for sim in self.sims)):
             listener.stop()
         self.loop.close()
@@ -84,61 +86,65 @@
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    made = Rig(tmp_path, 4)
+    rig = Rig(tmp_path, 4)
     try:
-        yield made
+        yield rig
     finally:
-        made.close()
+        rig.close()
 
 
-def test_hollow_ones_find_each_other_and_serve_through_the_core(rig: Rig) -> None:
-    rig.until(lambda: all(one.member_count == 4 and one.daemon.is_ready() for one in rig.there))
-    for one in rig.there:
-        one.traffic.start()
-    rig.until(lambda: all(one.traffic.served_count > 5 for one in rig.there))
-    counts = rig.there[1].daemon.metrics.counts
+def test_hollow_ingresses_discover_each_other_and_serve_messages(rig: Rig) -> None:
+    rig.run_until(lambda: all(ingress.member_count == 4 and ingress.daemon.is_ready() for ingress in rig.ingresses))
+    for ingress in rig.ingresses:
+        ingress.traffic.start()
+    rig.run_until(lambda: all(ingress.traffic.served_count > 5 for ingress in rig.ingresses))
+    counts = rig.ingresses[1].daemon.metrics.counts
     assert counts["lease_calls"] > 0 and counts["relays"] > 0 and counts["faults"] == 0
     assert counts["members_sent_ping"] > 0 and counts["members_heard_ack_bytes"] > 0
 
 
-def test_one_that_ends_says_so_and_one_that_is_killed_says_nothing(rig: Rig) -> None:
-    rig.until(lambda: all(one.member_count == 4 for one in rig.there))
+def test_shutdown_is_announced_to_the_members_and_a_kill_is_not(rig: Rig) -> None:
+    rig.run_until(lambda: all(ingress.member_count == 4 for ingress in rig.ingresses))
     dead: list[str] = []
-    rig.there[0].on_member_dead = dead.append
-    rig.there[3].shut_down()
-    rig.until(lambda: not rig.there[3].is_alive)
-    rig.until(lambda: rig.there[0].member_count == 3)
+    rig.ingresses[0].on_member_dead = dead.append
+    rig.ingresses[3].shut_down()
+    rig.run_until(lambda: not rig.ingresses[3].is_alive)
+    rig.run_until(lambda: rig.ingresses[0].member_count == 3)
     assert dead == []
-    rig.there[2].kill()
-    rig.until(lambda: rig.there[0].member_count == 2)
-    assert [ident.partition("@")[0] for ident in dead] == ["h2"]
-
-
-def test_nothing_of_a_killed_one_runs_on(rig: Rig) -> None:
-    rig.until(lambda: all(one.member_count == 4 and one.daemon.is_ready() for one in rig.there))
-    one = rig.there[3]
-    one.traffic.start()
-    rig.until(lambda: one.traffic.message_count > 0)
-    one.kill()
-    before = dict(one.daemon.metrics.counts), one.traffic.message_count, one.ingress_loop.busy_seconds
-    rig.until(lambda: rig.there[0].member_count == 3)
-    assert (dict(one.daemon.metrics.counts), one.traffic.message_count, one.ingress_loop.busy_seconds) == before
-
-
-def test_a_hollow_one_and_a_real_one_have_the_same_operators_file() -> None:
+    rig.ingresses[2].kill()
+    rig.run_until(lambda: rig.ingresses[0].member_count == 2)
+    assert [member_id.partition("@")[0] for member_id in dead] == ["h2"]
+
+
+def test_killed_ingress_runs_no_more_callbacks(rig: Rig) -> None:
+    rig.run_until(lambda: all(ingress.member_count == 4 and ingress.daemon.is_ready() for ingress in rig.ingresses))
+    ingress = rig.ingresses[3]
+    ingress.traffic.start()
+    rig.run_until(lambda: ingress.traffic.message_count > 0)
+    ingress.kill()
+    before = dict(ingress.daemon.metrics.counts), ingress.traffic.message_count, ingress.ingress_loop.busy_seconds
+    rig.run_until(lambda: rig.ingresses[0].member_count == 3)
+    assert (
+        dict(ingress.daemon.metrics.counts),
+        ingress.traffic.message_count,
+        ingress.ingress_loop.busy_seconds,
+    ) == before
+
+
+def test_hollow_and_real_ingresses_read_the_same_operator_settings() -> None:
     voters = (("v0", "127.0.0.1:9001"),)
     for name in ("n1", "v0"):
-        place = ProcessSpec(
+        spec = ProcessSpec(
             name, 1, "/tmp/x", "127.0.0.1:9300", "127.0.0.1:9400", ("127.0.0.1:9001",), "/tmp/keys", voters
         )
         for parts in (DEFAULT_SECTIONS, OPERATOR_SECTIONS):
-            assert decode_text(format_toml(build_operator_tables(place, parts)), "file") == decode(
-                build_operator_tables(place, parts)
+            assert decode_text(format_toml(build_operator_tables(spec, parts)), "file") == decode(
+                build_operator_tables(spec, parts)
             )
-        assert ("path" in build_operator_tables(place, DEFAULT_SECTIONS)["consensus"]) == (name == "v0")
+        assert ("path" in build_operator_tables(spec, DEFAULT_SECTIONS)["consensus"]) == (name == "v0")
 
 
-def test_messages_by_kind_are_rates_of_one_process() -> None:
+def test_message_rates_are_per_process_and_by_kind() -> None:
     counts = Tally(
         members_sent=9,
         members_sent_ping=8,
@@ -152,14 +158,22 @@
     }
 
 
-def _part(cpu: float, memory: float, size: float) -> dict[str, Any]:
-    return {"real": {"cpuPercent": {"most": cpu}, "residentMb": {"most": memory}, "controlBytesASecond": size}}
+def build_part(cpu_percent: float, resident_mb: float, bytes_per_second: float) -> dict[str, Any]:
+    return {
+        "real": {
+            "cpuPercent": {"most": cpu_percent},
+            "residentMb": {"most": resident_mb},
+            "controlBytesASecond": bytes_per_second,
+        }
+    }
 
 
-def test_each_limit_that_is_passed_is_one_line() -> None:
+def test_each_exceeded_limit_is_reported_as_one_line() -> None:
     bare = {"residentMb": {"most": 30.0}}
-    assert limits(_part(2.0, 62.0, 14_000.0), _part(90.0, 62.0, 14_000.0), bare) == []
-    assert [text.split()[2] for text in limits(_part(2.1, 62.1, 14_001.0), _part(0.0, 0.0, 15_000.0), bare)] == [
+    assert limits(build_part(2.0, 62.0, 14_000.0), build_part(90.0, 62.0, 14_000.0), bare) == []
+    assert [
+        text.split()[2] for text in limits(build_part(2.1, 62.1, 14_001.0), build_part(0.0, 0.0, 15_000.0), bare)
+    ] == [
         "2.10",
         "32.1",
         "14001",
@@ -167,7 +181,7 @@
     ]
 
 
-def test_hollow_is_unlike_real_beyond_a_tenth_and_few_messages_tell_nothing() -> None:
+def test_hollow_and_real_rates_differ_beyond_a_tenth_unless_messages_are_too_few() -> None:
     def group(pings: float, syncs: float) -> dict[str, Any]:
         return {
             "processes": 10,
@@ -186,9 +200,9 @@
     assert all(row["near"] in (True, None) for row in compared(part))
 
 
-def test_the_short_form() -> None:
-    """60 hollow, 3 real, 3 voters. What its processor time is follows the machine, so that limit is not judged here."""
-    told = words().parse_args(
+def test_short_scale_run() -> None:
+    """60 hollow ingresses, 3 real ones and 3 voters. The CPU limit depends on the machine, so it is not checked."""
+    arguments = words().parse_args(
         [
             "--hollow",
             "60",
@@ -208,7 +222,7 @@
             "3",
         ]
     )
-    report = play(told)
+    report = play(arguments)
     assert report["wrong"] == []
     assert [text for text in report["limits"] if "core" not in text] == []
     assert report["times"]["agreedToAll"][0]["of"] == 60 and report["times"]["deathKnown"][0]["of"] == 59
