--- a/brackenpulley/standins/settings.py
+++ b/brackenpulley/standins/settings.py
@@ -1,11 +1,13 @@
 """Settings with three classes and two plans, in the form of the platform's configuration.
 
-The demo, the benchmarks and the tests configure their ingresses with them."""
+The figures are not those of the platform. The demo, the benchmarks and the tests configure their ingresses with these
+settings."""
 
 from __future__ import annotations
 
 from typing import Any
 
+# Plan name to its quota in units a second and its burst in units.
 PLANS: dict[str, dict[str, float]] = {
     "school": {"QuotaRate": 6.0, "Burst": 24.0},
     "county": {"QuotaRate": 18.0, "Burst": 60.0},
