--- a/benchmarks/capacity/kinds/lists.py
+++ b/benchmarks/capacity/kinds/lists.py
@@ -13,7 +13,7 @@
 from brackenpulley.policy import interface
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 from ..measure import REPEATS, Slope, make_slope, measure_cpu, measure_memory
 
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.now, self.serial = 1000.0, 0
         self.timers: list[tuple[float, int, int]] = []
-        self.decision_module = DecisionModule(decode(settings(40, 0)), 1, self.now)
+        self.decision_module = DecisionModule(decode(build_settings(40, 0)), 1, self.now)
         self.inventory = Inventory(self.handle_event)
         self.objects = JsonObjectSplitter(MAX_LIST_BYTES)
 
--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -44,10 +44,10 @@
         self.generation += 1
         self.unserved_rows = [{**row, "lifecycle": "DRAINING"} for row in self.unserved_rows]
         for line in self.watchers:
-            self._tell(line, {"generation": self.generation, "reset": False, "instances": self.unserved_rows})
+            self._send_update(line, {"generation": self.generation, "reset": False, "instances": self.unserved_rows})
 
-    def _rows(self, servers: list[Any]) -> list[dict[str, object]]:
-        return [*super()._rows(servers), *(self.unserved_rows if len(servers) > 1 else [])]
+    def _list_instances(self, servers: list[Any]) -> list[dict[str, object]]:
+        return [*super()._list_instances(servers), *(self.unserved_rows if len(servers) > 1 else [])]
 
 
 def read_cpu_seconds(pid: int) -> float:
@@ -79,7 +79,7 @@
     discovery = LargeDiscovery(loop, [*servers], size)
     with tempfile.TemporaryDirectory(prefix="bracken-capacity-") as name:
         port = free_ports(1)[0]
-        daemon = Process(Path(name), "daemon", port, discovery.listener.text, "127.0.0.1:1", "")
+        daemon = Process(Path(name), "daemon", port, discovery.listener.address_text, "127.0.0.1:1", "")
         try:
             state = {"ready": False, "out": False}
 
--- a/benchmarks/capacity/kinds/tenants.py
+++ b/benchmarks/capacity/kinds/tenants.py
@@ -5,7 +5,7 @@
 from brackenpulley.policy import interface
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 from ..measure import REPEATS, Slope, make_slope, measure_cpu, measure_memory
 from .lists import ModuleWithInventory
@@ -18,7 +18,7 @@
 
     def __init__(self, ingresses: int = 40) -> None:
         super().__init__()
-        self.decision_module = DecisionModule(decode(settings(ingresses, 0)), 1, self.now)
+        self.decision_module = DecisionModule(decode(build_settings(ingresses, 0)), 1, self.now)
         self.calls = 0
         self.handle_event(
             interface.ServerList("full", [interface.ServerEntry(f"s{n}", "hall-a", n % 7) for n in range(20)])
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -38,10 +38,10 @@
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.serve import wall_clock
-from brackenpulley.standins.clients import Firm, Load, Try
+from brackenpulley.standins.clients import Firm, Load, SentMessage
 from brackenpulley.standins.cold import ColdServer
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 LOOK = 0.25  # s between the front's looks at /ready
 TICK = os.sysconf("SC_CLK_TCK")
@@ -56,7 +56,7 @@
     def __init__(self, loop: Loop, load: Load) -> None:
         self.loop, self.load = loop, load
         self.up: set[int] = set()
-        self.load.down = set(range(len(load.ingresses)))
+        self.load.unavailable_ingresses = set(range(len(load.ingresses)))
         self.running = True
         self._look()
 
@@ -68,9 +68,9 @@
 
     def _heard(self, place: int, status: int) -> None:
         if status == 200:
-            self.load.down.discard(place)
+            self.load.unavailable_ingresses.discard(place)
         else:
-            self.load.down.add(place)
+            self.load.unavailable_ingresses.add(place)
 
 
 class Trial:
@@ -113,14 +113,18 @@
         self.control = ControlClient(f"unix:{self.folder}/run/supervisor.sock")
 
     def _write(self, count: int, watchdog: float) -> None:
-        raw = settings(1)
+        raw = build_settings(1)
         raw["Invariants"].update(ColdFrom=COLD_FROM, Cold=COLD, OverloadFactor=MULTIPLE, TipAfter=FALL)
         raw["Report"] = {"Via": "piggyback", "Fields": ["busy_reqs"]}
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         (self.folder / "ingress.json").write_text(
             json.dumps(
-                {"discovery": self.discovery.listener.text, "counter": self.counter.listener.text, "settings": raw}
+                {
+                    "discovery": self.discovery.listener.address_text,
+                    "counter": self.counter.listener.address_text,
+                    "settings": raw,
+                }
             )
         )
         text = (
@@ -188,17 +192,17 @@
         """The cold server starts anew; the last start's figures are kept."""
         self.warm()
         self.cold.start()
-        self.cold.worst, self.cold.arrivals = 0.0, []
-        self.discovery.change(self.cold, "SERVING")
+        self.cold.max_overload_ratio, self.cold.arrival_times = 0.0, []
+        self.discovery.set_state(self.cold, "SERVING")
         self.colds.append({"what": what, "at": self.clock()})
 
     def warm(self) -> None:
         if self.colds and "worst" not in self.colds[-1]:
             self.colds[-1].update(
-                worst=round(self.cold.worst, 3),
-                arrivals=len(self.cold.arrivals),
-                fell=self.cold.down,
-                seen=list(self.cold.arrivals),
+                worst=round(self.cold.max_overload_ratio, 3),
+                arrivals=len(self.cold.arrival_times),
+                fell=self.cold.is_down,
+                seen=list(self.cold.arrival_times),
             )
 
     def kill(self, places: list[int]) -> None:
@@ -217,18 +221,18 @@
     def faults(self) -> list[str]:
         """Tries that a living instance took without exactly one answer."""
 
-        def lost(one: Try) -> bool:
+        def lost(one: SentMessage) -> bool:
             return any(
-                place == one.ingress and one.sent < until and one.ended >= since - 0.01
+                place == one.ingress and one.sent_at < until and one.ended_at >= since - 0.01
                 for place, since, until in self.killed
             )
 
         zero = self.marks[0][0]
         return [
-            f"try {one.id}: taken by instance {one.ingress} at {one.sent - zero:.2f} s, {one.answers} answers, "
-            f"ended at {one.ended - zero:.2f} s"
-            for one in self.load.tries
-            if one.taken and one.answers != 1 and not lost(one)
+            f"try {one.id}: taken by instance {one.ingress} at {one.sent_at - zero:.2f} s, {one.answer_count} answers, "
+            f"ended at {one.ended_at - zero:.2f} s"
+            for one in self.load.messages
+            if one.is_written and one.answer_count != 1 and not lost(one)
         ]
 
     def close(self) -> None:
@@ -336,7 +340,7 @@
             step(steps[6])
             made.load.stop()
             end = time.monotonic() + 15
-            while made.load.out and time.monotonic() < end:
+            while made.load.in_flight and time.monotonic() < end:
                 made.turn(0.05)
             made.warm()
             found["health"] = [r["health"] for r in made.status()["places"]][:3]
@@ -344,7 +348,7 @@
             found["exit"] = made.supervisor.wait(30)
             found["orphans"] = len(find_processes(made.folder / "run"))
         faults = made.faults()
-        faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.tries)] if n]
+        faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.messages)] if n]
         faults += [f"cold server, {c['what']}: {c['worst']:.2f} of what it bears" for c in made.colds if c["fell"]]
         for name, wanted in (
             ("rolled", instances),
@@ -355,7 +359,7 @@
         ):
             if found[name] != wanted:
                 faults.append(f"{name}: {found[name]}, not {wanted}")
-        statuses = [one.status for one in made.load.tries]
+        statuses = [one.status for one in made.load.messages]
         found = {
             "instances": instances,
             **{k: round(v, 2) if isinstance(v, float) else v for k, v in found.items()},
@@ -365,7 +369,7 @@
             "failed": statuses.count(502),
             "misread": statuses.count(400),
             "unanswered": statuses.count(0),
-            "takenUnanswered": sum(t.taken and not t.answers for t in made.load.tries),
+            "takenUnanswered": sum(t.is_written and not t.answer_count for t in made.load.messages),
             "cold": [{k: v for k, v in c.items() if k not in ("seen", "at")} for c in made.colds],
             "faults": faults,
         }
@@ -404,7 +408,7 @@
         made.load.firms = [Firm(n + 1, "county", load / instances, 1, n) for n in range(instances)]
         made.load.start()
         if believes:
-            made.load.numbers = believes
+            made.load.ingress_count = believes
             base = SharedConfig.read(spec_of(str(made.file)))
             (made.folder / "run").mkdir()
             with open(made.folder / "log", "ab") as log:
@@ -428,7 +432,7 @@
             made.run()
         made.chill("start")
         end = time.monotonic() + 30
-        while len(made.front.load.down) > 1.02 * instances and time.monotonic() < end:
+        while len(made.front.load.unavailable_ingresses) > 1.02 * instances and time.monotonic() < end:
             made.turn(0.05)
         for number in range(starts):
             made.chill(f"start {number + 1}")
@@ -442,10 +446,10 @@
             "worst": found,
             "fell": sum(c["fell"] for c in made.colds),
             "arrivals": [c["arrivals"] for c in made.colds[1:]],
-            "served": sum(t.status == 200 for t in made.load.tries),
-            "refused": sum(t.status in (429, 503) for t in made.load.tries),
-            "failed": sum(t.status == 502 for t in made.load.tries),
-            "tries": len(made.load.tries),
+            "served": sum(t.status == 200 for t in made.load.messages),
+            "refused": sum(t.status in (429, 503) for t in made.load.messages),
+            "failed": sum(t.status == 502 for t in made.load.messages),
+            "tries": len(made.load.messages),
         }
     finally:
         for process in processes:
@@ -473,9 +477,9 @@
         ("no answer", (0,), "tab:red"),
     ):
         counts = [0] * (seconds + 20)
-        for one in made.load.tries:
+        for one in made.load.messages:
             if one.status in wanted:
-                counts[min(seconds + 19, int(one.ended - zero))] += 1
+                counts[min(seconds + 19, int(one.ended_at - zero))] += 1
         middle.plot(counts[:seconds], label=name, color=colour)
     middle.set_ylabel("tries ended a second")
     middle.legend(loc="upper left")
@@ -483,7 +487,10 @@
         begin = cold["at"]
         times = [begin + n * 0.25 for n in range(int(4 * COLD))]
         bears = [
-            MULTIPLE * FALL * made.cold.full * (COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD)
+            MULTIPLE
+            * FALL
+            * made.cold.warm_rate
+            * (COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD)
             for t in times
         ]
         seen = [sum(t - FALL < a <= t for a in cold.get("seen", [])) for t in times]
@@ -518,7 +525,12 @@
     fleets = [Trial(instances, 1, 0.0, 40.0, members) for members in (False, True)]
     lone = [
         Process(
-            fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.text, fleets[0].counter.listener.text, ""
+            fleets[0].folder,
+            f"lone-{n}",
+            port,
+            fleets[0].discovery.listener.address_text,
+            fleets[0].counter.listener.address_text,
+            "",
         )
         for n, port in enumerate(free_ports(4))
     ]
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -33,7 +33,7 @@
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.clients import Firm, Load
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 MOST_RATIO, MOST_RECOVERY, LEAST_RATE = 1.10, 5.0, 20_000.0
 TICK = os.sysconf("SC_CLK_TCK")
@@ -54,7 +54,7 @@
         console: str = "",
     ) -> None:
         self.at = ("127.0.0.1", port)
-        raw = settings(1)
+        raw = build_settings(1)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)  # the cost is asked for, not the quota
         config = {
@@ -105,11 +105,11 @@
         folder, ports = Path(name), free_ports(2)
         told = (
             f'[ledger]\npath = "{folder}/ledger"\nperiod_s = 5.0\ngrace_s = 0.5\n[ledger.export]\n'
-            f'url = "http://{billing.listener.text}/use"\n'
+            f'url = "http://{billing.listener.address_text}/use"\n'
         )
         daemons = [
-            Process(folder, "off", ports[0], discovery.listener.text, counter.listener.text, ""),
-            Process(folder, "on", ports[1], discovery.listener.text, counter.listener.text, told),
+            Process(folder, "off", ports[0], discovery.listener.address_text, counter.listener.address_text, ""),
+            Process(folder, "on", ports[1], discovery.listener.address_text, counter.listener.address_text, told),
         ]
         firms = [Firm(n + 1, "county", rate / 20, 1, 0) for n in range(20)]
         loads = [Load(loop, [d.at], firms, random.Random(5)) for d in daemons]
@@ -121,20 +121,20 @@
         for turn in range(int(2 * seconds)):
             which = turn % 2
             load, daemon = loads[which], daemons[which]
-            before, count = daemon.cpu(), len(load.tries)
+            before, count = daemon.cpu(), len(load.messages)
             load.start()
             end = time.monotonic() + 1.0
             while time.monotonic() < end:
                 loop.run_once(0.01)
             load.stop()
-            while load.out:
+            while load.in_flight:
                 loop.run_once(0.01)
             if turn >= 2:  # the first turn of each warms up
                 used[which] += daemon.cpu() - before
-                taken[which] += len(load.tries) - count
+                taken[which] += len(load.messages) - count
             progress.update(task, advance=1)
         grown = [d.resident_kb() - kb for d, kb in zip(daemons, memory, strict=True)]
-        served = [sum(one.status == 200 for one in load.tries) for load in loads]
+        served = [sum(one.status == 200 for one in load.messages) for load in loads]
         for daemon in daemons:
             daemon.process.terminate()
         while any(daemon.process.poll() is None for daemon in daemons):
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -37,8 +37,8 @@
 from brackenpulley.standins import audit
 from brackenpulley.standins.billing import Billing
 from brackenpulley.standins.clients import Firm, Load
-from brackenpulley.standins.servers import Counter, Discovery, Ran, SimServer
-from brackenpulley.standins.settings import PLANS, settings
+from brackenpulley.standins.servers import Counter, Discovery, ReceivedRelay, SimServer
+from brackenpulley.standins.settings import PLANS, build_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 GATEWAYS, SERVERS, FIRMS = 3, 4, 12
@@ -58,10 +58,10 @@
         config = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{port}",
-            "discovery": trial.discovery.listener.text,
-            "counter": trial.counter.listener.text,
+            "discovery": trial.discovery.listener.address_text,
+            "counter": trial.counter.listener.address_text,
             "seed": f"{trial.seed + number:x}",
-            "settings": settings(GATEWAYS, number),
+            "settings": build_settings(GATEWAYS, number),
         }
         (self.folder / "config.json").write_text(json.dumps(config))
         (self.folder / "operator.toml").write_text(
@@ -69,7 +69,7 @@
             f'[plans]\nsnapshot = "{self.folder}/plans"\n[reservations]\n'
             + ("[leases]\n" if trial.exact else "")
             + f'[ledger]\npath = "{self.folder}/ledger"\nperiod_s = {trial.period}\ngrace_s = 1.0\n'
-            f'[ledger.export]\nurl = "http://{trial.billing.listener.text}/use"\nlongest_wait_s = 1.0\n'
+            f'[ledger.export]\nurl = "http://{trial.billing.listener.address_text}/use"\nlongest_wait_s = 1.0\n'
             "timeout_s = 1.0\nbatch = 40\n"
         )
 
@@ -195,10 +195,10 @@
             progress.update(task, completed=now - begin)
         self.load.stop()
         end = self.clock()
-        self.turn_until(lambda: self.load.out == 0, 15, "the last answers")
+        self.turn_until(lambda: self.load.in_flight == 0, 15, "the last answers")
         self.rough = False
         self.billing.mode = "takes"
-        self.counter.speak("answers")
+        self.counter.set_mode("answers")
         self.turn_until(self._exported, 60, "the export of what is left")
         return self._verdict(begin, end)
 
@@ -227,8 +227,8 @@
         at(self.seconds * 0.35, lambda: self._kill(1))
         at(self.seconds * 0.35 + min(3.0, every / 2), lambda: self._restart(1))
         for part in (0.2, 0.6):  # the counter says nothing while a change takes effect
-            at(self.seconds * part, lambda: self.counter.speak("silent"))
-            at(self.seconds * part + min(2.0, every / 3), lambda: self.counter.speak("answers"))
+            at(self.seconds * part, lambda: self.counter.set_mode("silent"))
+            at(self.seconds * part + min(2.0, every / 3), lambda: self.counter.set_mode("answers"))
         for n in range(20):
             at(self.seconds * n / 20, self._look)
 
@@ -268,7 +268,7 @@
                 self._tell(one)
 
     def _tell(self, one: Ingress) -> None:
-        if one.process is None or one.number in self.load.down:
+        if one.process is None or one.number in self.load.unavailable_ingresses:
             return
         try:
             one.catch_up(self.changes)
@@ -278,10 +278,10 @@
     def _kill(self, number: int) -> None:
         one = self.ingresses[number]
         assert one.process is not None
-        out = {t.id for t in self.load.tries if t.ingress == number and not t.ended}
+        out = {t.id for t in self.load.messages if t.ingress == number and not t.ended_at}
         one.process.send_signal(signal.SIGKILL)
         one.process.wait()
-        self.load.down.add(number)
+        self.load.unavailable_ingresses.add(number)
         self.down_once.add(number)
         store = Store(str(one.folder / "ledger"))
         counted = set(store.read_last_turn_ids())
@@ -290,7 +290,7 @@
         self.loop.call_in(0.5, lambda: self._after_kill(number, out, counted))
 
     def _after_kill(self, number: int, out: set[str], counted: set[str]) -> None:
-        unanswered = {t.id for t in self.load.tries if t.id in out and t.status == 0}
+        unanswered = {t.id for t in self.load.messages if t.id in out and t.status == 0}
         self.killed[f"n{number}"] = unanswered - counted
 
     def _restart(self, number: int) -> None:
@@ -300,7 +300,7 @@
         def ready() -> None:
             if one.up():
                 one.catch_up(self.changes)
-                self.load.down.discard(number)
+                self.load.unavailable_ingresses.discard(number)
             else:
                 self.loop.call_in(0.1, ready)
 
@@ -328,44 +328,44 @@
                 counted[key] = counted.get(key, 0) + units
             entries += store.read_state().next_seq - 1
             store.close()
-        book = Book(decode_settings(settings(GATEWAYS)).plans)
+        book = Book(decode_settings(build_settings(GATEWAYS)).plans)
         load(str(self.ingresses[2].folder / "plans"), book, self.clock())
         if book.revision != len(self.changes):
             faults.append(f"book: revision {book.revision}, and {len(self.changes)} were decided")
-        ran = [row for server in self.servers for row in server.ran]
-        verdict = audit.reconcile(ran, self.killed, counted, self.billing.units())
+        ran = [row for server in self.servers for row in server.received_relays]
+        verdict = audit.reconcile(ran, self.killed, counted, self.billing.sum_micro_units())
         faults += verdict.faults + self.billing.faults
-        faults += audit.answered_once(self.load.tries, self.down_once)
-        over = audit.excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
+        faults += audit.find_wrong_answer_counts(self.load.messages, self.down_once)
+        over = audit.compute_excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
         faults += [
             f"firm {one.firm:016x}: {one.over:.1f} units over an allowance of {one.allowed:.0f}"
             for one in over
-            if one.share > MOST_OVER
+            if one.over_ratio > MOST_OVER
         ]
         if self.plot:
             self._draw(ran, book, begin, end)
-        statuses_now = [t.status for t in self.load.tries]
+        statuses_now = [t.status for t in self.load.messages]
         return {
             "seconds": round(end - begin, 1),
             "exact": self.exact,
             "changes": len(self.changes),
-            "tries": len(self.load.tries),
+            "tries": len(self.load.messages),
             "served": statuses_now.count(200),
             "refused": statuses_now.count(429) + statuses_now.count(503),
             "unanswered": statuses_now.count(0),
-            "ranUnits": verdict.ran / audit.MICRO,
-            "countedUnits": verdict.counted / audit.MICRO,
-            "exportedUnits": verdict.billed / audit.MICRO,
+            "ranUnits": verdict.ran / audit.MICRO_UNITS_PER_UNIT,
+            "countedUnits": verdict.counted / audit.MICRO_UNITS_PER_UNIT,
+            "exportedUnits": verdict.billed / audit.MICRO_UNITS_PER_UNIT,
             "ranButNeverAnswered": verdict.unanswered,
             "killed": {name: len(ids) for name, ids in self.killed.items()},
             "entries": entries,
-            "eventsSent": sum(self.billing.had.values()),
-            "eventsTwice": sum(1 for count in self.billing.had.values() if count > 1),
-            "billingAnswers": dict(self.billing.answers),
+            "eventsSent": sum(self.billing.delivery_counts.values()),
+            "eventsTwice": sum(1 for count in self.billing.delivery_counts.values() if count > 1),
+            "billingAnswers": dict(self.billing.answer_counts),
             "firms": {
                 f"{one.firm:016x}": [round(one.over, 2), round(one.used, 1), round(one.allowed, 1)] for one in over
             },
-            "mostExcess": round(max((one.share for one in over), default=0.0), 4),
+            "mostExcess": round(max((one.over_ratio for one in over), default=0.0), 4),
             "counterCalls": self.counter.calls,
             "callsATry": round(self.counter.calls / max(1, len(ran)), 3),
             "memoryKb": self.memory,
@@ -377,7 +377,7 @@
             "faults": faults,
         }
 
-    def _draw(self, ran: list[Ran], book: Book, begin: float, end: float) -> None:
+    def _draw(self, ran: list[ReceivedRelay], book: Book, begin: float, end: float) -> None:
         """Use of the firms whose plans changed most, against what their plans let in, over the run."""
         import matplotlib
 
@@ -394,13 +394,13 @@
         }
         shown = sorted(self.firms, key=lambda firm: (not moves[firm.key], -firm.rate))[:4]
         figure, axes = pyplot.subplots(2, 2, figsize=(13, 8), sharex=True)
-        final = audit.due(ran)
+        final = audit.compute_expected_charges(ran)
         for firm, axis in zip(shown, axes.flat, strict=False):
             first = {one.id: one for one in sorted(ran, key=lambda row: -row.at) if one.firm == firm.key}
             rows = sorted(first.values(), key=lambda row: row.at)
             times, used, total = [0.0], [0.0], 0.0
             for one in rows:
-                total += final[one.id].units / audit.MICRO
+                total += final[one.id].units / audit.MICRO_UNITS_PER_UNIT
                 times.append(one.at - begin)
                 used.append(total)
             grid = [begin + (end - begin) * n / 400 for n in range(401)]
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -23,10 +23,10 @@
 from brackenpulley.net.http import Payload
 from brackenpulley.net.loop import READ
 from brackenpulley.simulation.links import Link as Way
-from brackenpulley.standins.hollow import Firm, Hollow, Place, operator
-from brackenpulley.standins.links import Relays
-from brackenpulley.standins.servers import HEARTBEAT, Counter
-from brackenpulley.standins.wire import Line, Listener
+from brackenpulley.standins.hollow import Firm, HollowIngress, ProcessSpec, build_operator_tables
+from brackenpulley.standins.links import LinkProxies
+from brackenpulley.standins.servers import HEARTBEAT_SECONDS, Counter
+from brackenpulley.standins.wire import Connection, Listener
 
 MOST = 12  # that start at once
 LOOK = 0.05  # s between looks at those that are not whole yet
@@ -41,7 +41,7 @@
         super().__init__(told)
         self.rng = random.Random(told["seed"])
         self.rows = {row["place"]["name"]: row for row in told["hollows"]}
-        self.there: dict[str, Hollow] = {}
+        self.there: dict[str, HollowIngress] = {}
         self.gone: Tally[str] = Tally()  # counts of lives that are over
         self.waits: dict[str, float] = {}  # not whole yet: when they were started
         self.took: list[list[float]] = []  # s until ready, until the list is whole
@@ -54,23 +54,23 @@
 
     def _make(self, name: str) -> None:
         row = self.rows[name]
-        place = Place(
+        place = ProcessSpec(
             **{
                 **row["place"],
                 "seeds": tuple(row["place"]["seeds"]),
                 "voters": tuple(tuple(pair) for pair in row["place"]["voters"]),
             }
         )
-        one = Hollow(
+        one = HollowIngress(
             self.loop,
             place,
             row["config"],
-            operator(place, self.told["parts"]),
+            build_operator_tables(place, self.told["parts"]),
             [Firm(**firm) for firm in row["firms"]],
             Silent(),
             self.rng.getrandbits(32),
         )
-        one.dead, one.applied = self._dead, lambda entry: self._applied(entry.index)
+        one.on_member_dead, one.on_applied = self._dead, lambda entry: self._applied(entry.index)
         self.there[name] = one
         self.waits[name] = time.monotonic()
         one.start()
@@ -113,8 +113,8 @@
         return True
 
     def ask_state(self) -> dict[str, Any]:
-        members = [one.members for one in self.there.values()] or [0]
-        indexes = [one.index for one in self.there.values()] or [0]
+        members = [one.member_count for one in self.there.values()] or [0]
+        indexes = [one.applied_index for one in self.there.values()] or [0]
         entered = [
             one.daemon.maintenance is None or bool(one.daemon.maintenance.agent.has_entered)
             for one in self.there.values()
@@ -133,12 +133,12 @@
         busy = 0.0
         for one in self.there.values():
             counts.update(one.daemon.metrics.counts)
-            busy += one.berth.busy
+            busy += one.ingress_loop.busy_seconds
         del counts["longest_turn_us"]
         holds = sorted(one.daemon.metrics.counts.pop("longest_turn_us", 0) for one in self.there.values())
         tries = [
-            sum(one.traffic.tries for one in self.there.values()),
-            sum(one.traffic.served for one in self.there.values()),
+            sum(one.traffic.message_count for one in self.there.values()),
+            sum(one.traffic.served_count for one in self.there.values()),
         ]
         return {"counts": counts, "holds": holds, "busy": busy, "tries": tries}
 
@@ -179,8 +179,8 @@
             self._make(name)
             self.there[name].traffic.start()
 
-        one.ended = over
-        one.end()
+        one.on_end = over
+        one.shut_down()
         return True
 
     def ask_deaths(self) -> dict[str, list[float]]:
@@ -234,19 +234,19 @@
         return on
 
     def ask_counts(self) -> dict[str, int]:
-        return {"passed": self.relays.passed, "lost": self.relays.lost}
+        return {"passed": self.relays.forwarded_datagrams, "lost": self.relays.lost_datagrams}
 
 
-class Handed(Relays):
+class Handed(LinkProxies):
     """Relays whose sockets were opened by another process, and are shared by several: each reads some of them."""
 
     def take(self, name: str, listens: tuple[str, int], datagrams: int, listener: int | None) -> None:
-        self.real[name], self._names[listens[0]] = listens, name
-        self._sockets[name] = socket.socket(fileno=datagrams)
+        self.process_addresses[name], self._names_by_host[listens[0]] = listens, name
+        self._datagram_sockets[name] = socket.socket(fileno=datagrams)
         if listener is not None:
             self._listeners[name] = socket.socket(fileno=listener)
-            self.loop.register(self._listeners[name], READ, lambda events: self._acceptable(name))
-            self.loop.register(self._sockets[name], READ, lambda events: self._readable(name))
+            self.loop.register(self._listeners[name], READ, lambda events: self._accept_connection(name))
+            self.loop.register(self._datagram_sockets[name], READ, lambda events: self._receive_datagrams(name))
 
 
 class Servers(Role):
@@ -276,13 +276,13 @@
         self.encoded = {name: json.dumps(row) for name, row in self.rows.items()}
         self.whole: dict[int, tuple[int, bytes]] = {}  # by how many are listed
         self.changes: deque[tuple[int, bytes]] = deque(maxlen=KEPT)
-        self.watchers: dict[str, list[Line]] = {group: [] for group in told["groups"]}
+        self.watchers: dict[str, list[Connection]] = {group: [] for group in told["groups"]}
         self.counts: Tally[str] = Tally()
         self.listeners = {group: Listener(self.loop, partial(self._heard, group)) for group in told["groups"]}
-        self.loop.call_in(HEARTBEAT, self._beat)
+        self.loop.call_in(HEARTBEAT_SECONDS, self._beat)
 
     def ask_at(self) -> dict[str, str]:
-        return {group: listener.text for group, listener in self.listeners.items()}
+        return {group: listener.address_text for group, listener in self.listeners.items()}
 
     def _list(self, group: str) -> bytes:
         """The first of the list, as many as that group is told."""
@@ -299,7 +299,7 @@
         self.counts[f"{group} {kind}"] += 1
         self.counts[f"{group} {kind}_bytes"] += size
 
-    def _heard(self, group: str, line: Line, payload: Payload) -> None:
+    def _heard(self, group: str, line: Connection, payload: Payload) -> None:
         if b"watch=1" not in payload.target:
             data = self._list(group)
             self._count(group, "whole", len(data))
@@ -315,17 +315,17 @@
             if generation > since and self._told_to(group, data):
                 self._tell(group, "change", line, data)
 
-    def _tell(self, group: str, kind: str, line: Line, data: bytes) -> None:
+    def _tell(self, group: str, kind: str, line: Connection, data: bytes) -> None:
         framed = b"%x\r\n%b\n\r\n" % (len(data) + 1, data)
         self._count(group, kind, len(framed))
         line.send(framed)
 
     def _beat(self) -> None:
         for group, lines in self.watchers.items():
-            lines[:] = [line for line in lines if line.open]
+            lines[:] = [line for line in lines if line.is_open]
             for line in lines:
                 self._tell(group, "beat", line, b"")
-        self.loop.call_in(HEARTBEAT, self._beat)
+        self.loop.call_in(HEARTBEAT_SECONDS, self._beat)
 
     def _change(self, name: str, state: str) -> None:
         self.generation += 1
@@ -339,7 +339,7 @@
         self.changes.append((self.generation, data))
         for group, lines in self.watchers.items():
             for line in lines if self._told_to(group, data) else ():
-                if line.open:
+                if line.is_open:
                     self._tell(group, "change", line, data)
 
     def _told_to(self, group: str, data: bytes) -> bool:
@@ -376,11 +376,11 @@
 
     def __init__(self, role: Role, group: str, numbers: dict[bytes, tuple[float, float]], counts: Tally[str]) -> None:
         super().__init__(role.loop)
-        self.group, self.numbers, self.counts = group, numbers, counts
+        self.group, self.totals, self.counts = group, numbers, counts
 
-    def _feed(self, line: Line, data: bytes) -> None:
+    def _handle_data(self, line: Connection, data: bytes) -> None:
         self.counts[f"{self.group} asked_bytes"] += len(data)
-        super()._feed(line, data)
+        super()._handle_data(line, data)
 
     def _add(self, parts: list[bytes]) -> bytes:
         answer = super()._add(parts)
@@ -397,7 +397,7 @@
         self.parts = {group: Adds(self, group, numbers, self.counts) for group in told["groups"]}
 
     def ask_at(self) -> dict[str, str]:
-        return {group: part.listener.text for group, part in self.parts.items()}
+        return {group: part.listener.address_text for group, part in self.parts.items()}
 
     def ask_counts(self) -> dict[str, int]:
         return self.counts
--- a/brackenpulley/commands/demo.py
+++ b/brackenpulley/commands/demo.py
@@ -27,7 +27,7 @@
 from ..standins.billing import Billing
 from ..standins.clients import Firm, Load
 from ..standins.servers import Counter, Discovery, SimServer
-from ..standins.settings import PLANS, settings
+from ..standins.settings import PLANS, build_settings
 from .common import print_result
 
 FIRM_COUNT = 6
@@ -86,7 +86,7 @@
                     "path": f"{folder}/ledger",
                     "period_s": LEDGER_PERIOD_SECONDS,
                     "grace_s": 0.5,
-                    "export": {"url": f"http://{billing.listener.text}/use"},
+                    "export": {"url": f"http://{billing.listener.address_text}/use"},
                 },
             }
         )
@@ -94,9 +94,9 @@
             {
                 "name": "demo",
                 "listen": "127.0.0.1:0",
-                "discovery": discovery.listener.text,
-                "counter": counter.listener.text,
-                "settings": settings(),
+                "discovery": discovery.listener.address_text,
+                "counter": counter.listener.address_text,
+                "settings": build_settings(),
             },
             {},
             operator,
@@ -127,20 +127,22 @@
             status := _post(f"{folder}/control.sock", "/v1/changes", msgspec.json.encode(plan_change), run_until)
         ) != 201:
             faults.append(f"the control API answered {status} to the change of plan")
-        tries_before_move = len(load.tries)
+        tries_before_move = len(load.messages)
         run_until(lambda: clock() >= begin + seconds, seconds + 5)
         load.stop()
         end = clock()
-        if not run_until(lambda: load.out == 0, 10):
+        if not run_until(lambda: load.in_flight == 0, 10):
             faults.append("messages without an answer")
         if not run_until(lambda: daemon.ledger.status()["openSums"] + daemon.ledger.status()["backlog"] == 0, 15):
             faults.append("use that was not exported")
         counted = daemon.ledger.store.read_totals()
         faults += [fault for fault, _ in daemon.ledger.store.verify() if fault]
-        served_rows = [row for server in servers for row in server.ran]
-        verdict = audit.reconcile(served_rows, {}, counted, billing.units())
-        faults += verdict.faults + audit.answered_once(load.tries, set())
-        excesses = audit.excess(served_rows, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end)
+        served_rows = [row for server in servers for row in server.received_relays]
+        verdict = audit.reconcile(served_rows, {}, counted, billing.sum_micro_units())
+        faults += verdict.faults + audit.find_wrong_answer_counts(load.messages, set())
+        excesses = audit.compute_excess(
+            served_rows, daemon.plans.book, {firm.key: firm.plan for firm in firms}, begin, end
+        )
         load.close()
         daemon.close()
         for listener in (discovery.listener, counter.listener, billing.listener, *(s.listener for s in servers)):
@@ -155,15 +157,15 @@
 
     summary = {
         "seconds": round(end - begin, 1),
-        "tries": len(load.tries),
-        "served": sum(one.status == 200 for one in load.tries),
-        "refused": sum(one.status in (429, 503) for one in load.tries),
+        "tries": len(load.messages),
+        "served": sum(one.status == 200 for one in load.messages),
+        "refused": sum(one.status in (429, 503) for one in load.messages),
         "firmMoved": moved_firm,
-        "servedOnSchool": served_of_total(load.tries[:tries_before_move]),
-        "servedOnCounty": served_of_total(load.tries[tries_before_move:]),
-        "ranUnits": verdict.ran / audit.MICRO,
-        "countedUnits": verdict.counted / audit.MICRO,
-        "exportedUnits": verdict.billed / audit.MICRO,
+        "servedOnSchool": served_of_total(load.messages[:tries_before_move]),
+        "servedOnCounty": served_of_total(load.messages[tries_before_move:]),
+        "ranUnits": verdict.ran / audit.MICRO_UNITS_PER_UNIT,
+        "countedUnits": verdict.counted / audit.MICRO_UNITS_PER_UNIT,
+        "exportedUnits": verdict.billed / audit.MICRO_UNITS_PER_UNIT,
         "exportedEvents": len(billing.events),
         "unitsOverAllowance": round(sum(one.over for one in excesses), 2),
         "agree": not faults,
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -305,7 +305,7 @@
     second_control = ControlClient(f"unix:{fleet.folder}/run/1.sock")
     fleet.until(lambda s: second_control.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "second instance counts")
     period = int(fleet.clock() // 30)
-    assert {int(name) >> 33 for name in fleet.counter.numbers} <= {period - 2, period - 1, period}
+    assert {int(name) >> 33 for name in fleet.counter.totals} <= {period - 2, period - 1, period}
     fleet.load.stop()
 
 
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -259,12 +259,19 @@
     servers = [SimServer(loop, "s-0", random.Random(1))]
     discovery, counter, billing = Discovery(loop, servers), Counter(loop), Billing(loop)
     operator_text = (
-        f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.text}/use"\n'
+        f'[ledger]\npath = "{tmp_path}/ledger"\n[ledger.export]\nurl = "http://{billing.listener.address_text}/use"\n'
         "batch = 10\ntimeout_s = 30.0\n"
     )
 
     def start_process() -> Process:
-        return Process(tmp_path, "n0", free_ports(1)[0], discovery.listener.text, counter.listener.text, operator_text)
+        return Process(
+            tmp_path,
+            "n0",
+            free_ports(1)[0],
+            discovery.listener.address_text,
+            counter.listener.address_text,
+            operator_text,
+        )
 
     def run_until(done: Any) -> None:
         end = time.monotonic() + 20
@@ -281,12 +288,12 @@
     billing.mode = "takes"
     second = start_process()
     run_until(lambda: len(billing.events) == 24)
-    run_until(lambda: billing.answers["takes"] >= 3)
+    run_until(lambda: billing.answer_counts["takes"] >= 3)
     second.process.terminate()
     run_until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
-    assert {billing.had[ident] for ident in before} == {2} and sum(
-        billing.units().values()
+    assert {billing.delivery_counts[ident] for ident in before} == {2} and sum(
+        billing.sum_micro_units().values()
     ) == tally.state.counted_micro_units
     last = Store(str(tmp_path / "ledger"))
     assert last.read_state().acked_seq == 24 and find_faults(last) == []
