--- a/benchmarks/configuration_processes.py
+++ b/benchmarks/configuration_processes.py
@@ -16,7 +16,7 @@
     """Three voters and followers as processes (benchmarks/work_order); every answer of theirs is looked at."""
 
     def __init__(self, followers: int, seed: int) -> None:
-        self.fleet = WorkFleet(3 + followers, seed, 3, more="[configuration]\n")
+        self.fleet = WorkFleet(3 + followers, seed, 3, operator_extra="[configuration]\n")
         self.wrong: list[str] = []
         self.marks: dict[int, str] = {}
         self.seen: dict[tuple[str, int], int] = {}  # process and life: its revision
@@ -32,9 +32,9 @@
             number, mark = shown["revision"], shown["mark"]
             if self.marks.setdefault(number, mark) != mark:
                 self.wrong.append(f"{one.name} has another revision {number}")
-            if number < self.seen.get((one.name, one.lives), 0):
-                self.wrong.append(f"{one.name} went back from {self.seen[one.name, one.lives]} to {number}")
-            self.seen[one.name, one.lives] = number
+            if number < self.seen.get((one.name, one.start_count), 0):
+                self.wrong.append(f"{one.name} went back from {self.seen[one.name, one.start_count]} to {number}")
+            self.seen[one.name, one.start_count] = number
             if number:
                 self.since.setdefault((one.name, number), shown["since"] - shown["agreedAt"])
 
@@ -46,7 +46,7 @@
             self.look()
             return done()
 
-        if not self.fleet.until(looked, patience):
+        if not self.fleet.run_until(looked, patience):
             rows = [(one.name, one.status.get("configuration", {})) for one in self.fleet.processes]
             self.wrong.append(
                 f"{what}: not within {patience:g} s: "
@@ -106,7 +106,7 @@
     try:
         for one in fleet.processes:
             one.start()
-        fleet.watch()
+        fleet.start_polling()
         trial.until(
             "all ready",
             lambda: all(
@@ -116,13 +116,13 @@
         )
         if trial.wrong:
             return {"seed": seed, "processes": size, "s": trial.told, "inForceS": {}, "served": 0, "wrong": trial.wrong}
-        fleet.front()
+        fleet.update_front()
         fleet.load.start()
-        fleet.do(Fault(0.0, "loss", ("*", "0.2")))
+        fleet.inject(Fault(0.0, "loss", ("*", "0.2")))
         trial.change(3, 0, plans=figures(1.0))
         trial.until("1 everywhere, a fifth of the words lost", lambda: trial.has(1, everyone))
-        fleet.do(Fault(0.0, "heal"))
-        fleet.do(Fault(0.0, "part", (f"n{cut}", ",".join(f"n{n}" for n in others))))
+        fleet.inject(Fault(0.0, "heal"))
+        fleet.inject(Fault(0.0, "part", (f"n{cut}", ",".join(f"n{n}" for n in others))))
         before = trial.served(cut)
         trial.change(0, 1, plans=figures(2.0), firms={f"{7:016x}": "new"})
         trial.until("2 where it can be reached", lambda: trial.has(2, others))
@@ -134,24 +134,24 @@
                 and trial.served(cut) > before
             ),
         )
-        fleet.do(Fault(0.0, "stop", ("n3",)))
+        fleet.inject(Fault(0.0, "stop", ("n3",)))
         running = [which for which in others if which != 3]
         trial.change(0, 2, plans=figures(3.0))
         trial.until("3 where nobody stands still", lambda: trial.has(3, running))
         if not trial.has(2, [3]):
             trial.wrong.append("n3 stood still and has 3")
-        fleet.do(Fault(0.0, "go", ("n3",)))
+        fleet.inject(Fault(0.0, "go", ("n3",)))
         trial.until("3 where one stood still", lambda: trial.has(3, others))
-        leader = fleet.named("leader").number if fleet.leader else 0
-        fleet.do(Fault(0.0, "kill", (f"n{leader}",)))
-        fleet.do(Fault(0.0, "kill", ("n3",)))
+        leader = fleet.find_process("leader").number if fleet.leader else 0
+        fleet.inject(Fault(0.0, "kill", (f"n{leader}",)))
+        fleet.inject(Fault(0.0, "kill", ("n3",)))
         running = [which for which in others if which not in (3, leader)]
         trial.change(running[0], 3, plans=figures(4.0), firms={f"{9:016x}": "new"})
         trial.until("4 after the leader's death", lambda: trial.has(4, running))
-        fleet.do(Fault(0.0, "start", (f"n{leader}", "kept")))
-        fleet.do(Fault(0.0, "start", ("n3", "kept")))
+        fleet.inject(Fault(0.0, "start", (f"n{leader}", "kept")))
+        fleet.inject(Fault(0.0, "start", ("n3", "kept")))
         trial.until("4 at those that start anew", lambda: trial.has(4, others), 30.0)
-        fleet.do(Fault(0.0, "heal"))
+        fleet.inject(Fault(0.0, "heal"))
         trial.until("4 at the one that was cut off", lambda: trial.has(4, everyone))
         out = [
             trial.post(which, "/v1/configuration", {"base": 4, "by": f"n{which}", "plans": figures(5.0 + which)})
@@ -180,7 +180,7 @@
             KNOWN,
         )
         fleet.load.stop()
-        fleet.until(lambda: not fleet.load.out, 12.0)
+        fleet.run_until(lambda: not fleet.load.out, 12.0)
         killed = {number for _, number in fleet.killed}
         lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
         if lost:
@@ -196,7 +196,7 @@
             },
             "tries": len(fleet.load.tries),
             "served": sum(one.status == 200 for one in fleet.load.tries),
-            "wrong": trial.wrong + fleet.wrong,
+            "wrong": trial.wrong + fleet.violations,
         }
     finally:
         fleet.close(keep=bool(trial.wrong))
@@ -207,17 +207,17 @@
     with that and changes."""
     found: dict[str, Any] = {}
     for name, more in (("agreed", ""), ("configuration", "[configuration]\n")):
-        fleet = WorkFleet(5, 1, 3, more=more)
+        fleet = WorkFleet(5, 1, 3, operator_extra=more)
         try:
             for one in fleet.processes:
                 one.start()
-            fleet.watch()
-            fleet.until(fleet.entered, 40.0)
-            fleet.going = False  # nobody asks any more
-            fleet.turn(3.0)
+            fleet.start_polling()
+            fleet.run_until(fleet.have_all_entered, 40.0)
+            fleet.is_polling = False  # nobody asks any more
+            fleet.run_for(3.0)
             rows = [("", 0)] if not more else [("", 0), ("Changes", changes)]
             for what, count in rows:
-                before = [one.used() for one in fleet.processes]
+                before = [one.read_usage() for one in fleet.processes]
                 answers: list[int] = []
                 for number in range(count):
                     fleet.loop.call_in(
@@ -231,8 +231,8 @@
                             lambda status, body: answers.append(status),
                         ),
                     )
-                fleet.turn(seconds)
-                after = [one.used() for one in fleet.processes]
+                fleet.run_for(seconds)
+                after = [one.read_usage() for one in fleet.processes]
                 cpu = [(b[0] - a[0]) / seconds * 100 for a, b in zip(before, after, strict=True)]
                 found[name + what] = {
                     "voters": round(sum(cpu[:3]) / 3, 2),
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -69,13 +69,13 @@
         for one in ones:
             one.call("POST", "/v1/drain", None, lambda status, body: None, 2.0)
             fleet.load.down.add(one.number)
-        fleet.turn(0.3)
+        fleet.run_for(0.3)
         for one in ones:
-            if one.process is not None and one.process.poll() is None:
-                one.process.terminate()
-        if not fleet.until(
+            if one.popen is not None and one.popen.poll() is None:
+                one.popen.terminate()
+        if not fleet.run_until(
             lambda ones=ones: all(  # type: ignore[misc]
-                one.process is not None and one.process.poll() is not None for one in ones
+                one.popen is not None and one.popen.poll() is not None for one in ones
             ),
             15.0,
         ):
@@ -83,7 +83,7 @@
         for one in ones:
             one.status = {}
             one.start()
-        if not fleet.until(lambda ones=ones: all(ready(fleet, one) for one in ones), READY):  # type: ignore[misc]
+        if not fleet.run_until(lambda ones=ones: all(ready(fleet, one) for one in ones), READY):  # type: ignore[misc]
             wrong.append(f"not ready in {READY:g} s: {[(one.name, one.status.get('drains')) for one in ones]}")
     return time.monotonic() - begin
 
@@ -103,9 +103,9 @@
         elif what == "cut":
             fleet.relays.links.override(*rng.sample(names, 2), is_cut=True)
         else:
-            one = fleet.named(away[0])
+            one = fleet.find_process(away[0])
             rolled = one.number in fleet.wave  # type: ignore[attr-defined]
-            if one.process is not None and one.process.poll() is None and ready(fleet, one) and not rolled:
+            if one.popen is not None and one.popen.poll() is None and ready(fleet, one) and not rolled:
                 if what == "kill":
                     one.kill()
                     fleet.load.down.add(one.number)
@@ -119,13 +119,18 @@
     fleet.loop.call_in(0.5, one_more)
 
 
-def trial(size: int, rolls: int, limit: int, seed: int, calm: float = 5.0, least: float = CALM) -> dict[str, Any]:
+def run_trial(size: int, rolls: int, limit: int, seed: int, calm: float = 5.0, least: float = CALM) -> dict[str, Any]:
     """`least`: part of what is served in calm that the first roll has to serve; a short run's few tries scatter."""
     at_once = max(1, size // 3)
     fleet = Fleet(
-        size, seed, SERVERS, more=f"[drains]\nlimit = {limit}\nat_once = {at_once}\nspread = 2\n", rate=RATE, mean=MEAN
+        size,
+        seed,
+        SERVERS,
+        operator_extra=f"[drains]\nlimit = {limit}\nat_once = {at_once}\nspread = 2\n",
+        rate=RATE,
+        mean_service_seconds=MEAN,
     )
-    wrong, rng = fleet.wrong, random.Random(seed)
+    wrong, rng = fleet.violations, random.Random(seed)
     bounded = [Bounded(server.listener, limit) for server in fleet.servers]
     fleet.rolling, fleet.wave = False, set()  # type: ignore[attr-defined]
 
@@ -137,14 +142,14 @@
     try:
         for one in fleet.processes:
             one.start()
-        fleet.watch()
-        if not fleet.until(lambda: all(ready(fleet, one) for one in fleet.processes), 40.0):
+        fleet.start_polling()
+        if not fleet.run_until(lambda: all(ready(fleet, one) for one in fleet.processes), 40.0):
             wrong.append(f"not all ready in 40 s: {[one.status.get('drains') for one in fleet.processes]}")
-        fleet.front()
+        fleet.update_front()
         fleet.load.start()
-        fleet.turn(2.0)
+        fleet.run_for(2.0)
         since = len(fleet.load.tries)
-        fleet.turn(calm)
+        fleet.run_for(calm)
         served = share(since)
         rules = Rules(at_once, at_once, 2, size)
         found = [[one.place for one in wave] for wave in plan_waves([Ingress(n) for n in range(size)], rules)]
@@ -159,12 +164,12 @@
             fleet.rolling = False  # type: ignore[attr-defined]
             shares.append(share(since))
             fleet.relays.links.heal()
-            if not fleet.until(lambda: all(ready(fleet, one) for one in fleet.processes), READY):
+            if not fleet.run_until(lambda: all(ready(fleet, one) for one in fleet.processes), READY):
                 wrong.append("not all ready after a roll")
-            fleet.turn(1.0)
+            fleet.run_for(1.0)
         alone = roll(fleet, [[0]], wrong) * size if rolls else 0.0
         fleet.load.stop()
-        fleet.until(lambda: not fleet.load.out, 12.0)
+        fleet.run_until(lambda: not fleet.load.out, 12.0)
         killed = {number for _, number in fleet.killed}
         lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
         if lost:
@@ -272,7 +277,7 @@
         found = schedule(told.cases, told.seed)
         print(json.dumps(found, indent=None if told.json else 1))
         return int(found["worst"] > OPTIMUM)
-    report = trial(told.instances, told.rolls, told.limit, told.seed)
+    report = run_trial(told.instances, told.rolls, told.limit, told.seed)
     print(json.dumps(report, indent=None if told.json else 1))
     return int(bool(report["wrong"]))
 
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from benchmarks.scale.child import ROOT, Child, Silent, used
-from benchmarks.work_order import free_at
+from benchmarks.work_order import find_free_ports
 from brackenpulley.fleet.caller import Call
 from brackenpulley.metrics import Metrics
 from brackenpulley.net import sockets
@@ -59,7 +59,7 @@
         """It listens at a host of its own, so that no connection of others takes its port before it does."""
         self.world, self.kind, self.place = world, kind, place
         host = place.listen.partition(":")[0]
-        self.at, self.control = (host, free_at(host, 1)[0]), f"{place.folder}/control.sock"
+        self.at, self.control = (host, find_free_ports(host, 1)[0]), f"{place.folder}/control.sock"
         self.process: subprocess.Popen[bytes] | None = None
         self.began = self.ready_after = self.whole_after = 0.0
         self.log = Path(place.folder) / "log.txt"
@@ -282,7 +282,7 @@
         self.first = first = 1 + self.rng.randrange(100)
         for number, name in enumerate(names):
             host = f"127.{first + 10 + number // 200}.{1 + number % 200}.1"
-            self.listens[name] = f"{host}:{free_at(host, 1)[0]}"
+            self.listens[name] = f"{host}:{find_free_ports(host, 1)[0]}"
             pair = self._pair()
             made.append(pair)
             self.advertised[name] = f"127.0.0.1:{pair[0].getsockname()[1]}"
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -1,21 +1,23 @@
-"""Machines taken out for work by real processes while links drop, processes die, stand still and come back.
+"""Maintenance of machines by real ingress processes under network faults, crashes, pauses and restarts.
 
     python -m benchmarks.work_order --seconds 60 [--instances 5] [--machines 6] [--seed 1] [--json]
 
-Each ingress is a process of its own; the first three (five from nine on) vote. Between every ordered pair stands a
-relay (standins/links) that the script of the seed cuts, stalls, slows and lets lose; processes get SIGKILL (their disk
-kept, or lost), SIGSTOP and SIGCONT. Operators ask whichever process answers, workers begin what is clear and finish
-it, and clients keep on sending. The sim servers count by themselves what reaches a machine that is away. Exits 1 where
-a bound is broken:
+Each ingress is a process; the first three are voters (five in fleets of nine or more). A network proxy (standins/links)
+between every ordered pair of processes cuts, stalls, delays or drops traffic by a schedule drawn from the seed;
+processes get SIGKILL (with the disk kept or lost), SIGSTOP and SIGCONT. Simulated operators request maintenance from
+any live process, workers begin permits that are clear and finish them, and clients send messages throughout. The sim
+servers record relays that reach a machine under maintenance. Exits 1 if a bound is exceeded:
 
-    more machines out than allowed, in all or in a zone     0
+    machines out beyond the limit, in total or in a zone    0
     two tokens in use for one machine                       0
-    new work over 1 s after the sending ingress has the word  0
+    new relays over 1 s after the sender saw the clearing   0
     work on a machine that was not clear                    0
-    a request not done once a quorum could talk for 10 s    0
-    messages that were taken and not answered               0, but for those in hand where a process was killed, and
-                                                            those whose client left while it stood still
-    leader killed to the next grant, median                 3 s"""
+    permits not done 10 s after a quorum is connected       0
+    messages accepted and not answered                      0, except those in flight in a killed process and those
+                                                            whose client left while the process was stopped
+    median time from a leader's death to the next grant     3 s
+
+The fleet and its processes are also used by rolling_drains and configuration_processes."""
 
 from __future__ import annotations
 
@@ -49,102 +51,113 @@
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import settings
 
-OUT, ZONE, SETTLE = 2, 1, 1.0
-SLACK = 1.0  # s after the word
-ANSWERED = 0.5  # s that a message has while its ingress and this process run: with more it has to be answered
-STOOD = 0.1  # s of a turn of ours, from which on we were not scheduled
-GRANT = 3.0  # s, median
-IDLE = 1.5  # times the CPU of membership alone
-RATE = 40.0  # messages a second over all ingresses
+MAX_MACHINES_OUT = 2
+MAX_MACHINES_OUT_IN_ZONE = 1
+SETTLE_SECONDS = 1.0
+MAX_LATE_RELAY_SECONDS = 1.0  # after the sender saw the clearing
+# A message must be answered once its ingress and this process have both run for this long.
+ANSWER_SECONDS = 0.5
+PAUSE_THRESHOLD_SECONDS = 0.1  # a longer turn of the loop means that this process was not scheduled
+MAX_MEDIAN_GRANT_SECONDS = 3.0
+MAX_IDLE_CPU_RATIO = 1.5  # against membership alone
+MESSAGES_PER_SECOND = 40.0  # over all ingresses
 ZONES = ("hall-a", "hall-b", "hall-c")
 
 
-def free_at(host: str, count: int) -> list[int]:
-    """Different ports that can be listened on there: those of 127.0.0.1 say nothing of another address."""
-    socks = [socket.create_server((host, 0)) for _ in range(count)]
-    ports = [int(sock.getsockname()[1]) for sock in socks]
-    for sock in socks:
-        sock.close()
+def find_free_ports(host: str, count: int) -> list[int]:
+    """Returns distinct free ports of a host; a port free on 127.0.0.1 may be taken on another loopback address."""
+    sockets = [socket.create_server((host, 0)) for _ in range(count)]
+    ports = [int(listener.getsockname()[1]) for listener in sockets]
+    for listener in sockets:
+        listener.close()
     return ports
 
 
-def running(begin: float, end: float, still: list[tuple[float, float]]) -> float:
-    """s of that time without those in which something stood still; these may overlap."""
-    ran, at = end - begin, begin
-    for a, b in sorted(still):
-        a, b = max(a, at), min(b, end)
-        if b > a:
-            ran, at = ran - (b - a), b
-    return ran
+def running_seconds(begin: float, end: float, pauses: list[tuple[float, float]]) -> float:
+    """Returns the seconds of an interval outside all pauses; pauses may overlap."""
+    total, covered_until = end - begin, begin
+    for start, stop in sorted(pauses):
+        start, stop = max(start, covered_until), min(stop, end)
+        if stop > start:
+            total, covered_until = total - (stop - start), stop
+    return total
 
 
 class Process:
+    """One ingress process with its files, addresses and latest status."""
+
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.number, self.name = fleet, number, f"n{number}"
-        # Hardly ever of another run: at 127.0.0.1 a free port may be anybody's connection when its process starts.
+        # A loopback address per process and run: on 127.0.0.1 a port found free may be taken by any outgoing
+        # connection before the process starts.
         self.host = f"127.{10 + number // 200}.{1 + number % 200}.{1 + os.getpid() % 250}"
-        control, at, members = free_at(self.host, 3)
-        self.control, self.at = (self.host, control), (self.host, at)
-        self.address = fleet.relays.add(self.name, (self.host, members))
-        self.process: subprocess.Popen[bytes] | None = None
-        self.stopped = False
-        self.still: list[tuple[float, float]] = []  # from and to, monotonic, inf while it goes on: stopped
+        control_port, listen_port, members_port = find_free_ports(self.host, 3)
+        self.control_address, self.listen_address = (self.host, control_port), (self.host, listen_port)
+        self.members_address = fleet.relays.add(self.name, (self.host, members_port))
+        self.popen: subprocess.Popen[bytes] | None = None
+        self.is_stopped = False
+        self.pauses: list[tuple[float, float]] = []  # (start, end) while stopped; end is inf until SIGCONT
         self.status: dict[str, Any] = {}
-        self.lives = 0
+        self.start_count = 0
 
     @property
     def folder(self) -> Path:
+        """Directory of its configuration, disk and log."""
         return self.fleet.folder / self.name
 
-    def write(self) -> None:
-        """Its files; who seeds and who votes is known once all have their relays."""
+    def write_files(self) -> None:
+        """Writes its settings; seeds and voters are known only once all processes have addresses."""
         fleet = self.fleet
         self.folder.mkdir()
-        raw = settings(fleet.size, self.number)
-        for plan in raw["TiersOfService"]:
+        policy_settings = settings(fleet.size, self.number)
+        for plan in policy_settings["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         (self.folder / "config.json").write_text(
             json.dumps(
                 {
                     "name": self.name,
-                    "listen": f"{self.at[0]}:{self.at[1]}",
+                    "listen": f"{self.listen_address[0]}:{self.listen_address[1]}",
                     "discovery": fleet.discovery.listener.text,
                     "counter": fleet.counter.listener.text,
-                    "settings": raw,
+                    "settings": policy_settings,
                 }
             )
         )
-        seeds = [one.address for one in fleet.processes[:3]]
-        voters = "\n".join(f'{one.name} = "{one.address}"' for one in fleet.processes[: fleet.voters])
-        disk = f'path = "{self.folder}/log"\n' if self.number < fleet.voters else ""
-        agreed = (
-            f"[consensus]\n{disk}[consensus.voters]\n{voters}\n[maintenance]\nout = {OUT}\nzone = {ZONE}\n"
-            f"reserve = 0.0\nsettle_s = {SETTLE}\nlate_s = 120.0\n"
+        seeds = [process.members_address for process in fleet.processes[:3]]
+        voters = "\n".join(
+            f'{process.name} = "{process.members_address}"' for process in fleet.processes[: fleet.voter_count]
+        )
+        disk = f'path = "{self.folder}/log"\n' if self.number < fleet.voter_count else ""
+        consensus_text = (
+            f"[consensus]\n{disk}[consensus.voters]\n{voters}\n"
+            f"[maintenance]\nout = {MAX_MACHINES_OUT}\nzone = {MAX_MACHINES_OUT_IN_ZONE}\n"
+            f"reserve = 0.0\nsettle_s = {SETTLE_SECONDS}\nlate_s = 120.0\n"
         )
         (self.folder / "operator.toml").write_text(
-            f'[control]\nlisten = "{self.control[0]}:{self.control[1]}"\n'
+            f'[control]\nlisten = "{self.control_address[0]}:{self.control_address[1]}"\n'
             f'[members]\nfleet = "trial"\nlisten = "{self.host}:{self.fleet.relays.real[self.name][1]}"\n'
-            f'advertise = "{self.address}"\nseeds = {json.dumps(seeds)}\nkeys = "{fleet.folder}/keys"\n'
-            + (agreed if fleet.agrees else "")
-            + fleet.more
+            f'advertise = "{self.members_address}"\nseeds = {json.dumps(seeds)}\nkeys = "{fleet.folder}/keys"\n'
+            + (consensus_text if fleet.has_consensus else "")
+            + fleet.operator_extra
         )
 
-    def used(self) -> tuple[float, int]:
-        """s of CPU so far, and KB resident."""
-        assert self.process is not None
-        text = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        status = Path(f"/proc/{self.process.pid}/status").read_text()
+    def read_usage(self) -> tuple[float, int]:
+        """Returns CPU seconds used so far and resident memory in KB."""
+        assert self.popen is not None
+        text = Path(f"/proc/{self.popen.pid}/stat").read_text().rpartition(")")[2].split()
+        status = Path(f"/proc/{self.popen.pid}/status").read_text()
         resident = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
         return (int(text[11]) + int(text[12])) / os.sysconf("SC_CLK_TCK"), resident
 
     def start(self, how: str = "kept") -> None:
-        if self.process is not None and self.process.poll() is None:
+        """Starts the process unless it runs; `how` is the state of its disk, kept or lost."""
+        if self.popen is not None and self.popen.poll() is None:
             return
-        if how == "lost" and self.fleet.may_lose(self):
+        if how == "lost" and self.fleet.may_lose_disk(self):
             shutil.rmtree(self.folder / "log", ignore_errors=True)
-        self.lives += 1
+        self.start_count += 1
         with open(self.folder / "log.txt", "ab") as log:
-            self.process = subprocess.Popen(
+            self.popen = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
@@ -160,56 +173,75 @@
                 stderr=log,
                 env={**os.environ, "BRACKENPULLEY_CLOCK": repr(self.fleet.offset)},
             )
-        self.stopped = False
+        self.is_stopped = False
 
     def kill(self) -> None:
-        if self.process is not None:
-            self.process.kill()
-            self.process.wait()
+        """Sends SIGKILL and waits for the exit."""
+        if self.popen is not None:
+            self.popen.kill()
+            self.popen.wait()
             self.fleet.killed.append((time.monotonic(), self.number))
             self.status = {}
 
     def signal(self, number: int) -> None:
-        if self.process is not None and self.process.poll() is None:
-            os.kill(self.process.pid, number)
-            if number == signal.SIGSTOP and not self.stopped:
-                self.still.append((time.monotonic(), inf))
-            elif number == signal.SIGCONT and self.stopped:
-                self.still[-1] = (self.still[-1][0], time.monotonic())
-            self.stopped = number == signal.SIGSTOP
-
-    def call(self, method: str, path: str, body: Any, done: Callable[[int, Any], None], patience: float = 5.0) -> None:
-        def heard(status: int, data: bytes) -> None:
+        """Sends a signal if the process runs and records pauses by SIGSTOP and SIGCONT."""
+        if self.popen is not None and self.popen.poll() is None:
+            os.kill(self.popen.pid, number)
+            if number == signal.SIGSTOP and not self.is_stopped:
+                self.pauses.append((time.monotonic(), inf))
+            elif number == signal.SIGCONT and self.is_stopped:
+                self.pauses[-1] = (self.pauses[-1][0], time.monotonic())
+            self.is_stopped = number == signal.SIGSTOP
+
+    def call(self, method: str, path: str, body: Any, done: Callable[[int, Any], None], timeout: float = 5.0) -> None:
+        """Calls its control API; `done` gets status and decoded body, or status 0 on failure or invalid JSON."""
+
+        def on_response(status: int, data: bytes) -> None:
             try:
                 done(status, json.loads(data) if status else {})
             except ValueError:
                 done(0, {})
 
-        Call(self.fleet.loop, self.control, method, path, json.dumps(body).encode() if body else b"", patience, heard)
+        Call(
+            self.fleet.loop,
+            self.control_address,
+            method,
+            path,
+            json.dumps(body).encode() if body else b"",
+            timeout,
+            on_response,
+        )
 
 
 class Fleet:
+    """Ingress processes, sim servers, clients and network proxies of one trial, with the checks of its bounds."""
+
     def __init__(
         self,
         size: int,
         seed: int,
         machines: int,
-        agrees: bool = True,
-        more: str = "",
-        rate: float = RATE,
-        mean: float = 0.02,
+        has_consensus: bool = True,
+        operator_extra: str = "",
+        rate: float = MESSAGES_PER_SECOND,
+        mean_service_seconds: float = 0.02,
     ) -> None:
-        """`more` of the operator's file; `mean` s that a server works on an attempt."""
-        self.agrees, self.more = agrees, more  # the log and the work are on, not membership alone
-        self.size, self.rng, self.voters = size, random.Random(seed), 5 if size >= 9 else 3
+        """Creates all parts and files; start the processes one by one.
+
+        `has_consensus` adds consensus and maintenance to membership, `operator_extra` is appended to the operator's
+        file, `mean_service_seconds` is the mean service time of a relay."""
+        self.has_consensus, self.operator_extra = has_consensus, operator_extra
+        self.size, self.rng, self.voter_count = size, random.Random(seed), 5 if size >= 9 else 3
         self.folder = Path(tempfile.mkdtemp(prefix="bracken-work-"))
         (self.folder / "keys").write_text(base64.b64encode(b"w" * 32).decode() + "\n")
         (self.folder / "keys").chmod(0o600)
-        self.offset = time.time() - time.monotonic()  # one clock of all processes: times in the log are the trial's
+        self.offset = time.time() - time.monotonic()  # shared by all, to compare times in the log with ours
         self.clock = lambda: time.monotonic() + self.offset
         self.loop = Loop(self.clock, Metrics(), structlog.get_logger())
         self.relays = Relays(self.loop, seed)
-        self.servers = [SimServer(self.loop, f"s-{n}", random.Random(seed + n), mean) for n in range(machines)]
+        self.servers = [
+            SimServer(self.loop, f"s-{n}", random.Random(seed + n), mean_service_seconds) for n in range(machines)
+        ]
         self.discovery, self.counter = Discovery(self.loop, self.servers), Counter(self.loop)
         rows = self.discovery._rows
         self.discovery._rows = (
@@ -220,239 +252,268 @@
         self.processes: list[Process] = []
         for number in range(size):
             self.processes.append(Process(self, number))
-        for one in self.processes:
-            one.write()
+        for process in self.processes:
+            process.write_files()
         firms = [Firm(n + 1, "county", rate / 20, size, 0) for n in range(20)]
-        self.load = Load(self.loop, [one.at for one in self.processes], firms, self.rng)
+        self.load = Load(self.loop, [process.listen_address for process in self.processes], firms, self.rng)
         self.killed: list[tuple[float, int]] = []
-        self.wrong: list[str] = []
-        self.still: list[tuple[float, float]] = []  # from and to: this process, that is clients and servers, did
-        self.jobs: dict[str, dict[str, Any]] = {}  # the newest row of each machine that was seen
+        self.violations: list[str] = []
+        # (start, end) when this process, with clients and servers, was not scheduled.
+        self.pauses: list[tuple[float, float]] = []
+        self.jobs: dict[str, dict[str, Any]] = {}  # latest row of each permit
         self.index = 0
-        # Machine, token and ingress: when that ingress first told of its clearing.
-        self.words: dict[tuple[str, int, int], float] = {}
-        self.begun: set[tuple[str, int]] = set()
-        self.worked: set[tuple[str, int]] = set()
-        # What came to a server that is away as far as was seen: server, machine, token, its sender's word, when.
-        self.arrived: list[tuple[str, str, int, float, float]] = []
-        self.returned: dict[tuple[str, int], float] = {}  # machine and token: when it was agreed that it returns
-        self.working: dict[str, int] = {}  # servers that a worker works on, with the token
-        self.grants: list[float] = []  # s from a leader's death to the next token
-        self._leader_died = 0.0
+        # By machine, token and ingress: when that ingress first reported the clearing.
+        self.clearing_reported_at: dict[tuple[str, int, int], float] = {}
+        self.begun_permits: set[tuple[str, int]] = set()
+        self.worked_permits: set[tuple[str, int]] = set()
+        # Relays to a server that is out: (server, machine, token, when its sender reported the clearing, arrival).
+        self.arrivals_while_out: list[tuple[str, str, int, float, float]] = []
+        # By machine and token: time of the log entry that returned the machine.
+        self.returned_at: dict[tuple[str, int], float] = {}
+        self.tokens_under_work: dict[str, int] = {}  # token by server under work
+        self.grant_delays: list[float] = []  # seconds from a leader's death to the next token
+        self._leader_killed_at = 0.0
         self.leader = ""
-        self.going = True
+        self.is_polling = True
 
-    def named(self, name: str) -> Process:
-        return next(one for one in self.processes if one.name == (self.leader if name == "leader" else name))
+    def find_process(self, name: str) -> Process:
+        """Returns the process of that name; `leader` is the current leader."""
+        return next(
+            process for process in self.processes if process.name == (self.leader if name == "leader" else name)
+        )
 
-    def may_lose(self, which: Process) -> bool:
-        """All other voters are there and sure of their disks."""
-        others = [one.status.get("agreement", {}) for one in self.processes[: self.voters] if one is not which]
+    def may_lose_disk(self, voter: Process) -> bool:
+        """Reports whether all other voters take part and have verified their disks."""
+        others = [
+            process.status.get("agreement", {})
+            for process in self.processes[: self.voter_count]
+            if process is not voter
+        ]
         return all(row.get("proved") and row.get("role") in ("leader", "follower") for row in others)
 
-    # Watching.
+    # Polling of the processes.
 
-    def watch(self) -> None:
-        for one in self.processes:
-            self._ask(one)
+    def start_polling(self) -> None:
+        """Starts polling status and permits of every process."""
+        for process in self.processes:
+            self._poll(process)
 
-    def _ask(self, one: Process) -> None:
-        if not self.going:
+    def _poll(self, process: Process) -> None:
+        if not self.is_polling:
             return
 
-        def heard(status: int, body: Any) -> None:
+        def on_status(status: int, body: Any) -> None:
             if status == 200:
-                one.status = body
+                process.status = body
                 agreed = body.get("agreement", {})
                 if agreed.get("role") == "leader" and agreed.get("current"):
-                    self.leader = one.name
-                one.call("GET", "/v1/work", None, rows)
+                    self.leader = process.name
+                process.call("GET", "/v1/work", None, on_permits)
             else:
-                self.loop.call_in(0.15, lambda: self._ask(one))
+                self.loop.call_in(0.15, lambda: self._poll(process))
 
-        def rows(status: int, body: Any) -> None:
+        def on_permits(status: int, body: Any) -> None:
             if status == 200:
-                self._seen(one, body["index"], body["machines"])
-            self.loop.call_in(0.15, lambda: self._ask(one))
+                self._record_permits(process, body["index"], body["machines"])
+            self.loop.call_in(0.15, lambda: self._poll(process))
 
-        one.call("GET", "/v1/status", None, heard, 2.0)
+        process.call("GET", "/v1/status", None, on_status, 2.0)
 
-    def _seen(self, one: Process, index: int, rows: list[dict[str, Any]]) -> None:
+    def _record_permits(self, process: Process, index: int, rows: list[dict[str, Any]]) -> None:
         now = time.monotonic()
         for row in rows:
             if row["state"] == "clearing" and row["token"]:
-                self.words.setdefault((row["id"], row["token"], one.number), now)
+                self.clearing_reported_at.setdefault((row["id"], row["token"], process.number), now)
             elif row["state"] == "returning":
-                self.returned[row["id"], row["token"]] = row["since"] - self.offset
-            elif row["state"] == "done":  # where its return was not seen, it was agreed so long before at least
-                self.returned.setdefault((row["id"], row["token"]), row["since"] - self.offset - SETTLE)
+                self.returned_at[row["id"], row["token"]] = row["since"] - self.offset
+            elif row["state"] == "done":
+                # A return that was not observed was agreed at least the settling time earlier.
+                self.returned_at.setdefault((row["id"], row["token"]), row["since"] - self.offset - SETTLE_SECONDS)
         if index < self.index:
             return
         self.index = index
         out = [row for row in rows if row["state"] in ("clearing", "clear", "at work", "returning", "stuck")]
         zones = [row["zone"] for row in out]
-        if len(out) > OUT or max([0, *(zones.count(zone) for zone in zones)]) > ZONE:
-            self.wrong.append(f"out at once: {[(row['id'], row['state'], row['zone']) for row in out]}")
+        if len(out) > MAX_MACHINES_OUT or max([0, *(zones.count(zone) for zone in zones)]) > MAX_MACHINES_OUT_IN_ZONE:
+            self.violations.append(f"too many machines out: {[(row['id'], row['state'], row['zone']) for row in out]}")
         for row in rows:
             old = self.jobs.get(row["id"])
             if old is not None and row["token"] < old["token"]:
-                self.wrong.append(f"{row['id']}: token {row['token']} after {old['token']}")
-            if old is not None and row["token"] > old["token"] and self._leader_died:
-                self.grants.append(now - self._leader_died)
-                self._leader_died = 0.0
+                self.violations.append(f"{row['id']}: token {row['token']} after {old['token']}")
+            if old is not None and row["token"] > old["token"] and self._leader_killed_at:
+                self.grant_delays.append(now - self._leader_killed_at)
+                self._leader_killed_at = 0.0
             self.jobs[row["id"]] = row
 
-    # Operators and workers.
+    # Simulated operators and workers.
 
-    def ask(self, path: str, body: Any, done: Callable[[], bool]) -> None:
-        """Of whichever process is up, until it is so."""
-        if done() or not self.going:
+    def post_until(self, path: str, body: Any, done: Callable[[], bool]) -> None:
+        """Posts to a random live process again and again until `done` holds."""
+        if done() or not self.is_polling:
             return
-        there = [one for one in self.processes if not one.stopped and one.process and one.process.poll() is None]
-        again = lambda status, answer: self.loop.call_in(0.2, lambda: self.ask(path, body, done))  # noqa: E731
-        if there:
-            self.rng.choice(there).call("POST", path, body, again)
+        running = [
+            process
+            for process in self.processes
+            if not process.is_stopped and process.popen and process.popen.poll() is None
+        ]
+        retry = lambda status, answer: self.loop.call_in(0.2, lambda: self.post_until(path, body, done))  # noqa: E731
+        if running:
+            self.rng.choice(running).call("POST", path, body, retry)
         else:
-            again(0, None)
+            retry(0, None)
 
-    def order(self, number: int) -> None:
-        """A machine is one sim server; it comes again once it is done."""
+    def request_work(self, number: int) -> None:
+        """Requests maintenance of one machine, which is one sim server."""
         name = f"h{number}"
-        self.ask(
+        self.post_until(
             "/v1/work",
             {"id": name, "by": "trial", "servers": [f"s-{number}"], "zone": ZONES[number % 3], "urgency": number % 2},
             lambda: name in self.jobs,
         )
 
-    def work(self) -> None:
+    def run_workers(self) -> None:
+        """Begins clear permits and works on those begun; runs again every 0.1 s."""
         for name, row in list(self.jobs.items()):
             if not row["servers"]:
-                continue  # an ingress's: see ingress_goes
+                continue  # permit of an ingress: see cycle_ingress
             server = row["servers"][0]
-            if row["state"] == "clear" and (name, row["token"]) not in self.begun:
-                self.begun.add((name, row["token"]))
-                self.ask(
+            if row["state"] == "clear" and (name, row["token"]) not in self.begun_permits:
+                self.begun_permits.add((name, row["token"]))
+                self.post_until(
                     f"/v1/work/{name}/begin",
                     {"token": row["token"]},
                     lambda name=name: self.jobs[name]["state"] != "clear",
                 )  # type: ignore[misc]
-            elif row["state"] == "at work" and (name, row["token"]) not in self.worked:
-                self.worked.add((name, row["token"]))
-                self._begin(name, server, row["token"])
-        if self.going:
-            self.loop.call_in(0.1, self.work)
+            elif row["state"] == "at work" and (name, row["token"]) not in self.worked_permits:
+                self.worked_permits.add((name, row["token"]))
+                self._occupy_server(name, server, row["token"])
+        if self.is_polling:
+            self.loop.call_in(0.1, self.run_workers)
 
-    def _begin(self, name: str, server: str, token: int) -> None:
-        """The machine is worked on: from now on nothing may reach it."""
-        self.working[server] = token
+    def _occupy_server(self, name: str, server: str, token: int) -> None:
+        """Marks the server as under work for 0.8 s, in which no relay may reach it; then finishes the permit."""
+        self.tokens_under_work[server] = token
 
-        def over() -> None:
-            self.working.pop(server, None)
-            self.ask(f"/v1/work/{name}/finish", {"token": token}, lambda: self.jobs[name]["state"] != "at work")
+        def finish() -> None:
+            self.tokens_under_work.pop(server, None)
+            self.post_until(f"/v1/work/{name}/finish", {"token": token}, lambda: self.jobs[name]["state"] != "at work")
 
-        self.loop.call_in(0.8, over)
+        self.loop.call_in(0.8, finish)
 
-    def audit(self) -> None:
-        """What reached a server while it was away, by the server's own count."""
+    def record_arrivals(self) -> None:
+        """Makes the sim servers record every relay that reaches them while they are out."""
         for server in self.servers:
 
             def script(rng: random.Random, server: SimServer = server) -> str:
                 now = time.monotonic()
-                if server.name in self.working:
-                    self.wrong.append(f"{server.name} got work while it was worked on")
+                if server.name in self.tokens_under_work:
+                    self.violations.append(f"{server.name} got a relay while under work")
                 row = self.jobs.get("h" + server.name[2:])
                 if row is not None and row["state"] in ("clearing", "clear", "at work"):
-                    sender = next((one.ingress for one in reversed(self.load.tries) if one.id == server.hearing), -1)
-                    since = self.words.get((row["id"], row["token"], sender), now)
-                    self.arrived.append((server.name, row["id"], row["token"], since, now))
+                    sender = next(
+                        (message.ingress for message in reversed(self.load.tries) if message.id == server.hearing), -1
+                    )
+                    since = self.clearing_reported_at.get((row["id"], row["token"], sender), now)
+                    self.arrivals_while_out.append((server.name, row["id"], row["token"], since, now))
                 return "ok"
 
             server.script = script
 
-    def late(self) -> dict[str, float]:
-        """By server: the longest after its sender's word that work still came. What came after the return was agreed
-        (its entry's time) is the machine's again: senders know that before we see it, and later still where we were
-        not scheduled. One that was not seen to return counts as away for good."""
-        found: dict[str, float] = {}
-        for server, name, token, since, when in self.arrived:
-            if when < self.returned.get((name, token), inf):
-                found[server] = max(found.get(server, 0.0), when - since)
-        return found
+    def longest_late_arrivals(self) -> dict[str, float]:
+        """Returns by server the longest delay in seconds from the sender's report of the clearing to a relay.
+
+        Relays after the agreed time of return (that of the log entry) don't count: senders learn of the return before
+        this process polls it, and longer before if this process was not scheduled. A machine whose return was not
+        observed counts as out for good."""
+        delays: dict[str, float] = {}
+        for server, name, token, since, when in self.arrivals_while_out:
+            if when < self.returned_at.get((name, token), inf):
+                delays[server] = max(delays.get(server, 0.0), when - since)
+        return delays
 
     # Faults.
 
-    def do(self, line: Fault) -> None:
-        words, links = line.arguments, self.relays.links
-        if line.action == "heal":
+    def inject(self, fault: Fault) -> None:
+        """Injects one fault of the schedule."""
+        arguments, links = fault.arguments, self.relays.links
+        if fault.action == "heal":
             links.heal()
             links.default = type(links.default)(delay=0.0, jitter=0.0)
-        elif line.action in ("loss", "double"):
-            part = float(words[1])
+        elif fault.action in ("loss", "double"):
+            probability = float(arguments[1])
             links.default = type(links.default)(
-                0.0, 0.0, part if line.action == "loss" else 0.0, part if line.action == "double" else 0.0
+                0.0,
+                0.0,
+                probability if fault.action == "loss" else 0.0,
+                probability if fault.action == "double" else 0.0,
             )
-        elif line.action == "part":
-            sides = [{self.named(name).name for name in side.split(",")} for side in words]
+        elif fault.action == "part":
+            sides = [{self.find_process(name).name for name in side.split(",")} for side in arguments]
             links.partition(sides[0], sides[1])
-        elif line.action in ("cut", "stall", "slow"):
-            a, b = self.named(words[0]).name, self.named(words[1]).name
-            if line.action == "cut":
-                links.override(a, b, is_cut=True)
-            elif line.action == "stall":
-                links.override(a, b, stalled_until=time.monotonic() + float(words[2]))
+        elif fault.action in ("cut", "stall", "slow"):
+            source, target = self.find_process(arguments[0]).name, self.find_process(arguments[1]).name
+            if fault.action == "cut":
+                links.override(source, target, is_cut=True)
+            elif fault.action == "stall":
+                links.override(source, target, stalled_until=time.monotonic() + float(arguments[2]))
             else:
-                links.override(a, b, delay=float(words[2]))
+                links.override(source, target, delay=float(arguments[2]))
         else:
-            one = self.named(words[0])
-            if line.action == "kill":
-                if one.name == self.leader:
-                    self._leader_died = time.monotonic()
-                one.kill()
-                self.load.down.add(one.number)
-            elif line.action == "start":
-                one.start(words[1])
-            elif line.action in ("stop", "go"):
-                one.signal(signal.SIGSTOP if line.action == "stop" else signal.SIGCONT)
-
-    def _turn(self) -> None:
+            process = self.find_process(arguments[0])
+            if fault.action == "kill":
+                if process.name == self.leader:
+                    self._leader_killed_at = time.monotonic()
+                process.kill()
+                self.load.down.add(process.number)
+            elif fault.action == "start":
+                process.start(arguments[1])
+            elif fault.action in ("stop", "go"):
+                process.signal(signal.SIGSTOP if fault.action == "stop" else signal.SIGCONT)
+
+    def _run_once(self) -> None:
         begin = time.monotonic()
         self.loop.run_once(0.01)
-        if time.monotonic() > begin + STOOD:
-            self.still.append((begin, time.monotonic()))
+        if time.monotonic() > begin + PAUSE_THRESHOLD_SECONDS:
+            self.pauses.append((begin, time.monotonic()))
 
-    def turn(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
+        """Runs the loop for some seconds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self._turn()
+            self._run_once()
 
-    def until(self, done: Callable[[], bool], patience: float) -> bool:
-        end = time.monotonic() + patience
+    def run_until(self, done: Callable[[], bool], timeout: float) -> bool:
+        """Runs the loop until `done` holds; returns False on timeout."""
+        end = time.monotonic() + timeout
         while not done():
             if time.monotonic() > end:
                 return False
-            self._turn()
+            self._run_once()
         return True
 
-    def entered(self) -> bool:
+    def have_all_entered(self) -> bool:
+        """Reports whether every process is ready and registered for maintenance."""
         return all(
-            one.status.get("maintenance", {}).get("entered") and one.status.get("ready") for one in self.processes
+            process.status.get("maintenance", {}).get("entered") and process.status.get("ready")
+            for process in self.processes
         )
 
-    def front(self) -> None:
-        """As the platform's: it admits an ingress that says it is ready, and notices a dead one late."""
-        for one in self.processes:
-            ready = bool(one.status.get("ready")) and one.process is not None and one.process.poll() is None
-            (self.load.down.discard if ready else self.load.down.add)(one.number)
-        if self.going:
-            self.loop.call_in(0.2, self.front)
+    def update_front(self) -> None:
+        """Acts as the load balancer in front: sends to ready ingresses and notices dead ones late, every 0.2 s."""
+        for process in self.processes:
+            ready = bool(process.status.get("ready")) and process.popen is not None and process.popen.poll() is None
+            (self.load.down.discard if ready else self.load.down.add)(process.number)
+        if self.is_polling:
+            self.loop.call_in(0.2, self.update_front)
 
     def close(self, keep: bool = False) -> None:
-        self.going = False
+        """Kills the processes and closes all sockets; `keep` leaves the files."""
+        self.is_polling = False
         self.load.stop()
-        for one in self.processes:
-            if one.process is not None and one.process.poll() is None:
-                one.process.kill()
-                one.process.wait()
+        for process in self.processes:
+            if process.popen is not None and process.popen.poll() is None:
+                process.popen.kill()
+                process.popen.wait()
         self.load.close()
         self.relays.stop()
         for listener in (self.discovery.listener, self.counter.listener, *(s.listener for s in self.servers)):
@@ -462,12 +523,14 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def ingress_goes(fleet: Fleet, place: int) -> float:
-    """An ingress's host goes out under load: drained, ended, started anew, back. Seconds from asking to done."""
-    one, begin = fleet.processes[place], time.monotonic()
-    fleet.ask(
+def cycle_ingress(fleet: Fleet, place: int) -> float:
+    """Takes one ingress out under load: drains it, ends it, restarts it and returns it.
+
+    Returns the seconds from the request to done, 0 if the permit is not cleared."""
+    process, begin = fleet.processes[place], time.monotonic()
+    fleet.post_until(
         "/v1/work",
-        {"id": "ingress", "by": "trial", "ingress": one.name, "place": place, "zone": "hosts"},
+        {"id": "ingress", "by": "trial", "ingress": process.name, "place": place, "zone": "hosts"},
         lambda: "ingress" in fleet.jobs,
     )
 
@@ -477,152 +540,162 @@
     def token() -> dict[str, int]:
         return {"token": fleet.jobs["ingress"]["token"]}
 
-    if not fleet.until(lambda: state() == "clear", 15.0):
-        fleet.wrong.append(f"the ingress is not clear: {fleet.jobs.get('ingress')}")
+    if not fleet.run_until(lambda: state() == "clear", 15.0):
+        fleet.violations.append(f"ingress did not become clear: {fleet.jobs.get('ingress')}")
         return 0.0
-    fleet.ask("/v1/work/ingress/begin", token(), lambda: state() != "clear")
-    fleet.until(lambda: state() == "at work", 5.0)
-    assert one.process is not None
-    before = sum(try_.ingress == place for try_ in fleet.load.tries if try_.status == 200)
-    one.process.terminate()
-    if not fleet.until(lambda: one.process is not None and one.process.poll() is not None, 15.0):
-        fleet.wrong.append("the ingress has not ended 15 s after SIGTERM")
-    if one.process.returncode:
-        fleet.wrong.append(f"the ingress ended with {one.process.returncode}")
-    one.status = {}
-    one.start()
-    fleet.until(lambda: bool(one.status.get("maintenance", {}).get("entered")), 15.0)
-    if one.status.get("ready"):
-        fleet.wrong.append("the ingress is ready while its host is at work")
-    fleet.ask("/v1/work/ingress/finish", token(), lambda: state() != "at work")
-    if not fleet.until(lambda: state() == "done", 20.0):
-        fleet.wrong.append(f"the ingress is not back: {fleet.jobs['ingress']}")
-    fleet.until(lambda: sum(try_.ingress == place for try_ in fleet.load.tries if try_.status == 200) > before, 5.0)
+    fleet.post_until("/v1/work/ingress/begin", token(), lambda: state() != "clear")
+    fleet.run_until(lambda: state() == "at work", 5.0)
+    assert process.popen is not None
+    before = sum(attempted.ingress == place for attempted in fleet.load.tries if attempted.status == 200)
+    process.popen.terminate()
+    if not fleet.run_until(lambda: process.popen is not None and process.popen.poll() is not None, 15.0):
+        fleet.violations.append("ingress did not exit within 15 s of SIGTERM")
+    if process.popen.returncode:
+        fleet.violations.append(f"ingress exited with status {process.popen.returncode}")
+    process.status = {}
+    process.start()
+    fleet.run_until(lambda: bool(process.status.get("maintenance", {}).get("entered")), 15.0)
+    if process.status.get("ready"):
+        fleet.violations.append("ingress is ready while its host is at work")
+    fleet.post_until("/v1/work/ingress/finish", token(), lambda: state() != "at work")
+    if not fleet.run_until(lambda: state() == "done", 20.0):
+        fleet.violations.append(f"ingress did not return: {fleet.jobs['ingress']}")
+    fleet.run_until(
+        lambda: sum(attempted.ingress == place for attempted in fleet.load.tries if attempted.status == 200) > before,
+        5.0,
+    )
     return time.monotonic() - begin
 
 
-def trial(size: int, machines: int, seconds: float, seed: int, script: str = "") -> dict[str, Any]:
-    """`script`: instead of what the seed draws; see simulation/script."""
+def run_trial(size: int, machines: int, seconds: float, seed: int, script: str = "") -> dict[str, Any]:
+    """Runs one trial and returns its report; `script` replaces the faults drawn from the seed (simulation/script)."""
     fleet = Fleet(size, seed, machines)
-    wrong = fleet.wrong
+    violations = fleet.violations
     try:
-        for one in fleet.processes:
-            one.start()
-        fleet.watch()
-        if not fleet.until(fleet.entered, 30.0):
-            wrong.append(f"not all entered in 30 s: {[one.status.get('agreement') for one in fleet.processes]}")
-        fleet.audit()
-        fleet.front()
+        for process in fleet.processes:
+            process.start()
+        fleet.start_polling()
+        if not fleet.run_until(fleet.have_all_entered, 30.0):
+            violations.append(
+                f"not all processes entered in 30 s: {[process.status.get('agreement') for process in fleet.processes]}"
+            )
+        fleet.record_arrivals()
+        fleet.update_front()
         fleet.load.start()
-        names = [one.name for one in fleet.processes]
-        lines = (
+        names = [process.name for process in fleet.processes]
+        faults = (
             parse(script)
             if script
             else [
-                line
-                for line in draw_faults(fleet.rng, names, seconds, 3.0, size - 1)
-                if line.action in ("kill", "start", "stop", "go", "cut", "part", "stall", "loss", "heal")
+                fault
+                for fault in draw_faults(fleet.rng, names, seconds, 3.0, size - 1)
+                if fault.action in ("kill", "start", "stop", "go", "cut", "part", "stall", "loss", "heal")
             ]
         )
         begin = time.monotonic()
-        for line in lines:
-            fleet.loop.call_in(line.at_seconds, lambda line=line: fleet.do(line))  # type: ignore[misc]
+        for fault in faults:
+            fleet.loop.call_in(fault.at_seconds, lambda fault=fault: fleet.inject(fault))  # type: ignore[misc]
         for number in range(machines):
-            fleet.loop.call_in(0.2 + 0.4 * number, lambda number=number: fleet.order(number))  # type: ignore[misc]
-        fleet.work()
-        fleet.turn(seconds * 2 / 3)
-        for one in fleet.processes:
-            if one.process is not None and one.process.poll() is not None:
-                one.start()
-            elif one.stopped:
-                one.signal(signal.SIGCONT)
-        calm = time.monotonic()
+            fleet.loop.call_in(0.2 + 0.4 * number, lambda number=number: fleet.request_work(number))  # type: ignore[misc]
+        fleet.run_workers()
+        fleet.run_for(seconds * 2 / 3)
+        for process in fleet.processes:
+            if process.popen is not None and process.popen.poll() is not None:
+                process.start()
+            elif process.is_stopped:
+                process.signal(signal.SIGCONT)
+        faults_ended = time.monotonic()
 
         def done() -> bool:
             return len(fleet.jobs) == machines and all(row["state"] == "done" for row in fleet.jobs.values())
 
-        if not fleet.until(done, max(20.0, 6.0 * machines)):
-            wrong.append(f"not done: {[(r['id'], r['state'], r['why'], r['missing']) for r in fleet.jobs.values()]}")
-        finished = time.monotonic() - calm
-        ingress = ingress_goes(fleet, size - 1) if not wrong else 0.0
+        if not fleet.run_until(done, max(20.0, 6.0 * machines)):
+            violations.append(
+                f"permits not done: "
+                f"{[(row['id'], row['state'], row['why'], row['missing']) for row in fleet.jobs.values()]}"
+            )
+        finished = time.monotonic() - faults_ended
+        ingress = cycle_ingress(fleet, size - 1) if not violations else 0.0
         fleet.load.stop()
-        fleet.until(lambda: not fleet.load.out, 12.0)
-        # A process that is killed takes what it had in hand with it, and what came to it until the front saw that.
-        excused = [(when - 8.0 - begin, number) for when, number in fleet.killed]
+        fleet.run_until(lambda: not fleet.load.out, 12.0)
+        # A killed process loses its messages in flight and those sent to it until the front notices the death.
+        killed = [(when - 8.0 - begin, number) for when, number in fleet.killed]
         lost = [
-            one
-            for one in fleet.load.tries
-            if not one.status and one.taken and not any(number == one.ingress for _, number in excused)
+            message
+            for message in fleet.load.tries
+            if not message.status and message.taken and not any(number == message.ingress for _, number in killed)
         ]
-        # Nobody answers a client that has left before its message could be read: see ANSWERED.
-        left = [
-            one
-            for one in lost
-            if running(
-                one.sent - fleet.offset, one.ended - fleet.offset, [*fleet.still, *fleet.processes[one.ingress].still]
+        # A client that left before its message could be read gets no answer: see ANSWER_SECONDS.
+        abandoned = [
+            message
+            for message in lost
+            if running_seconds(
+                message.sent - fleet.offset,
+                message.ended - fleet.offset,
+                [*fleet.pauses, *fleet.processes[message.ingress].pauses],
             )
-            < ANSWERED
+            < ANSWER_SECONDS
         ]
-        if len(lost) > len(left):
-            wrong.append(f"{len(lost) - len(left)} messages lost at ingresses that were not killed")
-        afters = fleet.late()
-        late = {name: round(after, 2) for name, after in afters.items() if after > SLACK + 0.5}
+        if len(lost) > len(abandoned):
+            violations.append(f"{len(lost) - len(abandoned)} messages lost at ingresses that were not killed")
+        delays = fleet.longest_late_arrivals()
+        late = {name: round(delay, 2) for name, delay in delays.items() if delay > MAX_LATE_RELAY_SECONDS + 0.5}
         if late:
-            wrong.append(f"new work after the word, in s: {late}")
-        grants = [round(after, 2) for after in fleet.grants]
-        if len(grants) >= 3 and statistics.median(grants) > GRANT:
-            wrong.append(f"leader killed to next grant: {grants}")
+            violations.append(f"new relays after the clearing was reported, in s: {late}")
+        grants = [round(delay, 2) for delay in fleet.grant_delays]
+        if len(grants) >= 3 and statistics.median(grants) > MAX_MEDIAN_GRANT_SECONDS:
+            violations.append(f"time from a leader's death to the next grant, in s: {grants}")
         return {
             "seed": seed,
             "instances": size,
             "machines": machines,
-            "script": [str(line) for line in lines],
+            "script": [str(fault) for fault in faults],
             "tokens": sum(row["token"] > 0 for row in fleet.jobs.values()),
             "doneAfterCalmS": round(finished, 1),
             "ingressOutAndBackS": round(ingress, 1),
             "killed": len(fleet.killed),
             "grantsAfterDeathS": grants,
-            "latestWorkS": round(max(afters.values(), default=0.0), 2),
+            "latestWorkS": round(max(delays.values(), default=0.0), 2),
             "tries": len(fleet.load.tries),
-            "leftWhileStopped": len(left),
-            "served": sum(one.status == 200 for one in fleet.load.tries),
+            "leftWhileStopped": len(abandoned),
+            "served": sum(message.status == 200 for message in fleet.load.tries),
             "relayed": fleet.relays.passed,
             "relaysLost": fleet.relays.lost,
-            "wrong": wrong,
+            "wrong": violations,
         }
     finally:
-        fleet.close(keep=bool(wrong))
+        fleet.close(keep=bool(violations))
 
 
-def idle(size: int, seconds: float) -> dict[str, Any]:
-    """CPU and memory of a process without load: membership alone, and with the log and the work on."""
+def measure_idle(size: int, seconds: float) -> dict[str, Any]:
+    """Measures CPU and memory of an idle process, with membership alone and with consensus and maintenance."""
     found: dict[str, Any] = {"instances": size}
-    for name, agrees in (("members", False), ("agreed", True)):
-        fleet = Fleet(size, 1, 3, agrees)
+    for name, has_consensus in (("members", False), ("agreed", True)):
+        fleet = Fleet(size, 1, 3, has_consensus)
         try:
-            for one in fleet.processes:
-                one.start()
-            fleet.watch()
-            fleet.until(
+            for process in fleet.processes:
+                process.start()
+            fleet.start_polling()
+            fleet.run_until(
                 lambda fleet=fleet: all(  # type: ignore[misc]
-                    one.status.get("members", {}).get("members") == size for one in fleet.processes
+                    process.status.get("members", {}).get("members") == size for process in fleet.processes
                 ),
                 30.0,
             )
-            if agrees:
-                fleet.until(fleet.entered, 30.0)
-            fleet.going = False  # nobody asks any more
-            fleet.turn(3.0)
-            before = [one.used() for one in fleet.processes]
-            fleet.turn(seconds)
-            after = [one.used() for one in fleet.processes]
+            if has_consensus:
+                fleet.run_until(fleet.have_all_entered, 30.0)
+            fleet.is_polling = False  # stops the polling
+            fleet.run_for(3.0)
+            before = [process.read_usage() for process in fleet.processes]
+            fleet.run_for(seconds)
+            after = [process.read_usage() for process in fleet.processes]
         finally:
             fleet.close()
-        cpu = [(b[0] - a[0]) / seconds * 100 for a, b in zip(before, after, strict=True)]
+        cpu = [(end[0] - start[0]) / seconds * 100 for start, end in zip(before, after, strict=True)]
         found[name] = {
             "cpuPercent": round(statistics.mean(cpu), 2),
             "mostCpuPercent": round(max(cpu), 2),
-            "residentMb": round(statistics.mean(b[1] for b in after) / 1024, 1),
+            "residentMb": round(statistics.mean(end[1] for end in after) / 1024, 1),
         }
     found["cpuRatio"] = round(found["agreed"]["cpuPercent"] / found["members"]["cpuPercent"], 2)
     found["memoryRatio"] = round(found["agreed"]["residentMb"] / found["members"]["residentMb"], 2)
@@ -630,23 +703,28 @@
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seconds", type=float, default=60.0)
-    words.add_argument("--instances", type=int, default=5)
-    words.add_argument("--machines", type=int, default=6)
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--script", default="", help="a file with faults instead of those that the seed draws")
-    words.add_argument("--json", action="store_true")
-    words.add_argument("--idle", action="store_true", help="CPU and memory without load instead")
-    told = words.parse_args()
-    if told.idle:
-        found = idle(told.instances, told.seconds)
-        print(json.dumps(found, indent=None if told.json else 1))
-        return int(found["cpuRatio"] > IDLE)
-    report = trial(
-        told.instances, told.machines, told.seconds, told.seed, Path(told.script).read_text() if told.script else ""
+    """Runs a trial or the idle measurement and prints its report; returns the exit status."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--seconds", type=float, default=60.0)
+    parser.add_argument("--instances", type=int, default=5)
+    parser.add_argument("--machines", type=int, default=6)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--script", default="", help="file with a fault schedule, instead of one drawn from the seed")
+    parser.add_argument("--json", action="store_true")
+    parser.add_argument("--idle", action="store_true", help="measure CPU and memory without load instead")
+    options = parser.parse_args()
+    if options.idle:
+        found = measure_idle(options.instances, options.seconds)
+        print(json.dumps(found, indent=None if options.json else 1))
+        return int(found["cpuRatio"] > MAX_IDLE_CPU_RATIO)
+    report = run_trial(
+        options.instances,
+        options.machines,
+        options.seconds,
+        options.seed,
+        Path(options.script).read_text() if options.script else "",
     )
-    print(json.dumps(report, indent=None if told.json else 1))
+    print(json.dumps(report, indent=None if options.json else 1))
     return int(bool(report["wrong"]))
 
 
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -9,8 +9,8 @@
 import pytest
 
 from benchmarks.rolling_drains import schedule
-from benchmarks.rolling_drains import trial as run_rolling_restart
-from benchmarks.work_order import Fleet, running, trial
+from benchmarks.rolling_drains import run_trial as run_rolling_restart
+from benchmarks.work_order import Fleet, run_trial, running_seconds
 from brackenpulley.address import ConfigError
 from brackenpulley.operator import decode, load
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("name", list(SCRIPTS))
 def test_machines_are_taken_out_in_the_agreed_order_under_faults(name: str) -> None:
-    report = trial(5, 4, 15.0, 1, SCRIPTS[name])
+    report = run_trial(5, 4, 15.0, 1, SCRIPTS[name])
     assert report["wrong"] == []
     assert report["tokens"] == 5 and report["served"] > 150
 
@@ -57,23 +57,27 @@
     try:
 
         def observe(state: str, since: float, token: int = 4) -> None:
-            fleet._seen(
+            fleet._record_permits(
                 fleet.processes[0],
                 9,
                 [{"id": "h0", "state": state, "token": token, "since": fleet.offset + since, "zone": "z"}],
             )
 
-        fleet.arrived = [("s-0", "h0", 4, 100.0, when) for when in (100.2, 103.14, 103.2)]
+        fleet.arrivals_while_out = [("s-0", "h0", 4, 100.0, when) for when in (100.2, 103.14, 103.2)]
         observe("at work", 102.0)
-        assert fleet.late()["s-0"] == pytest.approx(3.2)  # no return was observed, so every later relay counts as late
+        assert fleet.longest_late_arrivals()["s-0"] == pytest.approx(
+            3.2
+        )  # no return was observed, so every later relay counts as late
         observe("done", 104.15)
-        assert fleet.late()["s-0"] == pytest.approx(3.14)  # it returned 1 s before it was done
+        assert fleet.longest_late_arrivals()["s-0"] == pytest.approx(3.14)  # it returned 1 s before it was done
         observe("returning", 103.1)
-        assert fleet.late()["s-0"] == pytest.approx(0.2)
-        fleet.arrived.append(("s-0", "h0", 4, 100.0, 103.09))
-        assert fleet.late()["s-0"] == pytest.approx(3.09)
-        fleet.arrived.append(("s-0", "h0", 5, 105.0, 109.0))  # another permit, which the observed return does not end
-        assert fleet.late()["s-0"] == pytest.approx(4.0)
+        assert fleet.longest_late_arrivals()["s-0"] == pytest.approx(0.2)
+        fleet.arrivals_while_out.append(("s-0", "h0", 4, 100.0, 103.09))
+        assert fleet.longest_late_arrivals()["s-0"] == pytest.approx(3.09)
+        fleet.arrivals_while_out.append(
+            ("s-0", "h0", 5, 105.0, 109.0)
+        )  # another permit, which the observed return does not end
+        assert fleet.longest_late_arrivals()["s-0"] == pytest.approx(4.0)
     finally:
         fleet.close()
 
@@ -92,7 +96,7 @@
     ],
 )
 def test_running_time_excludes_pauses(pauses: list[tuple[float, float]], expected: float) -> None:
-    assert running(10.0, 14.0, pauses) == pytest.approx(expected)
+    assert running_seconds(10.0, 14.0, pauses) == pytest.approx(expected)
 
 
 def test_rolling_restart_with_faults_never_exceeds_a_servers_limit() -> None:
