--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -1,18 +1,18 @@
-"""Rolls of pooling ingresses whose connections never pass a server's limit: real processes, servers that count.
+"""Rolling restarts of ingresses with pooled connections, which must stay within each sim server's connection limit.
 
     python -m benchmarks.rolling_drains [--instances 12] [--rolls 3] [--limit 16] [--seed 1] [--json]
-    python -m benchmarks.rolling_drains --schedule       waves against the optimum of an integer programme, no processes
+    python -m benchmarks.rolling_drains --schedule       compares waves with an integer program, no processes
 
-Every ingress is a process; each sim server holds `--limit` connections of all of them together, counts by itself and
-refuses what comes beyond. The ingresses are rolled in the waves of `drains/schedule` (SIGTERM, a new process, ready)
-under load; from the second roll on with faults between the processes (partitions, a killed ingress, a stopped one).
-Exits 1 where a bound is broken:
+Every ingress is a process. Each sim server accepts `--limit` connections from all ingresses together, counts them
+itself and resets those beyond. The ingresses are restarted under load in the waves of `drains/schedule` (SIGTERM, a new
+process, ready); from the second restart on with faults between the processes (partitions, SIGKILL, SIGSTOP). Exits 1
+if a bound is exceeded:
 
-    connections at a server beyond its limit           0
-    messages lost at ingresses that were not killed    0
-    served in a roll, of what is served in calm        0.97 at least, 0.9 with faults
-    a roll, of the time of one ingress at a time        a third at most, where three or more go together
-    waves against the optimum                          1.3 at most"""
+    connections beyond a server's limit                       0
+    messages lost at ingresses that were not killed           0
+    success ratio in a restart, against that without restart  at least 0.97, 0.9 with faults
+    duration, against one ingress at a time                   at most a third, if three or more restart together
+    total time of the waves, against the optimum              at most 1.3"""
 
 from __future__ import annotations
 
@@ -28,233 +28,275 @@
 from brackenpulley.drains.schedule import Ingress, Rules, plan_waves, total_seconds
 from brackenpulley.standins.wire import Listener
 
-RATE, MEAN, SERVERS = 60.0, 0.05, 3
-CALM, FAULTS, TIME, OPTIMUM = 0.97, 0.9, 1 / 3, 1.3
-READY = 25.0  # s
+MESSAGES_PER_SECOND = 60.0  # over all ingresses
+MEAN_SERVICE_SECONDS = 0.05
+SERVER_COUNT = 3
+# Success ratios of a restart against the ratio before it; duration against one ingress at a time; schedule against the
+# optimum.
+MIN_SERVED_RATIO, MIN_SERVED_RATIO_WITH_FAULTS, MAX_DURATION_RATIO, MAX_SCHEDULE_RATIO = 0.97, 0.9, 1 / 3, 1.3
+READY_TIMEOUT_SECONDS = 25.0
 
 
-class Bounded:
-    """A server's listener: how many connections it holds, the most of them, and what came beyond."""
+class LimitedListener:
+    """Enforces a connection limit on a sim server's listener; counts the peak and the connections beyond the limit."""
 
     def __init__(self, listener: Listener, limit: int) -> None:
-        self.listener, self.limit, self.most, self.beyond = listener, limit, 0, 0
+        self.listener, self.limit, self.peak_count, self.excess_count = listener, limit, 0, 0
         accept = listener._acceptable
 
-        def counted(events: int) -> None:
-            for line in list(listener.lines):  # what has ended and was not read yet is held no more
+        def accept_counted(events: int) -> None:
+            for line in list(listener.lines):  # reads pending ends, so that closed connections don't count
                 line._event(1)
             before = set(listener.lines)
             accept(events)
-            self.most = max(self.most, len(listener.lines))
-            for line in [one for one in listener.lines if one not in before][max(0, limit - len(before)) :]:
-                self.beyond += 1
+            self.peak_count = max(self.peak_count, len(listener.lines))
+            for line in [line for line in listener.lines if line not in before][max(0, limit - len(before)) :]:
+                self.excess_count += 1
                 line.reset()
 
-        listener._acceptable = counted  # type: ignore[method-assign]
+        listener._acceptable = accept_counted  # type: ignore[method-assign]
         assert listener.sock is not None
         listener.loop.unregister(listener.sock)
-        listener.loop.register(listener.sock, 1, counted)
+        listener.loop.register(listener.sock, 1, accept_counted)
 
 
-def ready(fleet: Fleet, one: Process) -> bool:
-    return bool(one.status.get("ready")) and one.status.get("drains", {}).get("entered", False)
+def is_ready(fleet: Fleet, process: Process) -> bool:
+    """Reports whether a process is ready and registered for drains."""
+    return bool(process.status.get("ready")) and process.status.get("drains", {}).get("entered", False)
 
 
-def roll(fleet: Fleet, found: list[list[int]], wrong: list[str]) -> float:
-    """Each wave at once; the next begins when all of it are ready. Seconds."""
+def restart_in_waves(fleet: Fleet, waves: list[list[int]], violations: list[str]) -> float:
+    """Restarts the ingresses wave by wave, the next once all of a wave are ready; returns the seconds it took."""
     begin = time.monotonic()
-    for wave in found:
-        ones = [fleet.processes[place] for place in wave]
+    for wave in waves:
+        restarted = [fleet.processes[place] for place in wave]
         fleet.wave = set(wave)  # type: ignore[attr-defined]
-        for one in ones:
-            one.call("POST", "/v1/drain", None, lambda status, body: None, 2.0)
-            fleet.load.down.add(one.number)
+        for process in restarted:
+            process.call("POST", "/v1/drain", None, lambda status, body: None, 2.0)
+            fleet.load.down.add(process.number)
         fleet.run_for(0.3)
-        for one in ones:
-            if one.popen is not None and one.popen.poll() is None:
-                one.popen.terminate()
+        for process in restarted:
+            if process.popen is not None and process.popen.poll() is None:
+                process.popen.terminate()
         if not fleet.run_until(
-            lambda ones=ones: all(  # type: ignore[misc]
-                one.popen is not None and one.popen.poll() is not None for one in ones
+            lambda restarted=restarted: all(  # type: ignore[misc]
+                process.popen is not None and process.popen.poll() is not None for process in restarted
             ),
             15.0,
         ):
-            wrong.append(f"not ended 15 s after SIGTERM: {[one.name for one in ones]}")
-        for one in ones:
-            one.status = {}
-            one.start()
-        if not fleet.run_until(lambda ones=ones: all(ready(fleet, one) for one in ones), READY):  # type: ignore[misc]
-            wrong.append(f"not ready in {READY:g} s: {[(one.name, one.status.get('drains')) for one in ones]}")
+            violations.append(f"did not exit within 15 s of SIGTERM: {[process.name for process in restarted]}")
+        for process in restarted:
+            process.status = {}
+            process.start()
+        if not fleet.run_until(
+            lambda restarted=restarted: all(is_ready(fleet, process) for process in restarted),  # type: ignore[misc]
+            READY_TIMEOUT_SECONDS,
+        ):
+            violations.append(
+                f"not ready in {READY_TIMEOUT_SECONDS:g} s: "
+                f"{[(process.name, process.status.get('drains')) for process in restarted]}"
+            )
     return time.monotonic() - begin
 
 
-def faults(fleet: Fleet, rng: random.Random, seconds: float) -> None:
-    """Between the processes, while they are rolled: a partition of a few, a killed one, a stopped one, in turn."""
+def inject_faults(fleet: Fleet, rng: random.Random, seconds: float) -> None:
+    """Injects random faults one after another during a restart: partition, one-way cut, SIGSTOP or SIGKILL."""
 
-    def one_more() -> None:
-        if not fleet.rolling:  # type: ignore[attr-defined]
+    def inject_next() -> None:
+        if not fleet.is_restarting:  # type: ignore[attr-defined]
             fleet.relays.links.heal()
             return
-        names = [one.name for one in fleet.processes]
-        what = rng.choice(("part", "cut", "stop", "kill"))
-        away = rng.sample(names, max(1, len(names) // 4))
-        if what == "part":
-            fleet.relays.links.partition(set(away), set(names) - set(away))
-        elif what == "cut":
+        names = [process.name for process in fleet.processes]
+        kind = rng.choice(("part", "cut", "stop", "kill"))
+        chosen = rng.sample(names, max(1, len(names) // 4))
+        if kind == "part":
+            fleet.relays.links.partition(set(chosen), set(names) - set(chosen))
+        elif kind == "cut":
             fleet.relays.links.override(*rng.sample(names, 2), is_cut=True)
         else:
-            one = fleet.find_process(away[0])
-            rolled = one.number in fleet.wave  # type: ignore[attr-defined]
-            if one.popen is not None and one.popen.poll() is None and ready(fleet, one) and not rolled:
-                if what == "kill":
-                    one.kill()
-                    fleet.load.down.add(one.number)
-                    fleet.loop.call_in(1.0, one.start)
+            process = fleet.find_process(chosen[0])
+            is_in_wave = process.number in fleet.wave  # type: ignore[attr-defined]
+            if (
+                process.popen is not None
+                and process.popen.poll() is None
+                and is_ready(fleet, process)
+                and not is_in_wave
+            ):
+                if kind == "kill":
+                    process.kill()
+                    fleet.load.down.add(process.number)
+                    fleet.loop.call_in(1.0, process.start)
                 else:
-                    one.signal(signal.SIGSTOP)
-                    fleet.loop.call_in(1.5, lambda: one.signal(signal.SIGCONT))
+                    process.signal(signal.SIGSTOP)
+                    fleet.loop.call_in(1.5, lambda: process.signal(signal.SIGCONT))
         fleet.loop.call_in(1.5, fleet.relays.links.heal)
-        fleet.loop.call_in(2.0 + rng.random(), one_more)
+        fleet.loop.call_in(2.0 + rng.random(), inject_next)
 
-    fleet.loop.call_in(0.5, one_more)
+    fleet.loop.call_in(0.5, inject_next)
 
 
-def run_trial(size: int, rolls: int, limit: int, seed: int, calm: float = 5.0, least: float = CALM) -> dict[str, Any]:
-    """`least`: part of what is served in calm that the first roll has to serve; a short run's few tries scatter."""
+def run_trial(
+    size: int,
+    restart_count: int,
+    limit: int,
+    seed: int,
+    baseline_seconds: float = 5.0,
+    min_served_ratio: float = MIN_SERVED_RATIO,
+) -> dict[str, Any]:
+    """Runs one trial and returns its report.
+
+    `min_served_ratio` is the success ratio that the first restart needs, against the ratio before it; short runs need
+    a lower one, as the ratio scatters over few messages."""
     at_once = max(1, size // 3)
     fleet = Fleet(
         size,
         seed,
-        SERVERS,
+        SERVER_COUNT,
         operator_extra=f"[drains]\nlimit = {limit}\nat_once = {at_once}\nspread = 2\n",
-        rate=RATE,
-        mean_service_seconds=MEAN,
+        rate=MESSAGES_PER_SECOND,
+        mean_service_seconds=MEAN_SERVICE_SECONDS,
     )
-    wrong, rng = fleet.violations, random.Random(seed)
-    bounded = [Bounded(server.listener, limit) for server in fleet.servers]
-    fleet.rolling, fleet.wave = False, set()  # type: ignore[attr-defined]
+    violations, rng = fleet.violations, random.Random(seed)
+    listeners = [LimitedListener(server.listener, limit) for server in fleet.servers]
+    fleet.is_restarting, fleet.wave = False, set()  # type: ignore[attr-defined]
 
-    def share(since: int) -> float:
-        """Served, of the tries that ended since."""
-        ended = [one for one in fleet.load.tries[since:] if one.ended]
-        return sum(one.status == 200 for one in ended) / max(1, len(ended))
+    def served_ratio(since: int) -> float:
+        """Returns the success ratio of the messages that ended, from a given number on."""
+        ended = [message for message in fleet.load.tries[since:] if message.ended]
+        return sum(message.status == 200 for message in ended) / max(1, len(ended))
 
     try:
-        for one in fleet.processes:
-            one.start()
+        for process in fleet.processes:
+            process.start()
         fleet.start_polling()
-        if not fleet.run_until(lambda: all(ready(fleet, one) for one in fleet.processes), 40.0):
-            wrong.append(f"not all ready in 40 s: {[one.status.get('drains') for one in fleet.processes]}")
+        if not fleet.run_until(lambda: all(is_ready(fleet, process) for process in fleet.processes), 40.0):
+            violations.append(
+                f"not all processes ready in 40 s: {[process.status.get('drains') for process in fleet.processes]}"
+            )
         fleet.update_front()
         fleet.load.start()
         fleet.run_for(2.0)
         since = len(fleet.load.tries)
-        fleet.run_for(calm)
-        served = share(since)
+        fleet.run_for(baseline_seconds)
+        baseline = served_ratio(since)
         rules = Rules(at_once, at_once, 2, size)
-        found = [[one.place for one in wave] for wave in plan_waves([Ingress(n) for n in range(size)], rules)]
-        took: list[float] = []
-        shares: list[float] = []
-        for number in range(rolls):
+        waves = [[ingress.place for ingress in wave] for wave in plan_waves([Ingress(n) for n in range(size)], rules)]
+        durations: list[float] = []
+        served_ratios: list[float] = []
+        for number in range(restart_count):
             if number:
-                fleet.rolling = True  # type: ignore[attr-defined]
-                faults(fleet, rng, 60.0)
+                fleet.is_restarting = True  # type: ignore[attr-defined]
+                inject_faults(fleet, rng, 60.0)
             since = len(fleet.load.tries)
-            took.append(roll(fleet, found, wrong))
-            fleet.rolling = False  # type: ignore[attr-defined]
-            shares.append(share(since))
+            durations.append(restart_in_waves(fleet, waves, violations))
+            fleet.is_restarting = False  # type: ignore[attr-defined]
+            served_ratios.append(served_ratio(since))
             fleet.relays.links.heal()
-            if not fleet.run_until(lambda: all(ready(fleet, one) for one in fleet.processes), READY):
-                wrong.append("not all ready after a roll")
+            if not fleet.run_until(
+                lambda: all(is_ready(fleet, process) for process in fleet.processes), READY_TIMEOUT_SECONDS
+            ):
+                violations.append("not all processes ready after a restart")
             fleet.run_for(1.0)
-        alone = roll(fleet, [[0]], wrong) * size if rolls else 0.0
+        one_by_one_seconds = restart_in_waves(fleet, [[0]], violations) * size if restart_count else 0.0
         fleet.load.stop()
         fleet.run_until(lambda: not fleet.load.out, 12.0)
         killed = {number for _, number in fleet.killed}
-        lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
+        lost = [
+            message
+            for message in fleet.load.tries
+            if not message.status and message.taken and message.ingress not in killed
+        ]
         if lost:
-            wrong.append(f"{len(lost)} messages lost at ingresses that were not killed")
-        if beyond := sum(one.beyond for one in bounded):
-            wrong.append(f"{beyond} connections beyond a limit")
-        for number, part in enumerate(shares):
-            if part < (least if not number else min(least, FAULTS)) * served:
-                wrong.append(f"roll {number} served {part:.3f}, in calm {served:.3f}")
-        if at_once >= 3 and took and took[0] > TIME * alone:
-            wrong.append(f"a roll took {took[0]:.1f} s, one at a time {alone:.1f}")
+            violations.append(f"{len(lost)} messages lost at ingresses that were not killed")
+        if excess := sum(listener.excess_count for listener in listeners):
+            violations.append(f"{excess} connections beyond the server limit")
+        for number, ratio in enumerate(served_ratios):
+            if (
+                ratio
+                < (min_served_ratio if not number else min(min_served_ratio, MIN_SERVED_RATIO_WITH_FAULTS)) * baseline
+            ):
+                violations.append(f"restart {number} served {ratio:.3f}, {baseline:.3f} before it")
+        if at_once >= 3 and durations and durations[0] > MAX_DURATION_RATIO * one_by_one_seconds:
+            violations.append(f"a restart took {durations[0]:.1f} s, one ingress at a time {one_by_one_seconds:.1f} s")
         return {
             "seed": seed,
             "instances": size,
             "limit": limit,
-            "waves": len(found),
-            "rollsS": [round(one, 1) for one in took],
-            "oneAtATimeS": round(alone, 1),
-            "servedCalm": round(served, 3),
-            "servedInRolls": [round(one, 3) for one in shares],
-            "mostAtAServer": [one.most for one in bounded],
-            "beyond": sum(one.beyond for one in bounded),
+            "waves": len(waves),
+            "rollsS": [round(value, 1) for value in durations],
+            "oneAtATimeS": round(one_by_one_seconds, 1),
+            "servedCalm": round(baseline, 3),
+            "servedInRolls": [round(value, 3) for value in served_ratios],
+            "mostAtAServer": [listener.peak_count for listener in listeners],
+            "beyond": sum(listener.excess_count for listener in listeners),
             "killed": len(fleet.killed),
             "tries": len(fleet.load.tries),
             "lost": len(lost),
-            "wrong": wrong,
+            "wrong": violations,
         }
     finally:
-        fleet.close(keep=bool(wrong))
+        fleet.close(keep=bool(violations))
+
 
+def find_optimum(ingresses: list[Ingress], rules: Rules) -> float:
+    """Returns the least total time over all divisions into waves, by an integer program.
 
-def optimum(rows: list[Ingress], rules: Rules) -> float:
-    """Least time over all divisions into waves, as an integer programme: x[i, w] one goes in w, y[w] how long w is."""
+    Variables: x[i, w] is 1 if ingress i is in wave w, y[w] is the duration of w."""
     import numpy as np
     from scipy.optimize import Bounds, LinearConstraint, milp
 
-    count = len(rows)
+    count = len(ingresses)
     size = count * count + count  # x by row and wave, then y
     cost = np.zeros(size)
     cost[count * count :] = 1.0
-    parts, least, most = [], [], []
+    matrix, lower, upper = [], [], []
 
-    def add(terms: dict[int, float], low: float, high: float) -> None:
+    def add_constraint(terms: dict[int, float], low: float, high: float) -> None:
         row = np.zeros(size)
-        for at, factor in terms.items():
-            row[at] = factor
-        parts.append(row)
-        least.append(low)
-        most.append(high)
+        for column, factor in terms.items():
+            row[column] = factor
+        matrix.append(row)
+        lower.append(low)
+        upper.append(high)
 
     for n in range(count):
-        add({n * count + w: 1.0 for w in range(count)}, 1.0, 1.0)
+        add_constraint({n * count + w: 1.0 for w in range(count)}, 1.0, 1.0)
         for w in range(count):
-            add({count * count + w: 1.0, n * count + w: -rows[n].duration}, 0.0, np.inf)
+            add_constraint({count * count + w: 1.0, n * count + w: -ingresses[n].duration}, 0.0, np.inf)
     spread = min(rules.set_size, rules.place_count)
     for w in range(count):
-        add({n * count + w: 1.0 for n in range(count)}, 0.0, rules.max_away)
-        for zone in {one.zone for one in rows}:
-            add({n * count + w: 1.0 for n in range(count) if rows[n].zone == zone}, 0.0, rules.max_away_in_zone)
+        add_constraint({n * count + w: 1.0 for n in range(count)}, 0.0, rules.max_away)
+        for zone in {ingress.zone for ingress in ingresses}:
+            add_constraint(
+                {n * count + w: 1.0 for n in range(count) if ingresses[n].zone == zone}, 0.0, rules.max_away_in_zone
+            )
         for first in range(rules.place_count):
-            firm = {(first + step) % rules.place_count for step in range(spread)}
-            members = [n for n in range(count) if rows[n].place in firm]
-            if len(members) == spread:
-                add({n * count + w: 1.0 for n in members}, 0.0, spread - 1)
-    whole = np.ones(size)
-    whole[count * count :] = 0
-    upper = np.ones(size)
-    upper[count * count :] = max(one.duration for one in rows)
-    found = milp(
+            firm_places = {(first + offset) % rules.place_count for offset in range(spread)}
+            firm_ingresses = [n for n in range(count) if ingresses[n].place in firm_places]
+            if len(firm_ingresses) == spread:
+                add_constraint({n * count + w: 1.0 for n in firm_ingresses}, 0.0, spread - 1)
+    integrality = np.ones(size)
+    integrality[count * count :] = 0
+    variable_upper = np.ones(size)
+    variable_upper[count * count :] = max(ingress.duration for ingress in ingresses)
+    solution = milp(
         cost,
-        constraints=LinearConstraint(np.array(parts), least, most),
-        integrality=whole,
-        bounds=Bounds(np.zeros(size), upper),
+        constraints=LinearConstraint(np.array(matrix), lower, upper),
+        integrality=integrality,
+        bounds=Bounds(np.zeros(size), variable_upper),
         options={"time_limit": 10.0},
     )
-    return float(found.fun)
+    return float(solution.fun)
 
 
-def schedule(cases: int, seed: int) -> dict[str, Any]:
+def compare_schedules(cases: int, seed: int) -> dict[str, Any]:
+    """Compares planned waves with the optimum for random small fleets."""
     rng, ratios = random.Random(seed), list[float]()
     for _ in range(cases):
         count = rng.randrange(4, 8)
-        rows = [Ingress(n, rng.choice("abc"), rng.choice((1.0, 1.0, 2.0, 5.0))) for n in range(count)]
+        ingresses = [Ingress(n, rng.choice("abc"), rng.choice((1.0, 1.0, 2.0, 5.0))) for n in range(count)]
         rules = Rules(rng.randrange(1, 4), rng.randrange(1, 3), rng.randrange(2, 4), count)
-        ratios.append(total_seconds(plan_waves(rows, rules)) / optimum(rows, rules))
+        ratios.append(total_seconds(plan_waves(ingresses, rules)) / find_optimum(ingresses, rules))
     return {
         "cases": cases,
         "optimal": sum(ratio < 1.001 for ratio in ratios),
@@ -264,21 +306,22 @@
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--instances", type=int, default=12)
-    words.add_argument("--rolls", type=int, default=3)
-    words.add_argument("--limit", type=int, default=16)
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--schedule", action="store_true")
-    words.add_argument("--cases", type=int, default=60)
-    words.add_argument("--json", action="store_true")
-    told = words.parse_args()
-    if told.schedule:
-        found = schedule(told.cases, told.seed)
-        print(json.dumps(found, indent=None if told.json else 1))
-        return int(found["worst"] > OPTIMUM)
-    report = run_trial(told.instances, told.rolls, told.limit, told.seed)
-    print(json.dumps(report, indent=None if told.json else 1))
+    """Runs a trial or the comparison with the optimum and prints its report; returns the exit status."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--instances", type=int, default=12)
+    parser.add_argument("--rolls", type=int, default=3)
+    parser.add_argument("--limit", type=int, default=16)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--schedule", action="store_true")
+    parser.add_argument("--cases", type=int, default=60)
+    parser.add_argument("--json", action="store_true")
+    options = parser.parse_args()
+    if options.schedule:
+        found = compare_schedules(options.cases, options.seed)
+        print(json.dumps(found, indent=None if options.json else 1))
+        return int(found["worst"] > MAX_SCHEDULE_RATIO)
+    report = run_trial(options.instances, options.rolls, options.limit, options.seed)
+    print(json.dumps(report, indent=None if options.json else 1))
     return int(bool(report["wrong"]))
 
 
--- a/tests/test_work_order.py
+++ b/tests/test_work_order.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from benchmarks.rolling_drains import schedule
+from benchmarks.rolling_drains import compare_schedules
 from benchmarks.rolling_drains import run_trial as run_rolling_restart
 from benchmarks.work_order import Fleet, run_trial, running_seconds
 from brackenpulley.address import ConfigError
@@ -101,13 +101,13 @@
 
 def test_rolling_restart_with_faults_never_exceeds_a_servers_limit() -> None:
     """A short run of benchmarks/rolling_drains: real ingresses, and servers that count their connections."""
-    report = run_rolling_restart(6, 2, 12, 1, calm=2.0, least=0.8)
+    report = run_rolling_restart(6, 2, 12, 1, baseline_seconds=2.0, min_served_ratio=0.8)
     assert report["wrong"] == [] and report["beyond"] == 0 and report["lost"] == 0
     assert max(report["mostAtAServer"]) >= 6
 
 
 def test_waves_are_near_the_optimum_of_an_integer_program() -> None:
-    result = schedule(12, 3)
+    result = compare_schedules(12, 3)
     assert result["worst"] <= 1.3 and result["optimal"] >= 9
 
 
