--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,12 +1,13 @@
-"""The agreed log in virtual time: thousands of seeds with faults, a model check, planted faults, and what it costs.
+"""Raft in virtual time: seeded runs with faults, model checks, mutation tests and measured costs.
 
     python -m benchmarks.agreement                          all parts, 10,000 seeds
     python -m benchmarks.agreement --seeds 200 --jobs 2     a short form
-    python -m benchmarks.agreement --plant vote_forgotten   one planted fault: the seed that finds it
-    python -m benchmarks.agreement --seed 37                one run, its script and what broke
+    python -m benchmarks.agreement --plant vote_forgotten   one planted fault and the check that finds it
+    python -m benchmarks.agreement --seed 37                one run with its faults and violations
 
-The code is the one that serves (consensus/); net, disks and clocks are those of simulation/. Exits 1 where an invariant
-is broken, a plant is not found, or a bound of the costs is passed."""
+The code under test is that of production (consensus/, maintenance/permits); network, disks and clocks are simulated
+(simulation/). Exits 1 if an invariant is violated, a planted fault is not found, or a cost exceeds its bound. Also used
+by tests/test_consensus."""
 
 from __future__ import annotations
 
@@ -41,40 +42,43 @@
     Step,
     Withdraw,
 )
-from brackenpulley.maintenance.permits import encode as pack_command
+from brackenpulley.maintenance.permits import encode as encode_command
 from brackenpulley.simulation.disk import Disk
 from brackenpulley.simulation.links import Link, Links
 from brackenpulley.simulation.script import parse
 from brackenpulley.simulation.voters import Cluster, RunResult, run
 
-SECONDS, EVERY = 24.0, 1.0  # of one run; between faults on average
-PLANT_SEEDS, MODEL_STATES = 150, 30_000
-BYTES_A_FOLLOWER = 3000.0  # a second at most over all voters, at ten entries of 100 bytes a second, a packet each
+RUN_SECONDS = 24.0
+MEAN_FAULT_INTERVAL_SECONDS = 1.0
+PLANT_SEEDS = 150  # tried per planted fault
+PLANT_MODEL_STATES = 30_000
+# Bytes per second that all voters send per follower, at ten entries of 100 bytes per second, one packet each.
+MAX_BYTES_PER_FOLLOWER = 3000.0
 
-# Planted faults: single changes, each as (of what, name of the member, what stands in its place).
+# Planted faults: each replaces one member of one class, as (class, name of the member, replacement).
 
 
-def _vote_forgotten(self: Disk, step: Persist) -> bool:
-    return _store(
+def _forget_vote(self: Disk, step: Persist) -> bool:
+    return _original_store(
         self,
         raft.Persist(step.term, "", step.is_unverified, step.log_floor, step.first_index, step.entries, step.snapshot),
     )
 
 
-def _answered_before_sync(self: Disk, step: Persist) -> bool:
-    """What is written now reaches the disk with the next step: a crash loses the last one."""
-    late = _LATE.setdefault(id(self), [])
-    late.append(step)
-    if len(late) > 1:
-        _store(self, late.pop(0))
+def _answer_before_sync(self: Disk, step: Persist) -> bool:
+    """Writes each step only with the next one, so that a crash loses the last."""
+    pending = _delayed_steps.setdefault(id(self), [])
+    pending.append(step)
+    if len(pending) > 1:
+        _original_store(self, pending.pop(0))
     return True
 
 
-_LATE: dict[int, list[Persist]] = {}
-_store = Disk.store
+_delayed_steps: dict[int, list[Persist]] = {}
+_original_store = Disk.store
 
 
-def _commit_of_older_term(self: Node) -> None:
+def _commit_older_term(self: Node) -> None:
     matches = sorted(
         (self.last_index if name == self.name else self.peers[name].match_index for name in self.config.voters),
         reverse=True,
@@ -82,8 +86,8 @@
     self._commit_to(max(self.commit, matches[self.config.majority - 1]))
 
 
-def _kept_conflicts(self: Node, entries: list[Entry]) -> None:
-    """What conflicts stays; only what is beyond the end is added."""
+def _keep_conflicts(self: Node, entries: list[Entry]) -> None:
+    """Keeps conflicting entries; appends only those beyond the end of the log."""
     for entry in entries:
         if entry.index == self.last_index + 1:
             self._first_unsaved = self._first_unsaved or entry.index
@@ -91,19 +95,19 @@
             self._note_config(entry)
 
 
-def _old_reading(self: Node, now: float) -> bool:
+def _read_as_stale_leader(self: Node, now: float) -> bool:
     return self.role == LEADER and not self.is_halted and self.commit >= self._term_start_index
 
 
-def _sure_at_once(self: Node) -> bool:
+def _verified_at_once(self: Node) -> bool:
     return True
 
 
-def _gap_taken(self: Follower, now: float, source: str, word: Any) -> tuple[Any, Any]:
+def _accept_gap(self: Follower, now: float, source: str, update: Any) -> tuple[Any, Any]:
     self.heard_at = now
-    self.commit, self.leader = max(self.commit, word.commit), word.leader
-    snapshot = word.snapshot if word.snapshot is not None and word.snapshot.index > self.index else None
-    fresh = [entry for entry in word.entries if entry.index > self.index]
+    self.commit, self.leader = max(self.commit, update.commit), update.leader
+    snapshot = update.snapshot if update.snapshot is not None and update.snapshot.index > self.index else None
+    fresh = [entry for entry in update.entries if entry.index > self.index]
     if snapshot is not None:
         self.index = snapshot.index
     if fresh:
@@ -113,67 +117,71 @@
     ]
 
 
-def _done_again(self: StateMachine, entry: Entry) -> Any:
+def _apply_repeated_proposals(self: StateMachine, entry: Entry) -> Any:
     self._answers.clear()
-    return _apply(self, entry)
+    return _original_apply(self, entry)
 
 
-def _askers_forgotten(self: StateMachine, snapshot: Snapshot) -> None:
-    _restore(self, snapshot)
+def _forget_proposal_answers(self: StateMachine, snapshot: Snapshot) -> None:
+    _original_restore(self, snapshot)
     self._answers.clear()
 
 
-def _half(self: Config) -> int:
+def _half_of_voters(self: Config) -> int:
     return max(1, len(self.voters) // 2)
 
 
-def _cleared_by_one(self: Node, source: str, peer: raft.Progress) -> None:
+def _verify_by_one_peer(self: Node, source: str, peer: raft.Progress) -> None:
     if peer.nonce:
         peer.verified_nonce = peer.nonce
 
 
-def _told_before_committed(self: Agreement, entries: Any) -> None:
-    _apply_all(self, entries)
+def _apply_before_commit(self: Agreement, entries: Any) -> None:
+    _original_apply_entries(self, entries)
     node = self.node
     if node is not None and node.role == LEADER:
         ahead = [e for e in node.entries if e.index > self.machine.index]
         node.applied = node.commit = max(node.commit, ahead[-1].index if ahead else 0)
-        _apply_all(self, ahead)
+        _original_apply_entries(self, ahead)
 
 
-_apply, _restore, _apply_all = StateMachine.apply, StateMachine.restore, Agreement._apply_entries
+_original_apply, _original_restore, _original_apply_entries = (
+    StateMachine.apply,
+    StateMachine.restore,
+    Agreement._apply_entries,
+)
 
 PLANTS: dict[str, tuple[Any, str, Any]] = {
-    "vote_forgotten": (Disk, "store", _vote_forgotten),
-    "answered_before_sync": (Disk, "store", _answered_before_sync),
+    "vote_forgotten": (Disk, "store", _forget_vote),
+    "answered_before_sync": (Disk, "store", _answer_before_sync),
     "log_not_compared": (Node, "_is_log_behind", lambda self, term, index: False),
-    "commit_of_older_term": (Node, "_advance_commit", _commit_of_older_term),
-    "conflicts_kept": (Node, "_replace_suffix", _kept_conflicts),
-    "stale_leader_reads": (Node, "is_current", _old_reading),
-    "votes_while_unsure": (Node, "is_verified", property(_sure_at_once)),
-    "gap_taken": (Follower, "receive", _gap_taken),
-    "done_again": (StateMachine, "apply", _done_again),
-    "askers_forgotten": (StateMachine, "restore", _askers_forgotten),
-    "half_is_enough": (Config, "majority", property(_half)),
+    "commit_of_older_term": (Node, "_advance_commit", _commit_older_term),
+    "conflicts_kept": (Node, "_replace_suffix", _keep_conflicts),
+    "stale_leader_reads": (Node, "is_current", _read_as_stale_leader),
+    "votes_while_unsure": (Node, "is_verified", property(_verified_at_once)),
+    "gap_taken": (Follower, "receive", _accept_gap),
+    "done_again": (StateMachine, "apply", _apply_repeated_proposals),
+    "askers_forgotten": (StateMachine, "restore", _forget_proposal_answers),
+    "half_is_enough": (Config, "majority", property(_half_of_voters)),
     "votes_under_a_lease": (Node, "_has_live_leader", lambda self: False),
-    "told_before_committed": (Agreement, "_apply_entries", _told_before_committed),
+    "told_before_committed": (Agreement, "_apply_entries", _apply_before_commit),
 }
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
-    """The one change, taken back at the end."""
-    owner, member, change = PLANTS[name]
+def apply_plant(name: str) -> Iterator[None]:
+    """Applies one planted fault and reverts it at the end."""
+    owner, member, replacement = PLANTS[name]
     before = owner.__dict__[member]
-    setattr(owner, member, change)
+    setattr(owner, member, replacement)
     try:
         yield
     finally:
         setattr(owner, member, before)
-        _LATE.clear()
+        _delayed_steps.clear()
 
 
-# What chance seldom brings about: each runs before the seeds do.
+# Schedules that random faults seldom produce; run before the seeds.
 SCRIPTS = {
     "the only other holder loses its disk": """
         3 part v0,v1 v2
@@ -182,7 +190,7 @@
         6.1 start v1 lost
         6.2 heal
         12 start v0 kept""",
-    "the only other holder comes back as it was": """
+    "the only other holder restarts from an old disk": """
         2 copy v1
         3 part v0,v1 v2
         6 kill v1
@@ -190,7 +198,7 @@
         6.1 start v1 old
         6.2 heal
         12 start v0 kept""",
-    "a leader stands still through an election": """
+    "a leader is stopped through an election": """
         4 stop leader
         7 go v0
         7 go v1
@@ -209,11 +217,13 @@
 }
 
 
-QUIET = {"one voter does not hear the leader, the other hears both"}  # with much to say, its log is soon too short
+# Run at a low rate: at a high one the log of the voter that does not hear the leader is soon too short.
+LOW_RATE_SCRIPTS = {"one voter does not hear the leader, the other hears both"}
 
 
-def scripted(name: str, seed: int) -> RunResult:
-    rate = 0.2 if name in QUIET else 20.0
+def run_script(name: str, seed: int) -> RunResult:
+    """Runs one schedule of SCRIPTS."""
+    rate = 0.2 if name in LOW_RATE_SCRIPTS else 20.0
     return run(
         seed,
         16.0,
@@ -225,12 +235,14 @@
     )
 
 
-def one(seed: int) -> RunResult:
-    """Three voters, or five; faults come thick, in the phases of elections too. Some have slow ways and much to say."""
+def run_seed(seed: int) -> RunResult:
+    """Runs one seed with three or five voters and frequent faults, also during elections.
+
+    Some seeds have slow, lossy links and a high rate of proposals."""
     if seed % 10 == 7:
         return run(
             seed,
-            SECONDS,
+            RUN_SECONDS,
             voters=5,
             mean_fault_interval=0.4,
             rate=12.0,
@@ -239,130 +251,143 @@
         )
     return run(
         seed,
-        SECONDS,
+        RUN_SECONDS,
         voters=3 if seed % 2 else 5,
-        mean_fault_interval=EVERY * (0.3 + seed % 3 * 0.6),
+        mean_fault_interval=MEAN_FAULT_INTERVAL_SECONDS * (0.3 + seed % 3 * 0.6),
         rate=3.0,
         skew=0.04,
-        prepare=small_log if seed % 4 == 0 else None,
+        prepare=compact_often if seed % 4 == 0 else None,
     )
 
 
-def small_log(cluster: Cluster) -> None:
-    """Snapshots every few entries."""
+def compact_often(cluster: Cluster) -> None:
+    """Lowers the threshold for compaction, so that a run takes many snapshots."""
     import brackenpulley.consensus.agreement as agreement
 
     agreement.COMPACTION_ENTRIES = 20
 
 
-def _seed(seed: int) -> dict[str, Any]:
+def _summarize_seed(seed: int) -> dict[str, Any]:
     import brackenpulley.consensus.agreement as agreement
 
     try:
-        ran = one(seed)
+        result = run_seed(seed)
     finally:
         agreement.COMPACTION_ENTRIES = COMPACTION_ENTRIES
     return {
         "seed": seed,
-        "events": ran.event_count,
-        "told": ran.acknowledged,
-        "lost": ran.abandoned,
-        "elections": ran.elections,
-        "broken": ran.violation,
+        "events": result.event_count,
+        "told": result.acknowledged,
+        "lost": result.abandoned,
+        "elections": result.elections,
+        "broken": result.violation,
     }
 
 
-def seeds(first: int, count: int, jobs: int) -> dict[str, Any]:
-    began = time.monotonic()
+def run_seeds(first: int, count: int, jobs: int) -> dict[str, Any]:
+    """Runs consecutive seeds in parallel and sums up their results."""
+    start = time.monotonic()
     if jobs > 1:
         with multiprocessing.Pool(jobs) as pool:
-            rows = pool.map(_seed, range(first, first + count), chunksize=10)
+            rows = pool.map(_summarize_seed, range(first, first + count), chunksize=10)
     else:
-        rows = [_seed(seed) for seed in range(first, first + count)]
+        rows = [_summarize_seed(seed) for seed in range(first, first + count)]
     return {
         "seeds": count,
         "broken": [(row["seed"], row["broken"]) for row in rows if row["broken"]],
         "events": sum(row["events"] for row in rows),
         "told": sum(row["told"] for row in rows),
         "elections": sum(row["elections"] for row in rows),
-        "wallS": round(time.monotonic() - began, 1),
+        "wallS": round(time.monotonic() - start, 1),
     }
 
 
-def _find(name: str) -> dict[str, Any]:
-    with planted(name):
-        if wrong := figure_8():
-            return {"plant": name, "seed": "figure 8", "broken": wrong[:120]}
+def _detect_plant(name: str) -> dict[str, Any]:
+    with apply_plant(name):
+        if violation := figure_8():
+            return {"plant": name, "seed": "figure 8", "broken": violation[:120]}
         for script in SCRIPTS:
             for seed in range(6):
-                if wrong := scripted(script, seed).violation:
-                    return {"plant": name, "seed": f"{script}, {seed}", "broken": wrong[:120]}
-        if wrong := model_check(most=MODEL_STATES)["broken"]:
-            return {"plant": name, "seed": "model", "broken": wrong[:120]}
+                if violation := run_script(script, seed).violation:
+                    return {"plant": name, "seed": f"{script}, {seed}", "broken": violation[:120]}
+        if violation := model_check(max_states=PLANT_MODEL_STATES)["broken"]:
+            return {"plant": name, "seed": "model", "broken": violation[:120]}
         for seed in range(PLANT_SEEDS):
-            found = _seed(seed)
-            if found["broken"]:
-                return {"plant": name, "seed": seed, "broken": found["broken"][:120]}
+            summary = _summarize_seed(seed)
+            if summary["broken"]:
+                return {"plant": name, "seed": seed, "broken": summary["broken"][:120]}
         return {"plant": name, "seed": "", "broken": ""}
 
 
-def plants(names: list[str], jobs: int) -> list[dict[str, Any]]:
+def detect_plants(names: list[str], jobs: int) -> list[dict[str, Any]]:
+    """Runs the checks against each planted fault; `broken` is the violation found, "" if none."""
     if jobs > 1:
         with multiprocessing.Pool(jobs) as pool:
-            return pool.map(_find, names, chunksize=1)
-    return [_find(name) for name in names]
+            return pool.map(_detect_plant, names, chunksize=1)
+    return [_detect_plant(name) for name in names]
 
 
-# The model check: every order of messages, losses, doubles, elections and one crash, at a small scope.
+# Model check: explores all orders of messages, losses, duplicates, elections and one crash in a small scope.
 
 
-class Still:
-    """Randomness that is none."""
+class FixedRandom:
+    """Random generator that returns constants."""
 
     def random(self) -> float:
+        """Returns 0.5."""
         return 0.5
 
     def getrandbits(self, count: int) -> int:
+        """Returns 0."""
         return 0
 
 
-NAMES = ("a", "b", "c")
-FIRST = Snapshot(1, 1, Config({name: name for name in NAMES}))
-Sent = tuple[str, str, bytes]
+VOTER_NAMES = ("a", "b", "c")
+FIRST_SNAPSHOT = Snapshot(1, 1, Config({name: name for name in VOTER_NAMES}))
+SentMessage = tuple[str, str, bytes]
 
 
 class Model:
-    """Three voters, a set of words that were sent (each may arrive never, once, or again), what is on their disks."""
+    """State of three voters, their disks and the set of messages sent; each may arrive never, once or repeatedly."""
 
-    __slots__ = ("nodes", "disks", "sent", "committed", "crashes", "asked")
+    __slots__ = ("nodes", "disks", "sent", "committed", "crash_count", "proposal_count")
 
     def __init__(self) -> None:
-        self.nodes = {name: Node(name, PersistentState(1, "-", snapshot=FIRST), Still(), 0.0) for name in NAMES}  # type: ignore[arg-type]
-        self.disks = {name: Disk(PersistentState(1, "-", snapshot=FIRST)) for name in NAMES}
-        self.sent: frozenset[Sent] = frozenset()
+        self.nodes = {
+            name: Node(name, PersistentState(1, "-", snapshot=FIRST_SNAPSHOT), FixedRandom(), 0.0)  # type: ignore[arg-type]
+            for name in VOTER_NAMES
+        }
+        self.disks = {name: Disk(PersistentState(1, "-", snapshot=FIRST_SNAPSHOT)) for name in VOTER_NAMES}
+        self.sent: frozenset[SentMessage] = frozenset()
         self.committed: tuple[tuple[int, int], ...] = ()  # (index, term)
-        self.crashes = self.asked = 0
+        self.crash_count = self.proposal_count = 0
 
     def copy(self, name: str) -> Model:
-        """With a copy of its own of what one step of this voter can change."""
-        made = Model.__new__(Model)
-        made.nodes, made.disks = dict(self.nodes), dict(self.disks)
+        """Returns a copy in which everything that a step of this voter can change is separate."""
+        copy = Model.__new__(Model)
+        copy.nodes, copy.disks = dict(self.nodes), dict(self.disks)
         old, node = self.nodes[name], Node.__new__(Node)
         node.__dict__.update(old.__dict__)
         node.entries, node.votes, node._configs = list(old.entries), set(old.votes), list(old._configs)
         node.peers = {peer: raft.Progress(p.next_index, p.match_index, 0.0) for peer, p in old.peers.items()}
         node.counts, node._pending_effects = {}, []
         disk = self.disks[name].stored
-        made.nodes[name] = node
-        made.disks[name] = Disk(
+        copy.nodes[name] = node
+        copy.disks[name] = Disk(
             PersistentState(disk.term, disk.vote, False, (0, 0), disk.snapshot, list(disk.entries)), 1, 1
         )
-        made.sent, made.committed, made.crashes, made.asked = self.sent, self.committed, self.crashes, self.asked
-        node._round, node._round_sent_at, node._leader_heard_at = 0, {}, -9.0  # time stands: no lease protects anybody
-        return made
+        copy.sent, copy.committed, copy.crash_count, copy.proposal_count = (
+            self.sent,
+            self.committed,
+            self.crash_count,
+            self.proposal_count,
+        )
+        # Time stands still, so no leader lease is valid.
+        node._round, node._round_sent_at, node._leader_heard_at = 0, {}, -9.0
+        return copy
 
-    def do(self, name: str, effects: list[raft.Effect]) -> str:
-        """Done in order; what must not be is told."""
+    def apply_effects(self, name: str, effects: list[raft.Effect]) -> str:
+        """Executes effects in order; returns a violated invariant, "" if none."""
         node = self.nodes[name]
         for effect in effects:
             if isinstance(effect, Persist):
@@ -373,64 +398,68 @@
                 known = dict(self.committed)
                 for entry in effect.entries:
                     if known.setdefault(entry.index, entry.term) != entry.term:
-                        return f"{name} commits term {entry.term} at {entry.index}, where {known[entry.index]} was"
+                        return f"{name} commits term {entry.term} at {entry.index}, not {known[entry.index]}"
                 self.committed = tuple(sorted(known.items()))
         if node.role == LEADER:
             for other in self.nodes.values():
                 if other is not node and other.role == LEADER and other.term == node.term:
                     return f"{name} and {other.name} lead in term {node.term}"
             for index, term in self.committed:
-                if term < node.term and node.term_at(index) not in (term, FIRST.term):
-                    return f"{name} leads in term {node.term} without {index}"
+                if term < node.term and node.term_at(index) not in (term, FIRST_SNAPSHOT.term):
+                    return f"{name} leads in term {node.term} without committed entry {index}"
         return ""
 
     def key(self) -> Any:
+        """Returns a hashable key that identifies the state."""
         rows = []
-        for name in NAMES:
-            n, d = self.nodes[name], self.disks[name].stored
+        for name in VOTER_NAMES:
+            node, disk = self.nodes[name], self.disks[name].stored
             rows.append(
                 (
-                    n.role,
-                    n.term,
-                    n.vote,
-                    n.commit,
-                    n.leader,
-                    frozenset(n.votes),
-                    tuple((e.term, e.kind) for e in n.entries),
-                    tuple((p, n.peers[p].next_index, n.peers[p].match_index) for p in sorted(n.peers)),
-                    d.term,
-                    d.vote,
-                    tuple((e.term, e.kind) for e in d.entries),
+                    node.role,
+                    node.term,
+                    node.vote,
+                    node.commit,
+                    node.leader,
+                    frozenset(node.votes),
+                    tuple((e.term, e.kind) for e in node.entries),
+                    tuple((p, node.peers[p].next_index, node.peers[p].match_index) for p in sorted(node.peers)),
+                    disk.term,
+                    disk.vote,
+                    tuple((e.term, e.kind) for e in disk.entries),
                 )
             )
-        return tuple(rows), self.sent, self.crashes, self.asked
+        return tuple(rows), self.sent, self.crash_count, self.proposal_count
 
 
 Move = tuple[str, str, Callable[[Node], Any]]
 
 
-def steps(model: Model, terms: int, crashes: int, commands: int, beats: bool) -> Iterator[Move]:
+def list_moves(
+    model: Model, max_term: int, max_crashes: int, max_commands: int, sends_heartbeats: bool
+) -> Iterator[Move]:
+    """Yields all moves from a state, as (voter, description, call on its node)."""
     for name, node in model.nodes.items():
-        if node.role != LEADER and node.term < terms:
-            yield name, f"{name} stands", lambda n: (n._start_election(), n._take_effects())[1]
-        if node.role == LEADER and model.asked < commands:
-            yield name, f"{name} adds", lambda n: n.propose(0.0, b"x")[1]
-        if node.role == LEADER and beats:
-            yield name, f"{name} beats", lambda n: (n._replicate(include_current=True), n._take_effects())[1]
-        if model.crashes < crashes and (node.role != FOLLOWER or node.entries or node.term > 1):
+        if node.role != LEADER and node.term < max_term:
+            yield name, f"{name} starts an election", lambda n: (n._start_election(), n._take_effects())[1]
+        if node.role == LEADER and model.proposal_count < max_commands:
+            yield name, f"{name} proposes", lambda n: n.propose(0.0, b"x")[1]
+        if node.role == LEADER and sends_heartbeats:
+            yield name, f"{name} sends heartbeats", lambda n: (n._replicate(include_current=True), n._take_effects())[1]
+        if model.crash_count < max_crashes and (node.role != FOLLOWER or node.entries or node.term > 1):
             yield name, f"{name} crashes", lambda n: None
     for source, to, data in model.sent:
-        word = decode(data).payload
-        yield to, f"{to} gets {word}", lambda n, source=source, word=word: n.receive(0.0, source, word)  # type: ignore
+        payload = decode(data).payload
+        yield to, f"{to} receives {payload}", lambda n, source=source, payload=payload: n.receive(0.0, source, payload)  # type: ignore
 
 
-# (greatest term, crashes, commands, whether leaders beat): each alone small enough to be looked at whole, or nearly.
+# (highest term, crashes, commands, whether leaders send heartbeats), each small enough to explore fully, or nearly.
 SCOPES = ((2, 1, 0, False), (2, 0, 1, False), (3, 0, 0, False), (3, 1, 1, True))
 
 
-def model_check(most: int = 200_000) -> dict[str, Any]:
-    """Every scope, up to `most` states each."""
-    rows = [explore(*scope, most=most) for scope in SCOPES]
+def model_check(max_states: int = 200_000) -> dict[str, Any]:
+    """Explores every scope, up to `max_states` states each."""
+    rows = [explore(*scope, max_states=max_states) for scope in SCOPES]
     broken = next((row for row in rows if row["broken"]), None)
     return {
         "states": sum(row["states"] for row in rows),
@@ -441,58 +470,70 @@
     }
 
 
-def explore(terms: int, crashes: int, commands: int, beats: bool, most: int) -> dict[str, Any]:
-    """Breadth first, so that what is found is shortest. `whole` where nothing was left to look at."""
+def explore(
+    max_term: int, max_crashes: int, max_commands: int, sends_heartbeats: bool, max_states: int
+) -> dict[str, Any]:
+    """Explores one scope breadth first, so that a violation comes with a shortest path.
+
+    `whole` is true if no state was left unexplored."""
     first = Model()
     seen = {first.key()}
     layer: list[tuple[Model, tuple[str, ...]]] = [(first, ())]
     depth = 0
-    while layer and len(seen) < most:
+    while layer and len(seen) < max_states:
         depth += 1
-        after: list[tuple[Model, tuple[str, ...]]] = []
+        next_layer: list[tuple[Model, tuple[str, ...]]] = []
         for model, path in layer:
-            for name, what, call in steps(model, terms, crashes, commands, beats):
-                made = model.copy(name)
-                made.asked += what.endswith("adds")
-                if what.endswith("crashes"):
-                    made.crashes += 1
-                    made.nodes[name] = Node(name, made.disks[name].load()[0], Still(), 0.0)  # type: ignore[arg-type]
-                    wrong = ""
+            for name, description, call in list_moves(model, max_term, max_crashes, max_commands, sends_heartbeats):
+                copy = model.copy(name)
+                copy.proposal_count += description.endswith("proposes")
+                if description.endswith("crashes"):
+                    copy.crash_count += 1
+                    copy.nodes[name] = Node(name, copy.disks[name].load()[0], FixedRandom(), 0.0)  # type: ignore[arg-type]
+                    violation = ""
                 else:
-                    wrong = made.do(name, call(made.nodes[name]))
-                if wrong:
-                    return {"states": len(seen), "depth": depth, "whole": False, "broken": wrong, "path": [*path, what]}
-                key = made.key()
+                    violation = copy.apply_effects(name, call(copy.nodes[name]))
+                if violation:
+                    return {
+                        "states": len(seen),
+                        "depth": depth,
+                        "whole": False,
+                        "broken": violation,
+                        "path": [*path, description],
+                    }
+                key = copy.key()
                 if key not in seen:
                     seen.add(key)
-                    after.append((made, (*path, what)))
-                    if len(seen) >= most:
+                    next_layer.append((copy, (*path, description)))
+                    if len(seen) >= max_states:
                         break
-            if len(seen) >= most:
+            if len(seen) >= max_states:
                 break
-        layer = after
+        layer = next_layer
     return {"states": len(seen), "depth": depth, "whole": not layer, "broken": "", "path": []}
 
 
-def permits_check(most: int = 100_000) -> dict[str, Any]:
-    """Every order of commands, doubles and older tokens too: two machines of one zone, one may be out; two ingresses,
-    one of which may be started anew. Time stands, so that nothing is late."""
+def permits_check(max_states: int = 100_000) -> dict[str, Any]:
+    """Explores all orders of permit commands, with duplicates and stale tokens.
+
+    Two machines share a zone in which one may be out; of two ingresses one may restart. Time stands still, so that no
+    permit is late."""
     server = Server("a", "m", 1.0, True)
-    facts, bounds = FleetState({f"s{n}": server for n in range(3)}, 0.0, [True, True], 1), Bounds(1, 1)
+    fleet_state, bounds = FleetState({f"s{n}": server for n in range(3)}, 0.0, [True, True], 1), Bounds(1, 1)
     lives = ("x@1", "y@1", "y@2")
     fixed: list[Command] = [
         Ask("p", "o", ["s0"], zone="a"),
         Ask("q", "o", ["s1"], zone="a", urgency=1),
-        Step(facts, bounds, 0.0, 9e9, ["p", "q"]),
+        Step(fleet_state, bounds, 0.0, 9e9, ["p", "q"]),
         Enter("y", "y@2"),
         Leave("x", "x@1"),
     ]
     first = Permits()
     for name in ("x", "y"):
-        first.apply(0.0, pack_command(Enter(name, f"{name}@1")))
-    seen, layer, depth = {pack_state(first)}, [first], 0
-    while layer and len(seen) < most:
-        depth, after = depth + 1, list[Permits]()
+        first.apply(0.0, encode_command(Enter(name, f"{name}@1")))
+    seen, layer, depth = {encode_state(first)}, [first], 0
+    while layer and len(seen) < max_states:
+        depth, next_layer = depth + 1, list[Permits]()
         for state in layer:
             commands = list(fixed)
             for name, job in state.jobs.items():
@@ -505,22 +546,22 @@
                         *(Cleared(name, token, life[0], life) for life in lives),
                     ]
             for command in commands:
-                made = Permits()
-                made.load(state.dump())
-                made.apply(0.0, pack_command(command))
-                if wrong := permits_wrong(state, made, command):
-                    return {"states": len(seen), "depth": depth, "whole": False, "broken": wrong}
-                if made.token <= 3 and (key := pack_state(made)) not in seen:
+                copy = Permits()
+                copy.load(state.dump())
+                copy.apply(0.0, encode_command(command))
+                if violation := find_permit_violation(state, copy, command):
+                    return {"states": len(seen), "depth": depth, "whole": False, "broken": violation}
+                if copy.token <= 3 and (key := encode_state(copy)) not in seen:
                     seen.add(key)
-                    after.append(made)
-        layer = after
+                    next_layer.append(copy)
+        layer = next_layer
     return {"states": len(seen), "depth": depth, "whole": not layer, "broken": ""}
 
 
-def permits_wrong(old: Permits, new: Permits, command: Command) -> str:
-    """What must hold over each command; "" where it does."""
+def find_permit_violation(old: Permits, new: Permits, command: Command) -> str:
+    """Returns the invariant that a command violates, "" if none."""
     if len(new.list_out()) > 1:
-        return f"out at once: {[job.id for job in new.list_out()]}"
+        return f"too many machines out: {[job.id for job in new.list_out()]}"
     for job in new.jobs.values():
         before = old.jobs.get(job.id)
         if before is None or before.state in ("done", "withdrawn"):
@@ -528,7 +569,7 @@
         if job.token != before.token and not old.token < job.token <= new.token:
             return f"{job.id}: token {job.token} after {before.token} of {old.token}"
         if job.state == "at work" and before.state not in ("clear", "at work"):
-            return f"{job.id} is worked on and was {before.state}"
+            return f"{job.id} is at work and was {before.state}"
         missing = [life for life in new.incarnations.values() if life not in job.cleared_by]
         if (
             job.state == "clear"
@@ -536,15 +577,15 @@
             and missing
             and len(job.overrides) == len(before.overrides)
         ):
-            return f"{job.id} is clear without the word of {missing}"
-        shown = isinstance(command, Begin | Finish | Cleared) and command.id == job.id
-        if shown and command.token != before.token and job != before:  # type: ignore[union-attr]
+            return f"{job.id} is clear without confirmation by {missing}"
+        names_job = isinstance(command, Begin | Finish | Cleared) and command.id == job.id
+        if names_job and command.token != before.token and job != before:  # type: ignore[union-attr]
             return f"{command} moved {job.id}, whose token is {before.token}"
     return ""
 
 
-def pack_state(permits: Permits) -> bytes:
-    """What tells states apart: not how often one was passed over."""
+def encode_state(permits: Permits) -> bytes:
+    """Encodes what distinguishes states; how often a permit was passed over does not."""
     rows = [
         (job.id, job.state, job.token, sorted(job.cleared_by), job.stuck_from, len(job.overrides))
         for job in permits.jobs.values()
@@ -553,143 +594,160 @@
 
 
 def figure_8() -> str:
-    """Ongaro and Ousterhout's figure 8 at three voters, an entry a message: an entry of an older term is held by a
-    majority, and its leader may not count it. What broke, or ""."""
-    names, before = list(NAMES), Node.entries_after.__defaults__
-    nodes = {name: Node(name, PersistentState(1, "-", snapshot=FIRST), Still(), 0.0) for name in names}  # type: ignore[arg-type]
+    """Replays figure 8 of Ongaro and Ousterhout's Raft paper with three voters and one entry per message.
+
+    A majority holds an entry of an older term, which the leader must not count as committed. Returns the violation,
+    "" if none."""
+    names, before = list(VOTER_NAMES), Node.entries_after.__defaults__
+    nodes = {name: Node(name, PersistentState(1, "-", snapshot=FIRST_SNAPSHOT), FixedRandom(), 0.0) for name in names}  # type: ignore[arg-type]
     committed: dict[int, int] = {}
-    wrong = ""
+    violation = ""
 
-    def do(name: str, effects: list[raft.Effect]) -> list[tuple[str, Any]]:
-        nonlocal wrong
+    def apply_effects(name: str, effects: list[raft.Effect]) -> list[tuple[str, Any]]:
+        nonlocal violation
         for effect in effects:
             if isinstance(effect, raft.Apply):
                 for entry in effect.entries:
                     if committed.setdefault(entry.index, entry.term) != entry.term:
-                        wrong = f"{name} commits term {entry.term} at {entry.index}, not {committed[entry.index]}"
+                        violation = f"{name} commits term {entry.term} at {entry.index}, not {committed[entry.index]}"
         return [(effect.to, effect.payload) for effect in effects if isinstance(effect, raft.Send)]
 
-    def between(source: str, to: str, sent: list[tuple[str, Any]], words: int) -> None:
-        """So many words of what was sent to that one, with the answers."""
-        for _ in range(words):
-            there = [word for whom, word in sent if whom == to]
-            back = [word for word in there for whom, word in do(to, nodes[to].receive(0.0, source, word))]
-            sent = [pair for word in back for pair in do(source, nodes[source].receive(0.0, to, word))]
-
-    def stand(name: str, voter: str) -> list[tuple[str, Any]]:
+    def exchange(source: str, to: str, sent: list[tuple[str, Any]], rounds: int) -> None:
+        """Delivers messages and replies between two voters for some rounds."""
+        for _ in range(rounds):
+            delivered = [payload for receiver, payload in sent if receiver == to]
+            replies = [
+                payload
+                for payload in delivered
+                for receiver, payload in apply_effects(to, nodes[to].receive(0.0, source, payload))
+            ]
+            sent = [
+                pair for payload in replies for pair in apply_effects(source, nodes[source].receive(0.0, to, payload))
+            ]
+
+    def elect(name: str, voter: str) -> list[tuple[str, Any]]:
         for node in nodes.values():
             node._leader_heard_at = -9.0
-        node, asked = nodes[name], nodes[voter]
+        node, peer = nodes[name], nodes[voter]
         node._start_election()
-        votes = [word for whom, word in do(name, node._take_effects()) if whom == voter]
-        answers = [word for vote in votes for whom, word in do(voter, asked.receive(0.0, name, vote))]
-        return [pair for answer in answers for pair in do(name, node.receive(0.0, voter, answer))]
+        votes = [payload for receiver, payload in apply_effects(name, node._take_effects()) if receiver == voter]
+        answers = [
+            payload for vote in votes for receiver, payload in apply_effects(voter, peer.receive(0.0, name, vote))
+        ]
+        return [pair for answer in answers for pair in apply_effects(name, node.receive(0.0, voter, answer))]
 
     Node.entries_after.__defaults__ = (1,)
     try:
-        stand("a", "b")  # its first entry reaches nobody
+        elect("a", "b")  # its first entry reaches no other voter
         nodes["c"].term = nodes["a"].term
-        stand("c", "b")  # the same, a term later
+        elect("c", "b")  # the same, a term later
         nodes["a"].receive(0.0, "c", raft.AppendReply(nodes["c"].term, False, 0, 0, 1))
-        between("a", "b", stand("a", "b"), 2)  # its entry of the older term is with two of three now
+        exchange("a", "b", elect("a", "b"), 2)  # two of three now hold its entry of the older term
         nodes["c"].receive(0.0, "a", raft.AppendReply(nodes["a"].term, False, 0, 0, 1))
         for voter in ("b", "a"):
-            between("c", voter, stand("c", voter), 3)
+            exchange("c", voter, elect("c", voter), 3)
             if nodes["c"].role == LEADER:
-                between(
-                    "c", voter, do("c", (nodes["c"]._replicate(include_current=True), nodes["c"]._take_effects())[1]), 3
+                exchange(
+                    "c",
+                    voter,
+                    apply_effects("c", (nodes["c"]._replicate(include_current=True), nodes["c"]._take_effects())[1]),
+                    3,
                 )
     finally:
         Node.entries_after.__defaults__ = before
-    return wrong
+    return violation
 
 
-def costs(followers: int, seconds: float = 20.0, rate: float = 10.0) -> dict[str, Any]:
-    """Five voters and so many followers, no faults: bytes a second, and how long a command takes."""
+def measure_costs(followers: int, seconds: float = 20.0, rate: float = 10.0) -> dict[str, Any]:
+    """Measures bytes per second and the duration of a command with five voters and no faults."""
     cluster = Cluster(1, 5, followers, 0.0001, links=Links(Link(jitter=0.002)))
     sent: dict[str, int] = {}
 
-    def count(host: Any, send: Any) -> None:
-        sent[host.name] = sent.get(host.name, 0) + len(send.body.data) + 60  # the envelope and its seal
+    def count_bytes(host: Any, send: Any) -> None:
+        sent[host.name] = sent.get(host.name, 0) + len(send.body.data) + 60  # the envelope with its authentication tag
 
     cluster.is_proposing = False
     world = cluster.world
     world.run_until(lambda: bool(cluster.find_leader()) and cluster.has_converged(), 20.0)
-    world.on_send = count
-    took: list[float] = []
+    world.on_send = count_bytes
+    durations: list[float] = []
     begin = world.now
-    asker = world.find_host("f0")
+    follower = world.find_host("f0")
 
-    def ask(number: int) -> None:
-        part, when = cluster.find_agreement(asker), world.now
-        assert part is not None
-        part.propose(
-            asker.to_local_time(when),
+    def propose(number: int) -> None:
+        agreement, when = cluster.find_agreement(follower), world.now
+        assert agreement is not None
+        agreement.propose(
+            follower.to_local_time(when),
             "register",
             b"x" * 80 + str(number).encode(),
             10.0,
-            lambda outcome: took.append(world.now - when),
+            lambda outcome: durations.append(world.now - when),
         )
-        world.apply_effects(asker, asker.process.said())  # type: ignore[union-attr]
+        world.apply_effects(follower, follower.process.said())  # type: ignore[union-attr]
 
     for number in range(int(seconds * rate)):
-        world.schedule(begin + number / rate, lambda number=number: ask(number))  # type: ignore[misc]
+        world.schedule(begin + number / rate, lambda number=number: propose(number))  # type: ignore[misc]
     world.run(begin + seconds + 2.0)
-    took.sort()
-    voters = [sent.get(name, 0) / seconds for name in cluster.voter_names]
-    told = [sent.get(f"f{n}", 0) / seconds for n in range(followers)]
+    durations.sort()
+    voter_rates = [sent.get(name, 0) / seconds for name in cluster.voter_names]
+    follower_rates = [sent.get(f"f{n}", 0) / seconds for n in range(followers)]
     return {
         "followers": followers,
         "entriesASecond": rate,
-        "done": len(took),
-        "medianMs": round(took[len(took) // 2] * 1000, 1),
-        "mostMs": round(took[-1] * 1000, 1),
-        "voterBytesASecond": round(max(voters)),
-        "followerBytesASecond": round(max(told)),
-        "bytesAFollower": round(sum(voters) / followers),
+        "done": len(durations),
+        "medianMs": round(durations[len(durations) // 2] * 1000, 1),
+        "mostMs": round(durations[-1] * 1000, 1),
+        "voterBytesASecond": round(max(voter_rates)),
+        "followerBytesASecond": round(max(follower_rates)),
+        "bytesAFollower": round(sum(voter_rates) / followers),
     }
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seeds", type=int, default=10_000)
-    words.add_argument("--seed", type=int, default=-1)
-    words.add_argument("--jobs", type=int, default=max(1, multiprocessing.cpu_count() - 1))
-    words.add_argument("--plant", choices=sorted(PLANTS), default="")
-    words.add_argument("--states", type=int, default=200_000)
-    words.add_argument("--json", action="store_true")
-    told = words.parse_args()
-    if told.seed >= 0:
-        ran = one(told.seed)
-        print("\n".join(map(str, ran.faults)))
-        print(json.dumps(_seed(told.seed)))
-        return int(bool(ran.violation))
-    if told.plant:
-        found = _find(told.plant)
-        print(json.dumps(found))
-        return int(not found["broken"])
+    """Runs all parts or a single seed or planted fault and prints JSON; returns the exit status."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--seeds", type=int, default=10_000)
+    parser.add_argument("--seed", type=int, default=-1)
+    parser.add_argument("--jobs", type=int, default=max(1, multiprocessing.cpu_count() - 1))
+    parser.add_argument("--plant", choices=sorted(PLANTS), default="")
+    parser.add_argument("--states", type=int, default=200_000)
+    parser.add_argument("--json", action="store_true")
+    options = parser.parse_args()
+    if options.seed >= 0:
+        result = run_seed(options.seed)
+        print("\n".join(map(str, result.faults)))
+        print(json.dumps(_summarize_seed(options.seed)))
+        return int(bool(result.violation))
+    if options.plant:
+        detection = _detect_plant(options.plant)
+        print(json.dumps(detection))
+        return int(not detection["broken"])
     report: dict[str, Any] = {
-        "seeds": seeds(0, told.seeds, told.jobs),
+        "seeds": run_seeds(0, options.seeds, options.jobs),
         "stories": [
-            (name, seed, wrong) for name in SCRIPTS for seed in range(20) if (wrong := scripted(name, seed).violation)
+            (name, seed, violation)
+            for name in SCRIPTS
+            for seed in range(20)
+            if (violation := run_script(name, seed).violation)
         ],
         "figure8": figure_8(),
-        "model": model_check(most=told.states),
-        "permits": permits_check(told.states),
-        "plants": plants(sorted(PLANTS), told.jobs),
-        "costs": [costs(40), costs(200)],
+        "model": model_check(max_states=options.states),
+        "permits": permits_check(options.states),
+        "plants": detect_plants(sorted(PLANTS), options.jobs),
+        "costs": [measure_costs(40), measure_costs(200)],
     }
-    print(json.dumps(report, indent=None if told.json else 1))
-    wrong = (
+    print(json.dumps(report, indent=None if options.json else 1))
+    has_failed = (
         report["seeds"]["broken"]
         or report["stories"]
         or report["figure8"]
         or report["model"]["broken"]
         or report["permits"]["broken"]
         or any(not row["broken"] for row in report["plants"])
-        or any(row["bytesAFollower"] > BYTES_A_FOLLOWER for row in report["costs"])
+        or any(row["bytesAFollower"] > MAX_BYTES_PER_FOLLOWER for row in report["costs"])
     )
-    return int(bool(wrong))
+    return int(bool(has_failed))
 
 
 if __name__ == "__main__":
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -385,13 +385,13 @@
 
 @pytest.mark.parametrize("first", range(0, 60, 15))
 def test_invariants_hold_under_injected_faults(first: int) -> None:
-    result = bench.seeds(first, 15, 1)
+    result = bench.run_seeds(first, 15, 1)
     assert result["broken"] == [] and result["told"] > 500
 
 
 @pytest.mark.parametrize("seed", [37, 138, 352])
 def test_seeds_that_once_failed_pass(seed: int) -> None:
-    assert bench._seed(seed)["broken"] == ""
+    assert bench._summarize_seed(seed)["broken"] == ""
 
 
 def test_the_same_seed_is_the_same_run() -> None:
@@ -416,19 +416,19 @@
 
 
 def test_a_small_model_holds_in_every_order() -> None:
-    result = bench.model_check(most=4000)
+    result = bench.model_check(max_states=4000)
     assert result["broken"] == "" and result["states"] >= 4000
 
 
 def test_permits_hold_in_every_order_of_commands() -> None:
-    result = bench.permits_check(most=3000)
+    result = bench.permits_check(max_states=3000)
     assert result["broken"] == "" and result["states"] >= 3000
 
 
 def test_quick_checks_find_planted_faults() -> None:
     """One fault of each kind; the benchmark runs all thirteen."""
     for name in ("done_again", "votes_while_unsure", "commit_of_older_term"):
-        assert bench._find(name)["broken"], name
+        assert bench._detect_plant(name)["broken"], name
 
 
 def test_a_killed_leader_is_replaced_within_3_s() -> None:
