--- a/benchmarks/capacity/kinds/apart.py
+++ b/benchmarks/capacity/kinds/apart.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from benchmarks.membership import Net, fleet
+from benchmarks.membership import SimulatedNetwork, build_network
 from brackenpulley.members.service import SEEK
 
 from ..measure import REPEATS, Slope, slope
@@ -13,7 +13,7 @@
 
 def back(size: int, seed: int) -> dict[str, float]:
     """Each member looks for its seeds (one a third) as `members/service` does."""
-    net: Net = fleet(size, seed)
+    net: SimulatedNetwork = build_network(size, seed)
     side = {f"a{n}" for n in range(size) if n % 3 == 2}
     seeds = ["a0", "a1", "a2"]
 
@@ -22,22 +22,26 @@
         known = {one.address for one in member.alive_members()}
         missing = [seed for seed in seeds if seed not in known and seed != address]
         if missing:
-            net.do(member, member.join([missing[int(net.now / SEEK) % len(missing)]]))
-        net.at(net.now + SEEK, lambda: seek(address))
+            net.apply_effects(member, member.join([missing[int(net.now / SEEK) % len(missing)]]))
+        net.schedule(net.now + SEEK, lambda: seek(address))
 
     for n, address in enumerate(list(net.members)):
-        net.at(net.now + SEEK * n / size, lambda address=address: seek(address))  # type: ignore[misc]
-    net.blocked = lambda a, b: (a in side) != (b in side)
+        net.schedule(net.now + SEEK * n / size, lambda address=address: seek(address))  # type: ignore[misc]
+    net.is_blocked = lambda a, b: (a in side) != (b in side)
     net.run(net.now + APART)
-    net.blocked = lambda a, b: False
-    healed, net.measure = net.now, True
-    net.bytes.clear()
+    net.is_blocked = lambda a, b: False
+    healed, net.is_measuring = net.now, True
+    net.sent_bytes.clear()
     most = 0.0
-    while not net.agree() and net.now < healed + PATIENCE:
+    while not net.has_converged() and net.now < healed + PATIENCE:
         net.run(net.now + 0.25)
         known = sum(len(member.alive_members()) + 1 for member in net.members.values()) / size**2
         most = most or (net.now - healed if known >= 0.99 else 0.0)
-    return {"took": net.now - healed, "most": most or net.now - healed, "bytes": max(net.bytes.values(), default=0)}
+    return {
+        "took": net.now - healed,
+        "most": most or net.now - healed,
+        "bytes": max(net.sent_bytes.values(), default=0),
+    }
 
 
 def measured(seed: int, sizes: tuple[int, ...] = SIZES) -> list[Slope]:
--- a/benchmarks/capacity/kinds/members.py
+++ b/benchmarks/capacity/kinds/members.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from benchmarks.membership import Net, fleet
+from benchmarks.membership import SimulatedNetwork, build_network
 from brackenpulley.members.keys import OVERHEAD_BYTES
 from brackenpulley.members.protocol import Protocol
 from brackenpulley.members.records import RecordTable
@@ -20,7 +20,7 @@
 CALM, PATIENCE = 10.0, 60  # s looked at, and for a death
 
 
-class Counted(Net):
+class Counted(SimulatedNetwork):
     """Counts what is sent, too."""
 
     messages = 0
@@ -33,36 +33,36 @@
 def calm(size: int, seed: int) -> list[dict[str, float]]:
     """One fleet that joins, and some times a calm span and a death."""
     began = time.thread_time()
-    net = fleet(size, seed)
+    net = build_network(size, seed)
     joined = time.thread_time() - began
     net.__class__ = Counted
     assert isinstance(net, Counted)
     net.run(net.now + 12.0)  # what the joining left to be told
     found: list[dict[str, float]] = []
     for _ in range(REPEATS):
-        net.measure, net.messages = True, 0
-        net.bytes.clear()
+        net.is_measuring, net.messages = True, 0
+        net.sent_bytes.clear()
         began = time.thread_time()
         net.run(net.now + CALM)
         spent = time.thread_time() - began
         found.append(
             {
-                "bytes": statistics.mean(net.bytes.values()) / CALM,
+                "bytes": statistics.mean(net.sent_bytes.values()) / CALM,
                 "messages": net.messages / size / CALM,
                 "cpu": spent / size / CALM * 100,
                 "joined": joined,
                 "death": float(PATIENCE),
             }
         )
-    net.measure = False
+    net.is_measuring = False
     for number, told in enumerate(found):  # after the calm: the dead are looked for a while, and that costs bytes
         victim, when = f"a{size - 1 - number}", net.now
         name = net.members[victim].id
-        net.heard.clear()
+        net.state_changes.clear()
         net.kill(victim)
         for _ in range(2 * PATIENCE):
             net.run(net.now + 0.5)
-            times = [at - when for at, _, whom, state in net.heard if whom == name and state == DEAD]
+            times = [at - when for at, _, whom, state in net.state_changes if whom == name and state == DEAD]
             if len(times) >= len(net.members):
                 told["death"] = max(times)
                 break
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.membership import Net, fleet, study
+from benchmarks.membership import SimulatedNetwork, build_network, measure_size
 from brackenpulley.members.awareness import MAX_SCORE, Awareness
 from brackenpulley.members.gossip import RETRANSMIT_MULTIPLIER, Gossip, TransmitQueue
 from brackenpulley.members.keys import OVERHEAD_BYTES, KeyRing, PacketError, ReplayWindow, RingError
@@ -201,88 +201,88 @@
 
 
 def test_the_death_of_half_a_fleet_is_detected_by_the_rest() -> None:
-    net = fleet(40, 3, loss=0.02, double=0.05)
+    net = build_network(40, 3, loss=0.02, duplication=0.05)
     for n in range(20, 40):
         net.kill(f"a{n}")
     net.run(net.now + 60.0)
-    assert net.agree()
+    assert net.has_converged()
 
 
 def test_a_lossy_network_causes_no_false_death() -> None:
-    net = fleet(60, 4)
-    net.loss, net.double = 0.2, 0.1
-    net.heard.clear()
+    net = build_network(60, 4)
+    net.loss, net.duplication = 0.2, 0.1
+    net.state_changes.clear()
     net.run(net.now + 40.0)
-    assert not [row for row in net.heard if row[3] == DEAD]
+    assert not [row for row in net.state_changes if row[3] == DEAD]
 
 
 def test_a_partition_heals_by_itself() -> None:
-    net = fleet(20, 5)
-    net.blocked = lambda a, b: (int(a[1:]) < 10) != (int(b[1:]) < 10)
+    net = build_network(20, 5)
+    net.is_blocked = lambda a, b: (int(a[1:]) < 10) != (int(b[1:]) < 10)
     net.run(net.now + 50.0)
     sides = [{m.id for m in member.alive_members()} | {member.id} for member in net.members.values()]
     assert all(len(side) == 10 for side in sides)
-    net.blocked = lambda a, b: False
+    net.is_blocked = lambda a, b: False
     net.run(net.now + 60.0)
-    assert net.agree()
+    assert net.has_converged()
 
 
 def test_a_member_reached_only_by_indirect_probes_stays_alive() -> None:
     """The path between two members is cut: indirect probes through the others keep them alive."""
-    net = fleet(12, 6)
-    net.blocked = lambda a, b: (a, b) in (("a1", "a2"), ("a2", "a1"), ("a3", "a2"))
-    net.heard.clear()
+    net = build_network(12, 6)
+    net.is_blocked = lambda a, b: (a, b) in (("a1", "a2"), ("a2", "a1"), ("a3", "a2"))
+    net.state_changes.clear()
     net.run(net.now + 60.0)
-    assert not [row for row in net.heard if row[3] == DEAD] and net.agree()
+    assert not [row for row in net.state_changes if row[3] == DEAD] and net.has_converged()
 
 
 def test_a_resumed_member_rejoins_without_declaring_the_others_dead() -> None:
     """After SIGSTOP for 40 s a member resumes with all its own probes overdue, and must not declare the others dead."""
-    net = fleet(20, 7)
+    net = build_network(20, 7)
     net.pause("a5")
     net.run(net.now + 40.0)
     assert all(m.members["m5"].state == DEAD for m in net.members.values() if m.id != "m5")
-    net.heard.clear()
+    net.state_changes.clear()
     net.resume("a5")
     net.run(net.now + 40.0)
-    assert net.agree() and not [row for row in net.heard if row[3] == DEAD and row[2] != "m5"]
+    assert net.has_converged() and not [row for row in net.state_changes if row[3] == DEAD and row[2] != "m5"]
 
 
 def test_a_new_process_takes_over_an_address_and_a_seed_may_be_down() -> None:
-    net = fleet(10, 8)
+    net = build_network(10, 8)
     net.kill("a4")
     net.add("new", "a4", ["a99", "a4", "a2"])
     net.run(net.now + 5.0)
-    assert net.agree()
+    assert net.has_converged()
     assert all(m.members["m4"].state == DEAD for m in net.members.values() if m.id != "new" and "m4" in m.members)
 
 
 def test_a_leaving_member_is_neither_suspected_nor_declared_dead() -> None:
-    net = fleet(15, 9)
-    net.heard.clear()
+    net = build_network(15, 9)
+    net.state_changes.clear()
     leaver = net.members["a7"]
-    net.do(leaver, leaver.leave())
+    net.apply_effects(leaver, leaver.leave())
     net.run(net.now + 1.0)
     net.kill("a7")
     net.run(net.now + 30.0)
-    assert {row[3] for row in net.heard if row[2] == "m7"} == {LEFT} and net.agree()
+    assert {row[3] for row in net.state_changes if row[2] == "m7"} == {LEFT} and net.has_converged()
 
 
 def test_datagrams_stay_within_the_limit_and_load_is_constant_in_the_size() -> None:
     from rich.progress import Progress
 
-    rows = [study(size, 5.0, 1, 2, Progress(disable=True)) for size in (20, 80)]
+    rows = [measure_size(size, 5.0, 1, 2, Progress(disable=True)) for size in (20, 80)]
     assert max(row["longestDatagram"] for row in rows) <= MAX_DATAGRAM_BYTES
     assert rows[1]["bytesAMemberASecond"] < 2 * rows[0]["bytesAMemberASecond"]
     assert all(row["missed"] == 0 and row["falseDeathsAtLoss"]["0.05"]["deaths"] == 0 for row in rows)
 
 
 def test_twenty_members_that_start_together_find_each_other() -> None:
-    net = Net(10)
+    net = SimulatedNetwork(10)
     for n in range(20):
         net.add(f"m{n}", f"a{n}", ["a0", "a1"], Timing(sync_interval=5.0))
     net.run(net.now + 8.0)
-    assert net.agree()
+    assert net.has_converged()
 
 
 def test_the_queue_takes_the_same_values_as_a_sorting_model() -> None:
