--- a/benchmarks/capacity/kinds/configuration.py
+++ b/benchmarks/capacity/kinds/configuration.py
@@ -7,7 +7,7 @@
 import statistics
 from typing import Any
 
-from benchmarks.configuration_sizes import Regions, size_run, tenants
+from benchmarks.configuration_sizes import RegionalCluster, measure_firms, measure_size
 from brackenpulley.configuration.rules import Change
 from brackenpulley.plans.book import Figures
 
@@ -21,7 +21,7 @@
 def spread(followers: int, seed: int) -> dict[str, float]:
     """s until a change is in force, with restarts and a region cut off. A bound that is passed is a figure of the
     page; one that is left out has none, and raises."""
-    ran = size_run(followers, seed, CHANGES, ENTRIES)
+    ran = measure_size(followers, seed, CHANGES, ENTRIES)
     left_out = [line for line in ran["wrong"] if not line.startswith("99 in 100")]
     assert not left_out, left_out
     return {"soon": ran["of99In100"], "all": ran["all"]}
@@ -36,28 +36,28 @@
 
 def heard(followers: int, seed: int) -> dict[str, float]:
     """Bytes that an ingress hears at rest, a second, and what a change adds; nobody restarts, no link is cut."""
-    fleet = Regions(followers, seed)
+    fleet = RegionalCluster(followers, seed)
     world = fleet.world
-    assert world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
+    assert world.run_until(lambda: all(force.caught_up for force in fleet.active_revisions.values()), 30.0)
     world.run(world.now + 2.0)
 
     def told(seconds: float) -> float:
-        fleet.sent.clear()
+        fleet.sent_bytes.clear()
         world.run(world.now + seconds)
-        return statistics.mean(fleet.sent.get(f"to f{n}", 0) for n in range(followers))
+        return statistics.mean(fleet.sent_bytes.get(f"to f{n}", 0) for n in range(followers))
 
     rest = told(CALM) / CALM
     found = []
     for number in range(1, TOLD + 1):
         fleet.change("f0", change(number))
         found.append(told(SPAN) - rest * SPAN)
-        assert all(force.number == number for force in fleet.force.values()), number
+        assert all(force.number == number for force in fleet.active_revisions.values()), number
     return {"rest": rest, "change": statistics.mean(found)}
 
 
 def of(firms: int, seed: int) -> dict[str, float]:
     """One process with so many firms on plans: wall time of its turns, the middle one of five."""
-    ran: dict[str, Any] = tenants(firms, seed)
+    ran: dict[str, Any] = measure_firms(firms, seed)
     return {
         "memory": ran["memoryMb"],
         "start": float(ran["wordBytes"]),
--- a/benchmarks/configuration_processes.py
+++ b/benchmarks/configuration_processes.py
@@ -1,4 +1,6 @@
-"""The agreed configuration in real processes with relays between them, and what it costs one; see configuration.py."""
+"""Replicated configuration in real processes with network proxies between them, and its cost per process.
+
+Parts of benchmarks/configuration; also used by tests/test_configuration_processes."""
 
 from __future__ import annotations
 
@@ -9,222 +11,245 @@
 from benchmarks.work_order import Fleet as WorkFleet
 from brackenpulley.simulation.script import Fault
 
-KNOWN = 60.0  # s: two exchanges of records, which alone tell one that was cut off what the others said meanwhile
+# Two anti-entropy exchanges of records: only these tell a process that was cut off what it missed.
+RECORDS_TIMEOUT_SECONDS = 60.0
 
 
-class Trial:
-    """Three voters and followers as processes (benchmarks/work_order); every answer of theirs is looked at."""
+class ProcessTrial:
+    """Three voters and some followers as processes (benchmarks/work_order), whose status is checked on every poll."""
 
     def __init__(self, followers: int, seed: int) -> None:
         self.fleet = WorkFleet(3 + followers, seed, 3, operator_extra="[configuration]\n")
-        self.wrong: list[str] = []
-        self.marks: dict[int, str] = {}
-        self.seen: dict[tuple[str, int], int] = {}  # process and life: its revision
-        self.since: dict[tuple[str, int], float] = {}  # process and revision: s from agreed to in force there
-        self.told: dict[str, float] = {}
-
-    def look(self) -> None:
-        """Called again and again: one order, one content a number, never back within a life."""
-        for one in self.fleet.processes:
-            shown = one.status.get("configuration")
-            if not shown or "inLog" not in shown:
+        self.violations: list[str] = []
+        self.digests: dict[int, str] = {}
+        self.latest_revisions: dict[tuple[str, int], int] = {}  # by process and start: its latest revision
+        # By process and revision: seconds from commit to in force.
+        self.activation_delays: dict[tuple[str, int], float] = {}
+        self.step_seconds: dict[str, float] = {}
+
+    def check_status(self) -> None:
+        """Checks the latest status: one digest per revision, and revisions that never go back until a restart."""
+        for process in self.fleet.processes:
+            reported = process.status.get("configuration")
+            if not reported or "inLog" not in reported:
                 continue
-            number, mark = shown["revision"], shown["mark"]
-            if self.marks.setdefault(number, mark) != mark:
-                self.wrong.append(f"{one.name} has another revision {number}")
-            if number < self.seen.get((one.name, one.start_count), 0):
-                self.wrong.append(f"{one.name} went back from {self.seen[one.name, one.start_count]} to {number}")
-            self.seen[one.name, one.start_count] = number
+            number, digest = reported["revision"], reported["mark"]
+            if self.digests.setdefault(number, digest) != digest:
+                self.violations.append(f"{process.name} has another revision {number}")
+            if number < self.latest_revisions.get((process.name, process.start_count), 0):
+                self.violations.append(
+                    f"{process.name} went back from "
+                    f"{self.latest_revisions[process.name, process.start_count]} to {number}"
+                )
+            self.latest_revisions[process.name, process.start_count] = number
             if number:
-                self.since.setdefault((one.name, number), shown["since"] - shown["agreedAt"])
+                self.activation_delays.setdefault((process.name, number), reported["since"] - reported["agreedAt"])
 
-    def until(self, what: str, done: Callable[[], bool], patience: float = 20.0) -> float:
-        """s until it was so."""
+    def run_until(self, step: str, done: Callable[[], bool], timeout: float = 20.0) -> float:
+        """Runs the fleet until `done` holds; records and returns the seconds, and a violation on timeout."""
         begin = time.monotonic()
 
-        def looked() -> bool:
-            self.look()
+        def check() -> bool:
+            self.check_status()
             return done()
 
-        if not self.fleet.run_until(looked, patience):
-            rows = [(one.name, one.status.get("configuration", {})) for one in self.fleet.processes]
-            self.wrong.append(
-                f"{what}: not within {patience:g} s: "
+        if not self.fleet.run_until(check, timeout):
+            rows = [(process.name, process.status.get("configuration", {})) for process in self.fleet.processes]
+            self.violations.append(
+                f"{step}: not within {timeout:g} s: "
                 + str(
                     [(name, row.get("revision"), row.get("byRevision"), row.get("silentNamed")) for name, row in rows]
                 )
             )
-        self.told[what] = round(time.monotonic() - begin, 2)
-        return self.told[what]
-
-    def post(self, which: int, path: str, body: Any) -> list[tuple[int, Any]]:
-        """What came of it: filled when it is answered."""
-        found: list[tuple[int, Any]] = []
-        self.fleet.processes[which].call("POST", path, body, lambda status, answer: found.append((status, answer)), 6.0)
-        return found
-
-    def change(self, which: int, base: int, **more: Any) -> None:
-        """Proposed again until it is taken, as an operator would."""
-        body = {"base": base, "by": "trial", **more}
-        path = "/v1/configuration" if "to" not in more else "/v1/configuration/revert"
-        if "to" in more:
+        self.step_seconds[step] = round(time.monotonic() - begin, 2)
+        return self.step_seconds[step]
+
+    def post(self, place: int, path: str, body: Any) -> list[tuple[int, Any]]:
+        """Posts to a process; the returned list gets (status, body) once it is answered."""
+        responses: list[tuple[int, Any]] = []
+        self.fleet.processes[place].call(
+            "POST", path, body, lambda status, answer: responses.append((status, answer)), 6.0
+        )
+        return responses
+
+    def change(self, place: int, base: int, **fields: Any) -> None:
+        """Proposes a change as an operator would, again until it is answered with another status than 503."""
+        body = {"base": base, "by": "trial", **fields}
+        path = "/v1/configuration" if "to" not in fields else "/v1/configuration/revert"
+        if "to" in fields:
             del body["base"]
-        out = self.post(which, path, body)
+        responses = self.post(place, path, body)
 
         def taken() -> bool:
-            nonlocal out
-            if out and out[0][0] in (0, 503):  # nothing was agreed in its time
-                out = self.post(which, path, body)
-            return bool(out)
+            nonlocal responses
+            if responses and responses[0][0] in (0, 503):  # not committed in time
+                responses = self.post(place, path, body)
+            return bool(responses)
 
-        self.until(f"revision {base + 1} proposed", taken)
-        if out and out[0] not in (
+        self.run_until(f"revision {base + 1} proposed", taken)
+        if responses and responses[0] not in (
             (200, {"revision": base + 1, "taken": "now"}),
             (200, {"revision": base + 1, "taken": "before"}),
         ):
-            self.wrong.append(f"revision {base + 1}: {out[0]}")
+            self.violations.append(f"revision {base + 1}: {responses[0]}")
 
-    def has(self, number: int, names: list[int]) -> bool:
+    def have_revision(self, number: int, places: list[int]) -> bool:
+        """Reports whether the named processes all have a revision in force."""
         return all(
-            self.fleet.processes[which].status.get("configuration", {}).get("revision") == number for which in names
+            self.fleet.processes[place].status.get("configuration", {}).get("revision") == number for place in places
         )
 
-    def served(self, which: int) -> int:
-        return sum(one.ingress == which and one.status == 200 for one in self.fleet.load.tries)
+    def count_served(self, place: int) -> int:
+        """Returns the number of messages that a process answered with 200."""
+        return sum(message.ingress == place and message.status == 200 for message in self.fleet.load.tries)
 
 
-def figures(rate: float) -> dict[str, Any]:
+def make_plans(rate: float) -> dict[str, Any]:
+    """Returns two plans, one with the given rate."""
     return {"new": {"rate": rate, "burst": rate}, "county": {"rate": 1e6, "burst": 1e6}}
 
 
-def processes(followers: int = 2, seed: int = 1) -> dict[str, Any]:
-    """Changes while links lose, a process is cut off, one stands still, a voter and a follower die and come back."""
-    trial = Trial(followers, seed)
+def run_processes(followers: int = 2, seed: int = 1) -> dict[str, Any]:
+    """Makes changes under packet loss, with a process cut off, one stopped, and a voter and a follower restarted."""
+    trial = ProcessTrial(followers, seed)
     fleet, size = trial.fleet, 3 + followers
-    everyone, cut = list(range(size)), size - 1
+    everyone, cut_off = list(range(size)), size - 1
     others = everyone[:-1]
     try:
-        for one in fleet.processes:
-            one.start()
+        for process in fleet.processes:
+            process.start()
         fleet.start_polling()
-        trial.until(
+        trial.run_until(
             "all ready",
             lambda: all(
-                one.status.get("ready") and one.status["configuration"]["from"] == "file" for one in fleet.processes
+                process.status.get("ready") and process.status["configuration"]["from"] == "file"
+                for process in fleet.processes
             ),
             40.0,
         )
-        if trial.wrong:
-            return {"seed": seed, "processes": size, "s": trial.told, "inForceS": {}, "served": 0, "wrong": trial.wrong}
+        if trial.violations:
+            return {
+                "seed": seed,
+                "processes": size,
+                "s": trial.step_seconds,
+                "inForceS": {},
+                "served": 0,
+                "wrong": trial.violations,
+            }
         fleet.update_front()
         fleet.load.start()
         fleet.inject(Fault(0.0, "loss", ("*", "0.2")))
-        trial.change(3, 0, plans=figures(1.0))
-        trial.until("1 everywhere, a fifth of the words lost", lambda: trial.has(1, everyone))
+        trial.change(3, 0, plans=make_plans(1.0))
+        trial.run_until("revision 1 everywhere, a fifth of the packets lost", lambda: trial.have_revision(1, everyone))
         fleet.inject(Fault(0.0, "heal"))
-        fleet.inject(Fault(0.0, "part", (f"n{cut}", ",".join(f"n{n}" for n in others))))
-        before = trial.served(cut)
-        trial.change(0, 1, plans=figures(2.0), firms={f"{7:016x}": "new"})
-        trial.until("2 where it can be reached", lambda: trial.has(2, others))
-        trial.until(
-            "the one cut off says how old it is and serves",
+        fleet.inject(Fault(0.0, "part", (f"n{cut_off}", ",".join(f"n{n}" for n in others))))
+        before = trial.count_served(cut_off)
+        trial.change(0, 1, plans=make_plans(2.0), firms={f"{7:016x}": "new"})
+        trial.run_until("revision 2 at reachable processes", lambda: trial.have_revision(2, others))
+        trial.run_until(
+            "process cut off reports the silence of the log and serves",
             lambda: (
-                trial.has(1, [cut])
-                and fleet.processes[cut].status["configuration"]["logSilentS"] > 2.0
-                and trial.served(cut) > before
+                trial.have_revision(1, [cut_off])
+                and fleet.processes[cut_off].status["configuration"]["logSilentS"] > 2.0
+                and trial.count_served(cut_off) > before
             ),
         )
         fleet.inject(Fault(0.0, "stop", ("n3",)))
-        running = [which for which in others if which != 3]
-        trial.change(0, 2, plans=figures(3.0))
-        trial.until("3 where nobody stands still", lambda: trial.has(3, running))
-        if not trial.has(2, [3]):
-            trial.wrong.append("n3 stood still and has 3")
+        running = [place for place in others if place != 3]
+        trial.change(0, 2, plans=make_plans(3.0))
+        trial.run_until("revision 3 at running processes", lambda: trial.have_revision(3, running))
+        if not trial.have_revision(2, [3]):
+            trial.violations.append("n3 was stopped and has revision 3")
         fleet.inject(Fault(0.0, "go", ("n3",)))
-        trial.until("3 where one stood still", lambda: trial.has(3, others))
+        trial.run_until("revision 3 at the resumed process", lambda: trial.have_revision(3, others))
         leader = fleet.find_process("leader").number if fleet.leader else 0
         fleet.inject(Fault(0.0, "kill", (f"n{leader}",)))
         fleet.inject(Fault(0.0, "kill", ("n3",)))
-        running = [which for which in others if which not in (3, leader)]
-        trial.change(running[0], 3, plans=figures(4.0), firms={f"{9:016x}": "new"})
-        trial.until("4 after the leader's death", lambda: trial.has(4, running))
+        running = [place for place in others if place not in (3, leader)]
+        trial.change(running[0], 3, plans=make_plans(4.0), firms={f"{9:016x}": "new"})
+        trial.run_until("revision 4 after the leader's death", lambda: trial.have_revision(4, running))
         fleet.inject(Fault(0.0, "start", (f"n{leader}", "kept")))
         fleet.inject(Fault(0.0, "start", ("n3", "kept")))
-        trial.until("4 at those that start anew", lambda: trial.has(4, others), 30.0)
+        trial.run_until("revision 4 at restarted processes", lambda: trial.have_revision(4, others), 30.0)
         fleet.inject(Fault(0.0, "heal"))
-        trial.until("4 at the one that was cut off", lambda: trial.has(4, everyone))
-        out = [
-            trial.post(which, "/v1/configuration", {"base": 4, "by": f"n{which}", "plans": figures(5.0 + which)})
-            for which in (0, cut)
+        trial.run_until("revision 4 at the process that was cut off", lambda: trial.have_revision(4, everyone))
+        responses = [
+            trial.post(place, "/v1/configuration", {"base": 4, "by": f"n{place}", "plans": make_plans(5.0 + place)})
+            for place in (0, cut_off)
         ]
-        trial.until("two at once are answered", lambda: all(out))
-        if sorted(found[0][0] for found in out) != [200, 409]:
-            trial.wrong.append(f"two at once: {out}")
-        trial.until("5 everywhere", lambda: trial.has(5, everyone))
+        trial.run_until("two concurrent changes are answered", lambda: all(responses))
+        if sorted(received[0][0] for received in responses) != [200, 409]:
+            trial.violations.append(f"two concurrent changes: {responses}")
+        trial.run_until("revision 5 everywhere", lambda: trial.have_revision(5, everyone))
         trial.change(1, 5, to=2)
-        trial.until("2 again as 6, everywhere", lambda: trial.has(6, everyone))
-        shown: list[Any] = []
-        for one in fleet.processes:
-            one.call(
+        trial.run_until("revision 2 restored as 6 everywhere", lambda: trial.have_revision(6, everyone))
+        contents: list[Any] = []
+        for process in fleet.processes:
+            process.call(
                 "GET",
                 "/v1/configuration",
                 None,
-                lambda status, body: shown.append((body["plans"]["new"]["rate"], body["firms"])),
+                lambda status, body: contents.append((body["plans"]["new"]["rate"], body["firms"])),
             )
-        trial.until("contents are told", lambda: len(shown) == size)
-        if set(shown) != {(2.0, 1)}:
-            trial.wrong.append(f"6 is not 2 again: {shown}")
-        trial.until(
-            "who has which is known",
-            lambda: all(one.status["configuration"]["byRevision"] == {"6": size} for one in fleet.processes),
-            KNOWN,
+        trial.run_until("contents read", lambda: len(contents) == size)
+        if set(contents) != {(2.0, 1)}:
+            trial.violations.append(f"revision 6 does not restore 2: {contents}")
+        trial.run_until(
+            "revisions of all processes known",
+            lambda: all(process.status["configuration"]["byRevision"] == {"6": size} for process in fleet.processes),
+            RECORDS_TIMEOUT_SECONDS,
         )
         fleet.load.stop()
         fleet.run_until(lambda: not fleet.load.out, 12.0)
         killed = {number for _, number in fleet.killed}
-        lost = [one for one in fleet.load.tries if not one.status and one.taken and one.ingress not in killed]
+        lost = [
+            message
+            for message in fleet.load.tries
+            if not message.status and message.taken and message.ingress not in killed
+        ]
         if lost:
-            trial.wrong.append(f"{len(lost)} messages lost at ingresses that were not killed")
+            trial.violations.append(f"{len(lost)} messages lost at ingresses that were not killed")
         return {
             "seed": seed,
             "processes": size,
-            "s": trial.told,
+            "s": trial.step_seconds,
             "inForceS": {
-                str(number): round(max(s for (_, n), s in trial.since.items() if n == number), 2)
-                for number in sorted(trial.marks)
+                str(number): round(max(s for (_, n), s in trial.activation_delays.items() if n == number), 2)
+                for number in sorted(trial.digests)
                 if number
             },
             "tries": len(fleet.load.tries),
-            "served": sum(one.status == 200 for one in fleet.load.tries),
-            "wrong": trial.wrong + fleet.violations,
+            "served": sum(message.status == 200 for message in fleet.load.tries),
+            "wrong": trial.violations + fleet.violations,
         }
     finally:
-        fleet.close(keep=bool(trial.wrong))
+        fleet.close(keep=bool(trial.violations))
+
 
+def measure_cost(seconds: float, changes: int = 40) -> dict[str, Any]:
+    """Measures CPU and memory of idle real processes.
 
-def cost(seconds: float, changes: int = 40) -> dict[str, Any]:
-    """CPU and memory of a real process without load: with the log and the work on, with the configuration too, and
-    with that and changes."""
+    With consensus and maintenance, with the configuration too, and with changes to it."""
     found: dict[str, Any] = {}
-    for name, more in (("agreed", ""), ("configuration", "[configuration]\n")):
-        fleet = WorkFleet(5, 1, 3, operator_extra=more)
+    for name, operator_extra in (("agreed", ""), ("configuration", "[configuration]\n")):
+        fleet = WorkFleet(5, 1, 3, operator_extra=operator_extra)
         try:
-            for one in fleet.processes:
-                one.start()
+            for process in fleet.processes:
+                process.start()
             fleet.start_polling()
             fleet.run_until(fleet.have_all_entered, 40.0)
-            fleet.is_polling = False  # nobody asks any more
+            fleet.is_polling = False  # stops the polling
             fleet.run_for(3.0)
-            rows = [("", 0)] if not more else [("", 0), ("Changes", changes)]
-            for what, count in rows:
-                before = [one.read_usage() for one in fleet.processes]
+            phases = [("", 0)] if not operator_extra else [("", 0), ("Changes", changes)]
+            for phase, count in phases:
+                before = [process.read_usage() for process in fleet.processes]
                 answers: list[int] = []
                 for number in range(count):
                     fleet.loop.call_in(
                         seconds * number / count,
                         lambda number=number,
-                        one=fleet.processes[3],  # type: ignore
-                        answers=answers: one.call(
+                        process=fleet.processes[3],  # type: ignore
+                        answers=answers: process.call(
                             "POST",
                             "/v1/configuration",
                             {"base": number, "by": "t", "plans": {"new": {"rate": number + 1.0, "burst": 9.0}}},
@@ -232,12 +257,12 @@
                         ),
                     )
                 fleet.run_for(seconds)
-                after = [one.read_usage() for one in fleet.processes]
-                cpu = [(b[0] - a[0]) / seconds * 100 for a, b in zip(before, after, strict=True)]
-                found[name + what] = {
+                after = [process.read_usage() for process in fleet.processes]
+                cpu = [(end[0] - start[0]) / seconds * 100 for start, end in zip(before, after, strict=True)]
+                found[name + phase] = {
                     "voters": round(sum(cpu[:3]) / 3, 2),
                     "followers": round(sum(cpu[3:]) / 2, 2),
-                    "residentMb": round(sum(b[1] for b in after) / 5 / 1024, 1),
+                    "residentMb": round(sum(end[1] for end in after) / 5 / 1024, 1),
                     "taken": answers.count(200),
                 }
         finally:
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -1,4 +1,6 @@
-"""The agreed configuration at sizes in virtual time, and for many firms; see configuration.py."""
+"""Replicated configuration in virtual time: propagation by fleet size, many firms, log compaction.
+
+Parts of benchmarks/configuration; also used by tests/test_configuration and benchmarks/capacity."""
 
 from __future__ import annotations
 
@@ -17,57 +19,61 @@
 from brackenpulley.consensus.agreement import KIND, Agreement
 from brackenpulley.consensus.machine import Outcome, StateMachine
 from brackenpulley.consensus.wire import AddressedPayload, Config, LogUpdate, Snapshot
-from brackenpulley.consensus.wire import encode as encode_word
+from brackenpulley.consensus.wire import encode as encode_message
 from brackenpulley.members.protocol import Send
 from brackenpulley.members.wire import Carry
 from brackenpulley.plans.book import Figures
 from brackenpulley.simulation.links import Link, Links
 from brackenpulley.simulation.world import Host, StandaloneParts, World
 
-FLEET, LOOK = "trial", 0.2
-SOON, LATE = 5.0, 14.0  # s: 99 in 100, and all that can be reached
-STREAMS = 64  # at once, of members/transport
-ENVELOPE = 90  # bytes around a word: sender, life, number, kind, address, seal
-STREAM = 1 << 20  # bytes: the longest word that members/transport carries
+FLEET = "trial"  # name of the fleet
+POLL_INTERVAL_SECONDS = 0.2
+MAX_P99_SECONDS = 5.0  # from a change to in force, 99th percentile
+MAX_SECONDS = 14.0  # the same for all processes that can be reached
+MAX_STREAMS = 64  # concurrent per process, as in members/transport
+ENVELOPE_BYTES = 90  # per payload: sender, incarnation, sequence number, kind, address, authentication tag
+MAX_STREAM_BYTES = 1 << 20  # longest message that members/transport carries
 
 
-class Streams(World):
-    """With the bound of members/transport: a process sends over so many streams at once; what is beyond is dropped."""
+class StreamLimitedWorld(World):
+    """World that drops messages beyond the concurrent streams that members/transport allows per process."""
 
     def __init__(self, seed: int, links: Links) -> None:
         super().__init__(seed, links)
-        self.ends: dict[str, list[float]] = {}
-        self.full = 0
+        self.stream_ends: dict[str, list[float]] = {}
+        self.dropped_streams = 0
 
     def _send(self, host: Host, send: Send) -> None:
         if send.stream:
-            ends = self.ends[host.address] = [end for end in self.ends.get(host.address, []) if end > self.now]
-            if len(ends) >= STREAMS:
-                self.full += 1
+            ends = self.stream_ends[host.address] = [
+                end for end in self.stream_ends.get(host.address, []) if end > self.now
+            ]
+            if len(ends) >= MAX_STREAMS:
+                self.dropped_streams += 1
                 return
             ends.append(self.now + 3 * self.links.find(host.address, send.to).delay + 0.005)
         super()._send(host, send)
 
 
-class Regions:
-    """`size` ingresses that follow and three voters, spread over three regions; no membership, which tells nobody."""
+class RegionalCluster:
+    """Cluster of three voters and `size` followers spread over three regions, without membership."""
 
     def __init__(self, size: int, seed: int) -> None:
         links = Links(Link(delay=0.0005, jitter=0.001, loss=0.005, duplication=0.002))
-        self.world, self.rng = Streams(seed, links), random.Random(seed)
+        self.world, self.rng = StreamLimitedWorld(seed, links), random.Random(seed)
         self.logs: dict[str, Revisions] = {}
-        self.force: dict[str, ActiveRevision] = {}
-        self.reached: dict[int, dict[str, float]] = {}  # by number and host: when it came into force
-        self.sent: dict[str, int] = {}
+        self.active_revisions: dict[str, ActiveRevision] = {}
+        self.reached: dict[int, dict[str, float]] = {}  # by revision and host: time it came into force
+        self.sent_bytes: dict[str, int] = {}
         self.snapshots = 0
-        self.seats = {f"v{n}": f"a-v{n}" for n in range(3)}
-        self.names = [*self.seats, *(f"f{n}" for n in range(size))]
+        self.voter_addresses = {f"v{n}": f"a-v{n}" for n in range(3)}
+        self.names = [*self.voter_addresses, *(f"f{n}" for n in range(size))]
         for number, name in enumerate(self.names):
             links.sites[f"a-{name}"] = f"r{number % 3}"
-        for one in range(3):
+        for origin in range(3):
             for other in range(3):
-                if one != other:
-                    links.site_links[f"r{one}", f"r{other}"] = Link(
+                if origin != other:
+                    links.site_links[f"r{origin}", f"r{other}"] = Link(
                         delay=0.04, jitter=0.005, loss=0.01, duplication=0.002
                     )
         self.links = links
@@ -77,52 +83,54 @@
 
     def _count(self, host: Host, send: Send) -> None:
         if isinstance(send.body, Carry):
-            size = len(send.body.data) + ENVELOPE
-            self.sent[host.name] = self.sent.get(host.name, 0) + size
-            self.sent["to " + send.to[2:]] = self.sent.get("to " + send.to[2:], 0) + size
+            size = len(send.body.data) + ENVELOPE_BYTES
+            self.sent_bytes[host.name] = self.sent_bytes.get(host.name, 0) + size
+            self.sent_bytes["to " + send.to[2:]] = self.sent_bytes.get("to " + send.to[2:], 0) + size
 
     def region(self, name: str) -> int:
+        """Returns the number of a process's region."""
         return self.names.index(name) % 3
 
     def _make(self, host: Host) -> StandaloneParts:
         log = Revisions(FLEET)
-        part = Agreement(
+        agreement = Agreement(
             f"{host.name}@{host.incarnation}",
             host.name,
-            self.seats,
+            self.voter_addresses,
             lambda: StateMachine({PART: log}),
             random.Random(self.rng.random()),
             self.world.now,
-            host.disk if host.name in self.seats else None,
+            host.disk if host.name in self.voter_addresses else None,
         )
         self.logs[host.name] = log
-        force = self.force[host.name] = ActiveRevision(self.world.now)
+        active = self.active_revisions[host.name] = ActiveRevision(self.world.now)
 
-        def look() -> None:
+        def poll() -> None:
             now = self.world.now
-            if force.update(now, log, log_state(part, now)) is not None:
-                self.reached.setdefault(force.number, {}).setdefault(host.name, now)
+            if active.update(now, log, log_state(agreement, now)) is not None:
+                self.reached.setdefault(active.number, {}).setdefault(host.name, now)
 
-        def told() -> None:
+        def on_restored() -> None:
             self.snapshots += 1
-            look()
+            poll()
 
-        part.on_applied, part.on_restored = lambda entry: look(), told
-        life = host.incarnation
+        agreement.on_applied, agreement.on_restored = lambda entry: poll(), on_restored
+        incarnation = host.incarnation
 
         def tick() -> None:
-            if host.incarnation == life and host.process is not None:
-                self.world.schedule(self.world.now + LOOK * 2, tick)
-                look()
+            if host.incarnation == incarnation and host.process is not None:
+                self.world.schedule(self.world.now + POLL_INTERVAL_SECONDS * 2, tick)
+                poll()
 
-        self.world.schedule(self.world.now + 0.01 + LOOK * self.rng.random(), tick)
-        return StandaloneParts(host.address, {KIND: part})
+        self.world.schedule(self.world.now + 0.01 + POLL_INTERVAL_SECONDS * self.rng.random(), tick)
+        return StandaloneParts(host.address, {KIND: agreement})
 
     def agreement(self, name: str) -> Agreement:
+        """Returns the consensus part of a process."""
         return self.world.find_host(name).process.parts[KIND]  # type: ignore
 
     def change(self, name: str, change: Change) -> None:
-        """Of whoever proposes: again until it is taken."""
+        """Proposes a change at a process, again until it is answered."""
         host = self.world.find_host(name)
         data = pack_change(change, FLEET)
 
@@ -134,132 +142,139 @@
         self.world.apply_effects(host, host.process.said())  # type: ignore[union-attr]
 
     def cut(self, region: int) -> None:
-        for one in range(3):
-            for a, b in ((one, region), (region, one)):
-                if a != b:
-                    way = self.links.site_links[f"r{a}", f"r{b}"]
-                    self.links.site_links[f"r{a}", f"r{b}"] = replace(way, is_cut=True)
+        """Cuts all links between a region and the others."""
+        for origin in range(3):
+            for source, target in ((origin, region), (region, origin)):
+                if source != target:
+                    link = self.links.site_links[f"r{source}", f"r{target}"]
+                    self.links.site_links[f"r{source}", f"r{target}"] = replace(link, is_cut=True)
 
     def heal(self) -> None:
-        for pair, way in list(self.links.site_links.items()):
-            self.links.site_links[pair] = replace(way, is_cut=False)
-
-
-def size_run(size: int, seed: int = 1, changes: int = 12, firms: int = 5) -> dict[str, Any]:
-    """Changes every 2 s; a hundredth restart with each, and in the middle half of them one region is cut off."""
-    began = time.monotonic()
-    fleet = Regions(size, seed)
-    world, rng = fleet.world, fleet.rng
-    everyone = set(fleet.names)
-    if not world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0):
-        return {"size": size, "wrong": ["not all heard of the log in 30 s"]}
-    fleet.sent.clear()
+        """Restores all links between regions."""
+        for pair, link in list(self.links.site_links.items()):
+            self.links.site_links[pair] = replace(link, is_cut=False)
+
+
+def measure_size(size: int, seed: int = 1, changes: int = 12, firms: int = 5) -> dict[str, Any]:
+    """Measures propagation with a change every 2 s.
+
+    1 % of the followers restart with each change; in the middle half of the changes one region is cut off."""
+    wall_start = time.monotonic()
+    cluster = RegionalCluster(size, seed)
+    world, rng = cluster.world, cluster.rng
+    all_names = set(cluster.names)
+    if not world.run_until(lambda: all(active.caught_up for active in cluster.active_revisions.values()), 30.0):
+        return {"size": size, "wrong": ["not all processes caught up with the log in 30 s"]}
+    cluster.sent_bytes.clear()
     world.run(world.now + 10.0)
-    rest = {name: count / 10.0 for name, count in fleet.sent.items()}
-    proposer = next(name for name in fleet.names if name.startswith("f") and fleet.region(name) == 0)
-    asked: dict[int, float] = {}
-    apart: dict[int, set[str]] = {}
+    idle_rates = {name: count / 10.0 for name, count in cluster.sent_bytes.items()}
+    proposer = next(name for name in cluster.names if name.startswith("f") and cluster.region(name) == 0)
+    proposed_at: dict[int, float] = {}
+    cut_off_at: dict[int, set[str]] = {}
     cut_off: set[str] = set()
-    wrong: list[str] = []
-    fleet.sent.clear()
-    snapshots, begin = fleet.snapshots, world.now
+    violations: list[str] = []
+    cluster.sent_bytes.clear()
+    snapshots, begin = cluster.snapshots, world.now
     for number in range(1, changes + 1):
         if number == changes // 4 + 1:
-            fleet.cut(2)
-            cut_off = {name for name in everyone if fleet.region(name) == 2}
+            cluster.cut(2)
+            cut_off = {name for name in all_names if cluster.region(name) == 2}
         elif number == changes * 3 // 4 + 1:
             break
         restarts = rng.sample(
-            [name for name in fleet.names if name[0] == "f" and name != proposer], max(1, size // 100)
+            [name for name in cluster.names if name[0] == "f" and name != proposer], max(1, size // 100)
         )
         for name in restarts:
             host = world.find_host(name)
             world.kill(host)
             world.schedule(world.now + 0.5 + 2.0 * rng.random(), lambda host=host: world.start(host))  # type: ignore[misc]
-        asked[number], apart[number] = world.now, set(cut_off)
+        proposed_at[number], cut_off_at[number] = world.now, set(cut_off)
         plans: dict[str, Figures | None] = {"p": Figures(float(number), 9.0)}
-        fleet.change(proposer, Change(number - 1, "trial", plans, {number << 20 | firm: "p" for firm in range(firms)}))
+        cluster.change(
+            proposer, Change(number - 1, "trial", plans, {number << 20 | firm: "p" for firm in range(firms)})
+        )
         if not world.run_until(
-            lambda number=number, apart=apart[number]: (
+            lambda number=number, apart=cut_off_at[number]: (
                 len(  # type: ignore[misc]
-                    fleet.reached.get(number, {}).keys() - apart
+                    cluster.reached.get(number, {}).keys() - apart
                 )
-                >= len(everyone) - len(apart)
+                >= len(all_names) - len(apart)
             ),
-            LATE + 10.0,
+            MAX_SECONDS + 10.0,
         ):
-            skipped = everyone - apart[number] - fleet.reached.get(number, {}).keys()
-            if any(fleet.force[name].number < number for name in skipped):
-                wrong.append(f"revision {number} not in force at {len(skipped)} in time")
-        world.run(max(world.now, asked[number] + 2.0))
-    world.run(world.now + 6.0)  # who started anew there has asked each voter by now, of which it reaches one
-    lasted, last = world.now - begin, max(asked)
-    told = {name: count / lasted for name, count in fleet.sent.items()}
-    old = world.now - max((fleet.force[name].last_heard for name in cut_off), default=0.0)
-    served = {name: fleet.force[name].number for name in cut_off}
-    fleet.sent.clear()
-    heal = world.now
-    fleet.heal()
-    if not world.run_until(lambda: all(force.number == last for force in fleet.force.values()), LATE + 10.0):
-        wrong.append("not all caught up after the return")
-    caught = world.now - heal
-    back = sum(count for name, count in fleet.sent.items() if name[:3] == "to " and name[3:] in cut_off)
+            skipped = all_names - cut_off_at[number] - cluster.reached.get(number, {}).keys()
+            if any(cluster.active_revisions[name].number < number for name in skipped):
+                violations.append(f"revision {number} not in force at {len(skipped)} in time")
+        world.run(max(world.now, proposed_at[number] + 2.0))
+    world.run(world.now + 6.0)  # a process restarted in the cut-off region reaches one voter, and has tried all by now
+    elapsed, last = world.now - begin, max(proposed_at)
+    active_rates = {name: count / elapsed for name, count in cluster.sent_bytes.items()}
+    silence = world.now - max((cluster.active_revisions[name].last_heard for name in cut_off), default=0.0)
+    revisions = {name: cluster.active_revisions[name].number for name in cut_off}
+    cluster.sent_bytes.clear()
+    healed_at = world.now
+    cluster.heal()
+    if not world.run_until(
+        lambda: all(active.number == last for active in cluster.active_revisions.values()), MAX_SECONDS + 10.0
+    ):
+        violations.append("not all processes caught up after the region returned")
+    catch_up_seconds = world.now - healed_at
+    return_bytes = sum(count for name, count in cluster.sent_bytes.items() if name[:3] == "to " and name[3:] in cut_off)
     times = sorted(
-        fleet.reached[number][name] - when
-        for number, when in asked.items()
-        for name in everyone - apart[number]
-        if name in fleet.reached[number]
+        cluster.reached[number][name] - when
+        for number, when in proposed_at.items()
+        for name in all_names - cut_off_at[number]
+        if name in cluster.reached[number]
     )
-    worst, most = times[int(len(times) * 0.99)], times[-1]
-    if worst > SOON or most > LATE:
-        wrong.append(f"99 in 100 within {worst:.2f} s, all within {most:.2f} s")
-    followers = [name for name in fleet.names if name[0] == "f"]
+    p99, longest = times[int(len(times) * 0.99)], times[-1]
+    if p99 > MAX_P99_SECONDS or longest > MAX_SECONDS:
+        violations.append(f"99 % within {p99:.2f} s, all within {longest:.2f} s")
+    followers = [name for name in cluster.names if name[0] == "f"]
 
-    def mean(rows: dict[str, float], names: list[str], side: str) -> float:
-        return round(sum(rows.get(side + name, 0.0) for name in names) / len(names), 1)
+    def mean(rows: dict[str, float], names: list[str], prefix: str) -> float:
+        return round(sum(rows.get(prefix + name, 0.0) for name in names) / len(names), 1)
 
-    each = pack_change(Change(0, "trial", {"p": Figures(1.0, 9.0)}, {1 << 20 | n: "p" for n in range(firms)}), FLEET)
+    change_data = pack_change(
+        Change(0, "trial", {"p": Figures(1.0, 9.0)}, {1 << 20 | n: "p" for n in range(firms)}), FLEET
+    )
     return {
         "size": size,
         "changes": last,
-        "changeBytes": len(each),
+        "changeBytes": len(change_data),
         "median": round(times[len(times) // 2], 3),
-        "of99In100": round(worst, 3),
-        "all": round(most, 3),
+        "of99In100": round(p99, 3),
+        "all": round(longest, 3),
         "cutOff": len(cut_off),
-        "cutOffHave": sorted(set(served.values())),
-        "cutOffSayOldS": round(old, 1),
-        "caughtUpS": round(caught, 2),
-        "returnBytesEach": round(back / max(1, len(cut_off))),
-        "restBytesASecondIn": mean(rest, followers, "to "),
-        "restBytesASecondOut": mean(rest, followers, ""),
-        "bytesASecondIn": mean(told, followers, "to "),
-        "voterBytesASecondOut": mean(told, list(fleet.seats), ""),
-        "snapshots": fleet.snapshots - snapshots,
-        "streamsFull": world.full,
+        "cutOffHave": sorted(set(revisions.values())),
+        "cutOffSayOldS": round(silence, 1),
+        "caughtUpS": round(catch_up_seconds, 2),
+        "returnBytesEach": round(return_bytes / max(1, len(cut_off))),
+        "restBytesASecondIn": mean(idle_rates, followers, "to "),
+        "restBytesASecondOut": mean(idle_rates, followers, ""),
+        "bytesASecondIn": mean(active_rates, followers, "to "),
+        "voterBytesASecondOut": mean(active_rates, list(cluster.voter_addresses), ""),
+        "snapshots": cluster.snapshots - snapshots,
+        "streamsFull": world.dropped_streams,
         "events": world.event_count,
-        "wallS": round(time.monotonic() - began, 1),
-        "wrong": wrong,
+        "wallS": round(time.monotonic() - wall_start, 1),
+        "wrong": violations,
     }
 
 
-# What 44,000 tenants cost.
-
-
-def tenants(firms: int, seed: int = 1) -> dict[str, Any]:
-    """One process's part of it: memory, bytes of a snapshot, how long a turn is held."""
+def measure_firms(firms: int, seed: int = 1) -> dict[str, Any]:
+    """Measures one process with many firms: memory, snapshot size, and time that the event loop is blocked."""
     rng = random.Random(seed)
     plans = [f"plan-{n}" for n in range(20)]
     log = Revisions(FLEET)
     numbers = rng.sample(range(1 << 33), firms)
 
-    def took(call: Callable[[], Any], times: int = 5) -> float:
-        found = []
-        for _ in range(times):
+    def median_ms(call: Callable[[], Any], repeats: int = 5) -> float:
+        durations = []
+        for _ in range(repeats):
             begin = time.perf_counter()
             call()
-            found.append(time.perf_counter() - begin)
-        return round(sorted(found)[times // 2] * 1000, 2)
+            durations.append(time.perf_counter() - begin)
+        return round(sorted(durations)[repeats // 2] * 1000, 2)
 
     gc.collect()
     tracemalloc.start()
@@ -272,19 +287,19 @@
         assert "revision" in answer, answer
         loads += 1
     del numbers[firms:]
-    force = ActiveRevision(0.0)
-    force.update(1.0, log, LogState(True, 1.0, True))
+    active = ActiveRevision(0.0)
+    active.update(1.0, log, LogState(True, 1.0, True))
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - begin
+    held_bytes = tracemalloc.get_traced_memory()[0] - begin
     tracemalloc.stop()
-    whole = StateMachine({PART: log})
-    dumped = whole.dump()
-    told = encode_word(AddressedPayload("v0", "f0@1", LogUpdate(1, [], Snapshot(1, 1, Config({}), dumped))))
+    machine = StateMachine({PART: log})
+    dumped = machine.dump()
+    message = encode_message(AddressedPayload("v0", "f0@1", LogUpdate(1, [], Snapshot(1, 1, Config({}), dumped))))
     other = Revisions(FLEET)
     dump = log.dump()
-    restore = took(lambda: other.load(dump))
-    first_force = took(lambda: ActiveRevision(0.0).update(1.0, log, LogState(True, 1.0, True)))
-    apply, look = [], []
+    restore = median_ms(lambda: other.load(dump))
+    first_force = median_ms(lambda: ActiveRevision(0.0).update(1.0, log, LogState(True, 1.0, True)))
+    apply_seconds, activate_seconds = [], []
     for number in range(40):
         change = Change(
             log.number,
@@ -296,76 +311,83 @@
         start = time.perf_counter()
         log.apply(2.0, data)
         middle = time.perf_counter()
-        force.update(2.0, log, LogState(True, 2.0, True))
-        apply.append(middle - start)
-        look.append(time.perf_counter() - middle)
-    assert len(told) < STREAM, "longer than a stream's word"
+        active.update(2.0, log, LogState(True, 2.0, True))
+        apply_seconds.append(middle - start)
+        activate_seconds.append(time.perf_counter() - middle)
+    assert len(message) < MAX_STREAM_BYTES, "longer than a stream carries"
     return {
         "firms": firms,
         "changesToLoad": loads,
-        "memoryMb": round(held / 1e6, 2),
+        "memoryMb": round(held_bytes / 1e6, 2),
         "countedBytes": log.content.size_bytes,
         "snapshotBytes": len(pack(log.content)),
         "historyBytes": sum(row.undo_bytes for row in log.history),
-        "wordBytes": len(told),
-        "secondsAt14KB": round(len(told) / 14_000, 1),
-        "dumpMs": took(log.dump),
+        "wordBytes": len(message),
+        "secondsAt14KB": round(len(message) / 14_000, 1),
+        "dumpMs": median_ms(log.dump),
         "loadMs": restore,
         "firstInForceMs": first_force,
-        "applyMs": round(sorted(apply)[20] * 1000, 3),
-        "inForceMs": round(sorted(look)[20] * 1000, 3),
-        "ownCopyMs": took(lambda: seal(pack(force.content), FLEET)),
+        "applyMs": round(sorted(apply_seconds)[20] * 1000, 3),
+        "inForceMs": round(sorted(activate_seconds)[20] * 1000, 3),
+        "ownCopyMs": median_ms(lambda: seal(pack(active.content), FLEET)),
     }
 
 
-def compaction(size: int, firms: int) -> dict[str, Any]:
-    """A region that was cut off returns after the voters' log has become a snapshot: all of it is told, not the
-    difference. Those that followed meanwhile are told nothing more than the changes."""
+def measure_compaction(size: int, firms: int) -> dict[str, Any]:
+    """Measures bytes sent when a region that was cut off returns after the voters compacted their log.
+
+    Returning followers get the whole snapshot, not the difference; the others are sent only the changes."""
     import brackenpulley.consensus.agreement as agreement
 
-    compact, agreement.COMPACTION_ENTRIES = agreement.COMPACTION_ENTRIES, 10
+    compaction_entries, agreement.COMPACTION_ENTRIES = agreement.COMPACTION_ENTRIES, 10
     try:
-        fleet = Regions(size, 1)
-        world, rng = fleet.world, random.Random(1)
-        world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
+        cluster = RegionalCluster(size, 1)
+        world, rng = cluster.world, random.Random(1)
+        world.run_until(lambda: all(active.caught_up for active in cluster.active_revisions.values()), 30.0)
         numbers, number = rng.sample(range(1 << 33), firms), 0
-        apart = {name for name in fleet.names if fleet.region(name) == 2}
+        apart = {name for name in cluster.names if cluster.region(name) == 2}
         loads = max(1, -(-firms // 600))
         while number < loads + 12:
             if number == loads:
-                fleet.cut(2)
-                fleet.sent.clear()
-                snapshots = fleet.snapshots
+                cluster.cut(2)
+                cluster.sent_bytes.clear()
+                snapshots = cluster.snapshots
             plans: dict[str, Figures | None] = {"p": Figures(1.0 + number, 9.0)}
             rows: dict[int, str | None] = {firm: "p" for firm in numbers[number * 600 : number * 600 + 600]}
-            fleet.change("f0", Change(number, "t", plans, rows))
+            cluster.change("f0", Change(number, "t", plans, rows))
             number += 1
-            there = [force for name, force in fleet.force.items() if number <= loads or name not in apart]
+            reachable = [
+                active for name, active in cluster.active_revisions.items() if number <= loads or name not in apart
+            ]
             world.run_until(
-                lambda number=number, there=there: all(  # type: ignore[misc]
-                    force.number == number for force in there
+                lambda number=number, reachable=reachable: all(  # type: ignore[misc]
+                    active.number == number for active in reachable
                 ),
                 20.0,
             )
-        near = [fleet.sent.get(f"to {name}", 0) for name in fleet.names if name[0] == "f" and name not in apart]
-        followed, before = fleet.snapshots - snapshots, fleet.snapshots
-        fleet.sent.clear()
+        follower_bytes = [
+            cluster.sent_bytes.get(f"to {name}", 0) for name in cluster.names if name[0] == "f" and name not in apart
+        ]
+        snapshots_while_following, before = cluster.snapshots - snapshots, cluster.snapshots
+        cluster.sent_bytes.clear()
         begin = world.now
-        fleet.heal()
-        done = world.run_until(lambda: all(force.number == number for force in fleet.force.values()), 30.0)
-        far = [fleet.sent.get(f"to {name}", 0) for name in apart if name[0] == "f"]
+        cluster.heal()
+        done = world.run_until(
+            lambda: all(active.number == number for active in cluster.active_revisions.values()), 30.0
+        )
+        returned_bytes = [cluster.sent_bytes.get(f"to {name}", 0) for name in apart if name[0] == "f"]
         return {
             "followers": size,
             "firms": firms,
             "changes": number,
-            "snapshotsWhileFollowing": followed,
-            "bytesEachWhileFollowing": round(sum(near) / len(near)),
-            "returned": len(far),
-            "snapshotsAtReturn": fleet.snapshots - before,
-            "bytesEachAtReturn": round(sum(far) / len(far)),
+            "snapshotsWhileFollowing": snapshots_while_following,
+            "bytesEachWhileFollowing": round(sum(follower_bytes) / len(follower_bytes)),
+            "returned": len(returned_bytes),
+            "snapshotsAtReturn": cluster.snapshots - before,
+            "bytesEachAtReturn": round(sum(returned_bytes) / len(returned_bytes)),
             "caughtUpS": round(world.now - begin, 2),
-            "streamsFull": world.full,
-            "wrong": [] if done else ["not all caught up"],
+            "streamsFull": world.dropped_streams,
+            "wrong": [] if done else ["not all processes caught up"],
         }
     finally:
-        agreement.COMPACTION_ENTRIES = compact
+        agreement.COMPACTION_ENTRIES = compaction_entries
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from benchmarks.configuration import drawn_change, run
-from benchmarks.configuration_sizes import compaction, size_run
+from benchmarks.configuration import draw_change, run_seed
+from benchmarks.configuration_sizes import measure_compaction, measure_size
 from brackenpulley.configuration import store
 from brackenpulley.configuration.active import (
     ROLLBACK_DELAY_SECONDS,
@@ -170,7 +170,7 @@
         log = Revisions("f")
         contents = [pack(log.content)]
         while log.number < 12:
-            change = drawn_change(rng, log.number, log.content, "ann")
+            change = draw_change(rng, log.number, log.content, "ann")
             if "revision" in propose(log, change):
                 contents.append(pack(log.content))
         to = rng.randrange(12)
@@ -327,20 +327,20 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_fleet_with_faults_keeps_one_order_of_revisions(seed: int) -> None:
     """More seeds: python -m benchmarks.configuration --seeds 200."""
-    report = run(seed)
+    report = run_seed(seed)
     assert report["broken"] == "", report["lines"]
     assert report["revisions"] > 0
 
 
 def test_a_change_is_active_in_time_during_restarts_and_a_region_outage() -> None:
     """A short run of --only sizes; processes that were cut off receive only the changes that they missed."""
-    report = size_run(60)
+    report = measure_size(60)
     assert report["wrong"] == [] and report["cutOff"] == 21 and report["cutOffHave"] == [3]
     assert report["returnBytesEach"] < 10 * report["changeBytes"] * report["changes"]
 
 
 def test_a_region_that_returns_after_log_compaction_receives_the_whole_snapshot() -> None:
-    report = compaction(18, 1600)
+    report = measure_compaction(18, 1600)
     assert report["wrong"] == [] and report["snapshotsWhileFollowing"] == 0 and report["snapshotsAtReturn"] >= 6
 
 
@@ -399,4 +399,4 @@
         "load": load,
     }
     monkeypatch.setattr(owner, member, faulty[member])
-    assert any(run(seed)["broken"] for seed in range(12))
+    assert any(run_seed(seed)["broken"] for seed in range(12))
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from benchmarks.configuration_processes import processes
-from benchmarks.configuration_sizes import LATE
+from benchmarks.configuration_processes import run_processes
+from benchmarks.configuration_sizes import MAX_SECONDS
 
 
 def test_all_processes_agree_on_revisions_despite_loss_crashes_stalls_and_partitions() -> None:
-    report = processes()
+    report = run_processes()
     assert report["wrong"] == []
-    assert max(report["inForceS"].values()) < LATE and report["served"] > 100
+    assert max(report["inForceS"].values()) < MAX_SECONDS and report["served"] > 100
