--- a/benchmarks/configuration_processes.py
+++ b/benchmarks/configuration_processes.py
@@ -230,7 +230,7 @@
     """Measures CPU and memory of idle real processes.
 
     With consensus and maintenance, with the configuration too, and with changes to it."""
-    found: dict[str, Any] = {}
+    result: dict[str, Any] = {}
     for name, operator_extra in (("agreed", ""), ("configuration", "[configuration]\n")):
         fleet = WorkFleet(5, 1, 3, operator_extra=operator_extra)
         try:
@@ -259,7 +259,7 @@
                 fleet.run_for(seconds)
                 after = [process.read_usage() for process in fleet.processes]
                 cpu = [(end[0] - start[0]) / seconds * 100 for start, end in zip(before, after, strict=True)]
-                found[name + phase] = {
+                result[name + phase] = {
                     "voters": round(sum(cpu[:3]) / 3, 2),
                     "followers": round(sum(cpu[3:]) / 2, 2),
                     "residentMb": round(sum(end[1] for end in after) / 5 / 1024, 1),
@@ -267,4 +267,4 @@
                 }
         finally:
             fleet.close()
-    return found
+    return result
--- a/benchmarks/configuration_sizes.py
+++ b/benchmarks/configuration_sizes.py
@@ -28,8 +28,8 @@
 
 FLEET = "trial"  # name of the fleet
 POLL_INTERVAL_SECONDS = 0.2
-MAX_P99_SECONDS = 5.0  # from a change to in force, 99th percentile
-MAX_SECONDS = 14.0  # the same for all processes that can be reached
+MAX_P99_ACTIVATION_SECONDS = 5.0  # from a change to in force, 99th percentile
+MAX_ACTIVATION_SECONDS = 14.0  # the same for all processes that can be reached
 MAX_STREAMS = 64  # concurrent per process, as in members/transport
 ENVELOPE_BYTES = 90  # per payload: sender, incarnation, sequence number, kind, address, authentication tag
 MAX_STREAM_BYTES = 1 << 20  # longest message that members/transport carries
@@ -200,7 +200,7 @@
                 )
                 >= len(all_names) - len(apart)
             ),
-            MAX_SECONDS + 10.0,
+            MAX_ACTIVATION_SECONDS + 10.0,
         ):
             skipped = all_names - cut_off_at[number] - cluster.reached.get(number, {}).keys()
             if any(cluster.active_revisions[name].number < number for name in skipped):
@@ -215,7 +215,8 @@
     healed_at = world.now
     cluster.heal()
     if not world.run_until(
-        lambda: all(active.number == last for active in cluster.active_revisions.values()), MAX_SECONDS + 10.0
+        lambda: all(active.number == last for active in cluster.active_revisions.values()),
+        MAX_ACTIVATION_SECONDS + 10.0,
     ):
         violations.append("not all processes caught up after the region returned")
     catch_up_seconds = world.now - healed_at
@@ -227,7 +228,7 @@
         if name in cluster.reached[number]
     )
     p99, longest = times[int(len(times) * 0.99)], times[-1]
-    if p99 > MAX_P99_SECONDS or longest > MAX_SECONDS:
+    if p99 > MAX_P99_ACTIVATION_SECONDS or longest > MAX_ACTIVATION_SECONDS:
         violations.append(f"99 % within {p99:.2f} s, all within {longest:.2f} s")
     followers = [name for name in cluster.names if name[0] == "f"]
 
--- a/benchmarks/rolling_drains.py
+++ b/benchmarks/rolling_drains.py
@@ -317,9 +317,9 @@
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
     if options.schedule:
-        found = compare_schedules(options.cases, options.seed)
-        print(json.dumps(found, indent=None if options.json else 1))
-        return int(found["worst"] > MAX_SCHEDULE_RATIO)
+        result = compare_schedules(options.cases, options.seed)
+        print(json.dumps(result, indent=None if options.json else 1))
+        return int(result["worst"] > MAX_SCHEDULE_RATIO)
     report = run_trial(options.instances, options.rolls, options.limit, options.seed)
     print(json.dumps(report, indent=None if options.json else 1))
     return int(bool(report["wrong"]))
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -332,10 +332,15 @@
         if index < self.index:
             return
         self.index = index
-        out = [row for row in rows if row["state"] in ("clearing", "clear", "at work", "returning", "stuck")]
-        zones = [row["zone"] for row in out]
-        if len(out) > MAX_MACHINES_OUT or max([0, *(zones.count(zone) for zone in zones)]) > MAX_MACHINES_OUT_IN_ZONE:
-            self.violations.append(f"too many machines out: {[(row['id'], row['state'], row['zone']) for row in out]}")
+        out_rows = [row for row in rows if row["state"] in ("clearing", "clear", "at work", "returning", "stuck")]
+        zones = [row["zone"] for row in out_rows]
+        if (
+            len(out_rows) > MAX_MACHINES_OUT
+            or max([0, *(zones.count(zone) for zone in zones)]) > MAX_MACHINES_OUT_IN_ZONE
+        ):
+            self.violations.append(
+                f"too many machines out: {[(row['id'], row['state'], row['zone']) for row in out_rows]}"
+            )
         for row in rows:
             old = self.jobs.get(row["id"])
             if old is not None and row["token"] < old["token"]:
@@ -413,8 +418,8 @@
                     sender = next(
                         (message.ingress for message in reversed(self.load.tries) if message.id == server.hearing), -1
                     )
-                    since = self.clearing_reported_at.get((row["id"], row["token"], sender), now)
-                    self.arrivals_while_out.append((server.name, row["id"], row["token"], since, now))
+                    reported_at = self.clearing_reported_at.get((row["id"], row["token"], sender), now)
+                    self.arrivals_while_out.append((server.name, row["id"], row["token"], reported_at, now))
                 return "ok"
 
             server.script = script
@@ -426,9 +431,9 @@
         this process polls it, and longer before if this process was not scheduled. A machine whose return was not
         observed counts as out for good."""
         delays: dict[str, float] = {}
-        for server, name, token, since, when in self.arrivals_while_out:
-            if when < self.returned_at.get((name, token), inf):
-                delays[server] = max(delays.get(server, 0.0), when - since)
+        for server, name, token, reported_at, arrived_at in self.arrivals_while_out:
+            if arrived_at < self.returned_at.get((name, token), inf):
+                delays[server] = max(delays.get(server, 0.0), arrived_at - reported_at)
         return delays
 
     # Faults.
@@ -614,8 +619,8 @@
                 f"permits not done: "
                 f"{[(row['id'], row['state'], row['why'], row['missing']) for row in fleet.jobs.values()]}"
             )
-        finished = time.monotonic() - faults_ended
-        ingress = cycle_ingress(fleet, size - 1) if not violations else 0.0
+        completion_seconds = time.monotonic() - faults_ended
+        cycle_seconds = cycle_ingress(fleet, size - 1) if not violations else 0.0
         fleet.load.stop()
         fleet.run_until(lambda: not fleet.load.out, 12.0)
         # A killed process loses its messages in flight and those sent to it until the front notices the death.
@@ -651,8 +656,8 @@
             "machines": machines,
             "script": [str(fault) for fault in faults],
             "tokens": sum(row["token"] > 0 for row in fleet.jobs.values()),
-            "doneAfterCalmS": round(finished, 1),
-            "ingressOutAndBackS": round(ingress, 1),
+            "doneAfterCalmS": round(completion_seconds, 1),
+            "ingressOutAndBackS": round(cycle_seconds, 1),
             "killed": len(fleet.killed),
             "grantsAfterDeathS": grants,
             "latestWorkS": round(max(delays.values(), default=0.0), 2),
@@ -669,7 +674,7 @@
 
 def measure_idle(size: int, seconds: float) -> dict[str, Any]:
     """Measures CPU and memory of an idle process, with membership alone and with consensus and maintenance."""
-    found: dict[str, Any] = {"instances": size}
+    result: dict[str, Any] = {"instances": size}
     for name, has_consensus in (("members", False), ("agreed", True)):
         fleet = Fleet(size, 1, 3, has_consensus)
         try:
@@ -692,14 +697,14 @@
         finally:
             fleet.close()
         cpu = [(end[0] - start[0]) / seconds * 100 for start, end in zip(before, after, strict=True)]
-        found[name] = {
+        result[name] = {
             "cpuPercent": round(statistics.mean(cpu), 2),
             "mostCpuPercent": round(max(cpu), 2),
             "residentMb": round(statistics.mean(end[1] for end in after) / 1024, 1),
         }
-    found["cpuRatio"] = round(found["agreed"]["cpuPercent"] / found["members"]["cpuPercent"], 2)
-    found["memoryRatio"] = round(found["agreed"]["residentMb"] / found["members"]["residentMb"], 2)
-    return found
+    result["cpuRatio"] = round(result["agreed"]["cpuPercent"] / result["members"]["cpuPercent"], 2)
+    result["memoryRatio"] = round(result["agreed"]["residentMb"] / result["members"]["residentMb"], 2)
+    return result
 
 
 def main() -> int:
@@ -714,9 +719,9 @@
     parser.add_argument("--idle", action="store_true", help="measure CPU and memory without load instead")
     options = parser.parse_args()
     if options.idle:
-        found = measure_idle(options.instances, options.seconds)
-        print(json.dumps(found, indent=None if options.json else 1))
-        return int(found["cpuRatio"] > MAX_IDLE_CPU_RATIO)
+        result = measure_idle(options.instances, options.seconds)
+        print(json.dumps(result, indent=None if options.json else 1))
+        return int(result["cpuRatio"] > MAX_IDLE_CPU_RATIO)
     report = run_trial(
         options.instances,
         options.machines,
