--- a/benchmarks/capacity/kinds/configuration.py
+++ b/benchmarks/capacity/kinds/configuration.py
@@ -7,7 +7,7 @@
 import statistics
 from typing import Any
 
-from benchmarks.configuration_sizes import Regions, size_run, tenants
+from benchmarks.configuration_sizes import RegionalCluster, measure_firms, measure_size
 from brackenpulley.configuration.rules import Change
 from brackenpulley.plans.book import Figures
 
@@ -25,7 +25,7 @@
     """Returns the times until a change is in force, in s, while ingresses restart and a region is cut off.
 
     A change that takes too long still counts; a follower that never applies it raises AssertionError."""
-    run = size_run(followers, seed, CHANGES, FIRMS_PER_CHANGE)
+    run = measure_size(followers, seed, CHANGES, FIRMS_PER_CHANGE)
     left_out = [line for line in run["wrong"] if not line.startswith("99 in 100")]
     assert not left_out, left_out
     return {"soon": run["of99In100"], "all": run["all"]}
@@ -45,28 +45,28 @@
     """Returns the bytes per second that an idle ingress receives, and the bytes that a change adds.
 
     No ingress restarts and no link is cut."""
-    fleet = Regions(followers, seed)
+    fleet = RegionalCluster(followers, seed)
     world = fleet.world
-    assert world.run_until(lambda: all(force.caught_up for force in fleet.force.values()), 30.0)
+    assert world.run_until(lambda: all(force.caught_up for force in fleet.active_revisions.values()), 30.0)
     world.run(world.now + 2.0)
 
     def count_bytes(seconds: float) -> float:
-        fleet.sent.clear()
+        fleet.sent_bytes.clear()
         world.run(world.now + seconds)
-        return statistics.mean(fleet.sent.get(f"to f{n}", 0) for n in range(followers))
+        return statistics.mean(fleet.sent_bytes.get(f"to f{n}", 0) for n in range(followers))
 
     idle_rate = count_bytes(IDLE_SECONDS) / IDLE_SECONDS
     added_bytes = []
     for number in range(1, COUNTED_CHANGES + 1):
         fleet.change("f0", make_change(number))
         added_bytes.append(count_bytes(CHANGE_SECONDS) - idle_rate * CHANGE_SECONDS)
-        assert all(force.number == number for force in fleet.force.values()), number
+        assert all(force.number == number for force in fleet.active_revisions.values()), number
     return {"rest": idle_rate, "change": statistics.mean(added_bytes)}
 
 
 def measure_tenants(firms: int, seed: int) -> dict[str, float]:
     """Measures one process with so many firms on plans. Times are wall time, the median of five."""
-    run: dict[str, Any] = tenants(firms, seed)
+    run: dict[str, Any] = measure_firms(firms, seed)
     return {
         "memory": run["memoryMb"],
         "start": float(run["wordBytes"]),
--- a/benchmarks/capacity/kinds/members.py
+++ b/benchmarks/capacity/kinds/members.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from benchmarks.membership import Net, fleet
+from benchmarks.membership import SimulatedNetwork, build_network
 from brackenpulley.members.keys import OVERHEAD_BYTES
 from brackenpulley.members.protocol import Protocol
 from brackenpulley.members.records import RecordTable
@@ -21,7 +21,7 @@
 DEATH_TIMEOUT_SECONDS = 60  # until a death must be known to all
 
 
-class CountingNet(Net):
+class CountingNet(SimulatedNetwork):
     """A network that also counts the messages sent."""
 
     messages = 0
@@ -36,36 +36,38 @@
 
     All spans precede the deaths, because members probe the dead for a while and that costs bytes."""
     started = time.thread_time()
-    net = fleet(size, seed)
+    net = build_network(size, seed)
     join_cpu = time.thread_time() - started
     net.__class__ = CountingNet
     assert isinstance(net, CountingNet)
     net.run(net.now + 12.0)  # until the news of joining is spread
     measurements: list[dict[str, float]] = []
     for _ in range(REPEATS):
-        net.measure, net.messages = True, 0
-        net.bytes.clear()
+        net.is_measuring, net.messages = True, 0
+        net.sent_bytes.clear()
         started = time.thread_time()
         net.run(net.now + IDLE_SECONDS)
         spent = time.thread_time() - started
         measurements.append(
             {
-                "bytes": statistics.mean(net.bytes.values()) / IDLE_SECONDS,
+                "bytes": statistics.mean(net.sent_bytes.values()) / IDLE_SECONDS,
                 "messages": net.messages / size / IDLE_SECONDS,
                 "cpu": spent / size / IDLE_SECONDS * 100,
                 "joined": join_cpu,
                 "death": float(DEATH_TIMEOUT_SECONDS),
             }
         )
-    net.measure = False
+    net.is_measuring = False
     for number, figures in enumerate(measurements):
         victim, when = f"a{size - 1 - number}", net.now
         name = net.members[victim].id
-        net.heard.clear()
+        net.state_changes.clear()
         net.kill(victim)
         for _ in range(2 * DEATH_TIMEOUT_SECONDS):
             net.run(net.now + 0.5)
-            times = [heard_at - when for heard_at, _, whom, state in net.heard if whom == name and state == DEAD]
+            times = [
+                heard_at - when for heard_at, _, whom, state in net.state_changes if whom == name and state == DEAD
+            ]
             if len(times) >= len(net.members):
                 figures["death"] = max(times)
                 break
--- a/benchmarks/capacity/kinds/partition.py
+++ b/benchmarks/capacity/kinds/partition.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from benchmarks.membership import Net, fleet
+from benchmarks.membership import SimulatedNetwork, build_network
 from brackenpulley.members.service import SEEK
 
 from ..measure import REPEATS, Slope, make_slope
@@ -16,7 +16,7 @@
     """Measures how long members take to know each other again, and the bytes that the busiest one sends.
 
     Each member retries its seeds, one in each third, as `members/service` does."""
-    net: Net = fleet(size, seed)
+    net: SimulatedNetwork = build_network(size, seed)
     isolated = {f"a{n}" for n in range(size) if n % 3 == 2}
     seeds = ["a0", "a1", "a2"]
 
@@ -25,25 +25,25 @@
         known_addresses = {peer.address for peer in member.alive_members()}
         missing = [seed for seed in seeds if seed not in known_addresses and seed != address]
         if missing:
-            net.do(member, member.join([missing[int(net.now / SEEK) % len(missing)]]))
-        net.at(net.now + SEEK, lambda: rejoin(address))
+            net.apply_effects(member, member.join([missing[int(net.now / SEEK) % len(missing)]]))
+        net.schedule(net.now + SEEK, lambda: rejoin(address))
 
     for n, address in enumerate(list(net.members)):
-        net.at(net.now + SEEK * n / size, lambda address=address: rejoin(address))  # type: ignore[misc]
-    net.blocked = lambda a, b: (a in isolated) != (b in isolated)
+        net.schedule(net.now + SEEK * n / size, lambda address=address: rejoin(address))  # type: ignore[misc]
+    net.is_blocked = lambda a, b: (a in isolated) != (b in isolated)
     net.run(net.now + PARTITION_SECONDS)
-    net.blocked = lambda a, b: False
-    healed_at, net.measure = net.now, True
-    net.bytes.clear()
+    net.is_blocked = lambda a, b: False
+    healed_at, net.is_measuring = net.now, True
+    net.sent_bytes.clear()
     nearly_all_after = 0.0
-    while not net.agree() and net.now < healed_at + CONVERGENCE_TIMEOUT_SECONDS:
+    while not net.has_converged() and net.now < healed_at + CONVERGENCE_TIMEOUT_SECONDS:
         net.run(net.now + 0.25)
         known_part = sum(len(member.alive_members()) + 1 for member in net.members.values()) / size**2
         nearly_all_after = nearly_all_after or (net.now - healed_at if known_part >= 0.99 else 0.0)
     return {
         "took": net.now - healed_at,
         "most": nearly_all_after or net.now - healed_at,
-        "bytes": max(net.bytes.values(), default=0),
+        "bytes": max(net.sent_bytes.values(), default=0),
     }
 
 
--- a/benchmarks/capacity/kinds/server_connections.py
+++ b/benchmarks/capacity/kinds/server_connections.py
@@ -10,7 +10,7 @@
 from brackenpulley.policy import interface
 from brackenpulley.policy.brain import DecisionModule
 from brackenpulley.settings import decode_settings as decode
-from brackenpulley.standins.settings import settings
+from brackenpulley.standins.settings import build_settings
 
 from ..load import CURRENT_LOAD, TARGET_LOAD
 from ..measure import REPEATS, Slope, make_slope
@@ -28,7 +28,7 @@
 
     def __init__(self, servers: int, ingresses: int, seed: int) -> None:
         super().__init__()
-        raw = settings(ingresses, 0, counter=False)
+        raw = build_settings(ingresses, 0, has_counter=False)
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
         self.decision_module = DecisionModule(decode(raw), seed, self.now)
