--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,3 +1,5 @@
-"""A scale run: many hollow ingresses beside real ones, voters, a discovery of many servers, a counter, and links.
+"""Scale benchmark: a large fleet of hollow and real ingresses, voters, a discovery service, a counter and links.
 
-`__main__` says how it is started; `roles` are its processes, `world` starts and asks them, `report` judges."""
+`__main__` is the command line, `roles` holds the child processes, `world` starts and queries them, and `report`
+summarizes the measured figures and compares them with the limits.
+"""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -36,7 +36,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from benchmarks.scale.report import compared, limits, spread, window
+from benchmarks.scale.report import compare_hollow_with_real, find_exceeded_limits, summarize, summarize_window
 from benchmarks.scale.world import Ended, World
 from brackenpulley.standins.hollow import PARTS, USUAL
 
@@ -88,10 +88,10 @@
         took = [row for state in world.states() for row in state["took"]]
         self.step("lists", lambda: world.until(lambda: all(one.whole_after for one in reals), SOON, "real lists"))
         self.times.update(
-            readyHollow=spread(row[0] for row in took),
-            listWholeHollow=spread(row[1] for row in took),
-            readyReal=spread(one.ready_after for one in reals),
-            listWholeReal=spread(one.whole_after for one in reals),
+            readyHollow=summarize(row[0] for row in took),
+            listWholeHollow=summarize(row[1] for row in took),
+            readyReal=summarize(one.ready_after for one in reals),
+            listWholeReal=summarize(one.whole_after for one in reals),
             membersWhole=whole,
         )
         for host in world.hosts:
@@ -108,7 +108,7 @@
         world.load.start()
         self._loaded(told.seconds * 2 / 3)
         third = world.counts()
-        calm, loaded = (window(a, b, kinds, told.hollow) for a, b in ((first, second), (second, third)))
+        calm, loaded = (summarize_window(a, b, kinds, told.hollow) for a, b in ((first, second), (second, third)))
         self.say("loaded is over")
         self.restarting = False
         trouble = self._trouble() if told.trouble else None
@@ -140,7 +140,7 @@
             "trouble": trouble,
             "restartsOfIngresses": self.restarts,
             "clients": {"tries": len(tries), "served": served},
-            "limits": limits(calm, loaded, calm["bare"]) if told.real else [],
+            "limits": find_exceeded_limits(calm, loaded, calm["bare"]) if told.real else [],
             "folder": str(world.folder),
             "processes": len(world.pids()) + 1,
             "mostMb": round(world.most_mb),
@@ -168,7 +168,7 @@
     def _due(self) -> None:
         if self.restarting:
             host = self.world.rng.choice(self.world.hosts)
-            host.send("restart", name=self.world.rng.choice(self.world.names[host.name]))
+            host.notify("restart", name=self.world.rng.choice(self.world.names[host.name]))
             self.restarts += 1
         self._restart()
 
@@ -192,7 +192,7 @@
             world.until(known, KNOWN, "a change at all hollow ones")
         finally:
             if found.get("all"):
-                row = spread(when - found["asked"] for when in found["all"])
+                row = summarize(when - found["asked"] for when in found["all"])
                 self.times["agreedToAll"].append(row)
 
     def _death(self, patience: float = SOON) -> None:
@@ -215,8 +215,8 @@
         finally:
             self.times["deathKnown"].append(
                 {
-                    **spread(when - killed for when in found),
-                    "real": spread(
+                    **summarize(when - killed for when in found),
+                    "real": summarize(
                         when - killed for one in world.reals() for when in one.dead(name)[-1:] if when >= killed
                     ),
                 }
@@ -243,15 +243,15 @@
         found["cut"] = {
             "seconds": told.cut,
             "wholeAfterS": back,
-            "during": window(first, cut, kinds, told.hollow),
-            "after": window(cut, healed, kinds, told.hollow),
+            "during": summarize_window(first, cut, kinds, told.hollow),
+            "after": summarize_window(cut, healed, kinds, told.hollow),
         }
         self.say(f"the region is back after {back}")
         tenth = {host: world.names[host.name][::10] for host in world.hosts}
         for host, names in tenth.items():
-            host.tell("kill", names=names, again=True)
+            host.submit("kill", names=names, again=True)
         for host in tenth:
-            host.answer("kill", SOON)
+            host.collect("kill", SOON)
         ready = self.step(
             "a tenth ready",
             lambda: world.until(
@@ -265,9 +265,9 @@
             "killed": sum(len(names) for names in tenth.values()),
             "readyS": ready,
             "wholeAfterS": again,
-            "ready": spread(row[0] for row in took),
-            "listWhole": spread(row[1] for row in took),
-            "after": window(healed, last, kinds, told.hollow),
+            "ready": summarize(row[0] for row in took),
+            "listWhole": summarize(row[1] for row in took),
+            "after": summarize_window(healed, last, kinds, told.hollow),
         }
         self.say(f"the tenth is back after {again}")
         return found
@@ -353,7 +353,7 @@
         if late:
             run.wrong.append(f"{late} processes had to be killed after SIGTERM")
     if told.compare:
-        report["compared"] = compared(report["loaded"])
+        report["compared"] = compare_hollow_with_real(report["loaded"])
         report["wrong"] += [
             f"hollow is unlike real: {row['kind']} {row['what']}: {row['ratio']}"
             for row in report["compared"]
--- a/benchmarks/scale/child.py
+++ b/benchmarks/scale/child.py
@@ -1,6 +1,8 @@
-"""A process of the run and its two ends: one JSON line in for each question, one out for each answer.
+"""Child processes of the scale benchmark and the line protocol between them and the parent.
 
-The child ends when its standard input does, so that nothing is left where the run itself is killed."""
+Each request and each response is one line of JSON, on standard input and output of the child. The child exits when
+its standard input is closed, so that no process is left behind when the parent is killed.
+"""
 
 from __future__ import annotations
 
@@ -21,88 +23,96 @@
 from brackenpulley.serve import wall_clock
 
 ROOT = Path(__file__).resolve().parents[2]
-CHUNK = 1 << 20
+READ_SIZE_BYTES = 1 << 20
 
 
-class Silent:
-    """A log that nobody reads."""
+class NullLogger:
+    """Logger that discards everything but exceptions, which it prints to standard error."""
 
-    def info(self, event: str, **more: Any) -> None: ...
+    def info(self, event: str, **fields: Any) -> None:
+        """Discards the event."""
+        ...
 
-    def error(self, event: str, **more: Any) -> None: ...
+    def error(self, event: str, **fields: Any) -> None:
+        """Discards the event."""
+        ...
 
-    def exception(self, event: str, **more: Any) -> None:
-        structlog.PrintLogger(sys.stderr).msg(f"{event} {more} {sys.exc_info()[1]!r}")
+    def exception(self, event: str, **fields: Any) -> None:
+        """Prints the event with the exception being handled."""
+        structlog.PrintLogger(sys.stderr).msg(f"{event} {fields} {sys.exc_info()[1]!r}")
 
 
-class Lines:
-    """A descriptor that brings lines."""
+class LineReader:
+    """Reads lines of JSON from a file descriptor registered with the event loop."""
 
-    def __init__(self, loop: Loop, number: int, heard: Callable[[Any], None], ended: Callable[[], None]) -> None:
-        self.loop, self.number, self.heard, self.ended, self.data = loop, number, heard, ended, b""
-        os.set_blocking(number, False)
+    def __init__(self, loop: Loop, descriptor: int, on_line: Callable[[Any], None], on_end: Callable[[], None]) -> None:
+        self.loop, self.descriptor, self.on_line, self.on_end, self.buffer = loop, descriptor, on_line, on_end, b""
+        os.set_blocking(descriptor, False)
         loop.register(self, READ, self._readable)
 
     def fileno(self) -> int:
-        return self.number
+        """Returns the file descriptor."""
+        return self.descriptor
 
     def _readable(self, events: int) -> None:
         try:
-            data = os.read(self.number, CHUNK)
+            data = os.read(self.descriptor, READ_SIZE_BYTES)
         except BlockingIOError:
             return
         if not data:
             self.loop.unregister(self)
-            self.ended()
+            self.on_end()
             return
-        self.data += data
-        *whole, self.data = self.data.split(b"\n")
-        for line in whole:
-            self.heard(json.loads(line))
+        self.buffer += data
+        *lines, self.buffer = self.buffer.split(b"\n")
+        for line in lines:
+            self.on_line(json.loads(line))
 
 
 class Role:
-    """What a child does. A question is a method's name with `ask_` before it, and the words that it takes."""
+    """Base class of what a child process runs. A request `name` with arguments calls the method `ask_<name>`."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.told, self.metrics = told, Metrics()
-        self.loop = Loop(wall_clock(), self.metrics, Silent())
+    def __init__(self, options: dict[str, Any]) -> None:
+        self.options, self.metrics = options, Metrics()
+        self.loop = Loop(wall_clock(), self.metrics, NullLogger())
 
     def ask_longest(self) -> int:
-        """us of the longest turn since this was asked last."""
+        """Returns the longest turn of the event loop since the previous call, in microseconds."""
         return self.metrics.counts.pop("longest_turn_us", 0)
 
     def run(self) -> None:
-        def heard(line: Any) -> None:
-            number, name, words = line
-            answer = getattr(self, "ask_" + name)(**words)
+        """Serves requests until standard input is closed. Standard output is reserved for the responses."""
+
+        def handle(line: Any) -> None:
+            number, name, arguments = line
+            answer = getattr(self, "ask_" + name)(**arguments)
             if number:
-                out.write(json.dumps([number, answer]).encode() + b"\n")
-                out.flush()
+                output.write(json.dumps([number, answer]).encode() + b"\n")
+                output.flush()
 
-        out = os.fdopen(os.dup(1), "wb")
+        output = os.fdopen(os.dup(1), "wb")
         os.dup2(2, 1)
-        Lines(self.loop, 0, heard, self.loop.stop)
+        LineReader(self.loop, 0, handle, self.loop.stop)
         self.loop.run()
 
 
 class Child:
-    """The run's end of it."""
+    """Starts a child process and is the parent's end of its line protocol."""
 
     def __init__(
-        self, loop: Loop, folder: Path, kind: str, name: str, told: dict[str, Any], descriptors: tuple[int, ...] = ()
+        self, loop: Loop, folder: Path, kind: str, name: str, options: dict[str, Any], descriptors: tuple[int, ...] = ()
     ) -> None:
         self.loop, self.kind, self.name = loop, kind, name
         self.answers: dict[int, Any] = {}
-        self.asked: deque[int] = deque()
+        self.pending: deque[int] = deque()
         self.number = 0
-        self.ended = False
-        self.errors = folder / f"{name}.txt"
-        file = folder / f"{name}.json"
-        file.write_text(json.dumps(told))
-        with open(self.errors, "wb") as errors:
+        self.has_exited = False
+        self.error_path = folder / f"{name}.txt"
+        options_path = folder / f"{name}.json"
+        options_path.write_text(json.dumps(options))
+        with open(self.error_path, "wb") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "benchmarks.scale.roles", kind, str(file)],
+                [sys.executable, "-m", "benchmarks.scale.roles", kind, str(options_path)],
                 cwd=ROOT,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
@@ -110,43 +120,48 @@
                 pass_fds=descriptors,
             )
         assert self.process.stdout is not None
-        Lines(loop, self.process.stdout.fileno(), self._heard, self._over)
+        LineReader(loop, self.process.stdout.fileno(), self._on_line, self._on_end)
 
-    def _heard(self, line: Any) -> None:
+    def _on_line(self, line: Any) -> None:
         self.answers[line[0]] = line[1]
 
-    def _over(self) -> None:
-        self.ended = True
+    def _on_end(self) -> None:
+        self.has_exited = True
 
-    def send(self, name: str, /, **words: Any) -> None:
-        """Nobody waits for an answer."""
-        self._write(0, name, words)
+    def notify(self, name: str, /, **arguments: Any) -> None:
+        """Sends a request that gets no response."""
+        self._write(0, name, arguments)
 
-    def tell(self, name: str, /, **words: Any) -> None:
-        """Its answer is waited for by `answer`, in the order of the questions."""
+    def submit(self, name: str, /, **arguments: Any) -> None:
+        """Sends a request without waiting; `collect` returns the responses in the order of the requests."""
         self.number += 1
-        self.asked.append(self.number)
-        self._write(self.number, name, words)
+        self.pending.append(self.number)
+        self._write(self.number, name, arguments)
 
-    def _write(self, number: int, name: str, words: dict[str, Any]) -> None:
+    def _write(self, number: int, name: str, arguments: dict[str, Any]) -> None:
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps([number, name, words]).encode() + b"\n")
+        self.process.stdin.write(json.dumps([number, name, arguments]).encode() + b"\n")
         self.process.stdin.flush()
 
-    def ask(self, name: str, /, patience: float = 60.0, **words: Any) -> Any:
-        """The run's loop goes on meanwhile. Raises RuntimeError where no answer comes."""
-        self.tell(name, **words)
-        return self.answer(name, patience)
+    def ask(self, name: str, /, timeout_s: float = 60.0, **arguments: Any) -> Any:
+        """Sends a request and returns its response while the event loop keeps running.
+
+        Raises RuntimeError if the child exits or does not answer within `timeout_s` seconds.
+        """
+        self.submit(name, **arguments)
+        return self.collect(name, timeout_s)
 
-    def answer(self, name: str, patience: float = 60.0) -> Any:
-        number, until = self.asked.popleft(), time.monotonic() + patience
+    def collect(self, name: str, timeout_s: float = 60.0) -> Any:
+        """Returns the response to the oldest submitted request; raises RuntimeError as `ask` does."""
+        number, deadline = self.pending.popleft(), time.monotonic() + timeout_s
         while number not in self.answers:
-            if self.ended or time.monotonic() > until:
-                raise RuntimeError(f"{self.name}: no answer to {name}: {self.errors.read_text()[-1500:]}")
+            if self.has_exited or time.monotonic() > deadline:
+                raise RuntimeError(f"{self.name}: no answer to request {name}: {self.error_path.read_text()[-1500:]}")
             self.loop.run_once(0.02)
         return self.answers.pop(number)
 
     def close(self) -> None:
+        """Closes the child's standard input and waits for its exit; kills it after 5 s."""
         assert self.process.stdin is not None and self.process.stdout is not None
         self.process.stdin.close()
         try:
@@ -157,7 +172,7 @@
         self.process.stdout.close()
 
 
-def used(pid: int) -> tuple[float, float]:
-    """s of CPU so far, and MB resident."""
-    text = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(text[11]) + int(text[12])) / os.sysconf("SC_CLK_TCK"), int(text[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
+def measure_process(pid: int) -> tuple[float, float]:
+    """Returns the CPU time in seconds that a process has used and its resident memory in MB."""
+    stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK"), int(stat[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -1,6 +1,6 @@
 """The processes of a scale run that are no daemons: hollow ingresses, links, discovery, counter.
 
-python -m benchmarks.scale.roles KIND FILE          started by `world`, told by the file, asked by lines"""
+python -m benchmarks.scale.roles KIND FILE          started by `world`, options by the file, asked by lines"""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.child import Role, Silent
+from benchmarks.scale.child import Role, NullLogger
 from brackenpulley.net.http import Payload
 from brackenpulley.net.loop import READ
 from brackenpulley.simulation.links import Link as Way
@@ -30,17 +30,17 @@
 
 MOST = 12  # that start at once
 LOOK = 0.05  # s between looks at those that are not whole yet
-KEPT = 4000  # changes of the list that one who watches again may be told
+KEPT = 4000  # changes of the list that one who watches again may be options
 AWAY = 0.5  # s that a restarted server drains, and again until its next life is listed
 
 
 class Hollows(Role):
     """`hollows`: their places and configurations."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        super().__init__(told)
-        self.rng = random.Random(told["seed"])
-        self.rows = {row["place"]["name"]: row for row in told["hollows"]}
+    def __init__(self, options: dict[str, Any]) -> None:
+        super().__init__(options)
+        self.rng = random.Random(options["seed"])
+        self.rows = {row["place"]["name"]: row for row in options["hollows"]}
         self.there: dict[str, Hollow] = {}
         self.gone: Tally[str] = Tally()  # counts of lives that are over
         self.waits: dict[str, float] = {}  # not whole yet: when they were started
@@ -65,9 +65,9 @@
             self.loop,
             place,
             row["config"],
-            operator(place, self.told["parts"]),
+            operator(place, self.options["parts"]),
             [Firm(**firm) for firm in row["firms"]],
-            Silent(),
+            NullLogger(),
             self.rng.getrandbits(32),
         )
         one.dead, one.applied = self._dead, lambda entry: self._applied(entry.index)
@@ -86,7 +86,7 @@
     def _look(self) -> None:
         now = time.monotonic()
         unlisted = sum(not self._whole(name) for name in self.waits)
-        while self.queue and unlisted < self.told["at_once"] and len(self.waits) < MOST:
+        while self.queue and unlisted < self.options["at_once"] and len(self.waits) < MOST:
             self._make(self.queue.popleft())
             unlisted += 1
         for name, since in list(self.waits.items()):
@@ -99,7 +99,7 @@
 
     def _whole(self, name: str) -> bool:
         """Its list is there, but for servers that are being restarted."""
-        return len(self.there[name].daemon.inventory) >= self.told["servers"] * 9 // 10
+        return len(self.there[name].daemon.inventory) >= self.options["servers"] * 9 // 10
 
     def ask_start(self, names: list[str]) -> bool:
         """Few at once: a whole list has to be taken in within seconds (net/watching), and all share a core here."""
@@ -187,7 +187,7 @@
         return self.deaths
 
     def ask_propose(self) -> bool:
-        """One entry that no part takes, by one that is here: it is agreed, told and applied as any other."""
+        """One entry that no part takes, by one that is here: it is agreed, options and applied as any other."""
         one = self.rng.choice(list(self.there.values()))
         now = time.monotonic()
         self.agreed = {"asked": now}
@@ -216,13 +216,15 @@
     """A share of the relays: `names` by number, with where each listens, its datagrams' socket, and the listener's
     where this process has it. Sites are regions and zones; ways between them as `ways` says."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        super().__init__(told)
-        self.relays = Handed(self.loop, told["seed"])
-        for row in told["relays"]:
+    def __init__(self, options: dict[str, Any]) -> None:
+        super().__init__(options)
+        self.relays = Handed(self.loop, options["seed"])
+        for row in options["relays"]:
             self.relays.take(row["name"], tuple(row["listens"]), row["datagrams"], row["listener"])
-        self.relays.links.sites = told["sites"]
-        self.usual = {(a, b): Way(delay=delay, jitter=spread, loss=loss) for a, b, delay, spread, loss in told["ways"]}
+        self.relays.links.sites = options["sites"]
+        self.usual = {
+            (a, b): Way(delay=delay, jitter=spread, loss=loss) for a, b, delay, spread, loss in options["ways"]
+        }
         self.relays.links.site_links = dict(self.usual)
 
     def ask_cut(self, region: str, on: bool) -> bool:
@@ -254,14 +256,14 @@
 
     Servers restart one after the other: draining, gone, and there again as of now."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        super().__init__(told)
-        self.rng = random.Random(told["seed"])
+    def __init__(self, options: dict[str, Any]) -> None:
+        super().__init__(options)
+        self.rng = random.Random(options["seed"])
         self.generation, self.rate = 1, 0.0
         self.rows: dict[str, dict[str, Any]] = {}
-        for number in range(max(told["listed"].values())):
-            at = told["at"][number % len(told["at"])]
-            zone = told["zones"][number % len(told["zones"])]
+        for number in range(max(options["listed"].values())):
+            at = options["at"][number % len(options["at"])]
+            zone = options["zones"][number % len(options["zones"])]
             name = f"sim-{number:05d}"
             self.rows[name] = {
                 "instanceId": name,
@@ -276,17 +278,17 @@
         self.encoded = {name: json.dumps(row) for name, row in self.rows.items()}
         self.whole: dict[int, tuple[int, bytes]] = {}  # by how many are listed
         self.changes: deque[tuple[int, bytes]] = deque(maxlen=KEPT)
-        self.watchers: dict[str, list[Line]] = {group: [] for group in told["groups"]}
+        self.watchers: dict[str, list[Line]] = {group: [] for group in options["groups"]}
         self.counts: Tally[str] = Tally()
-        self.listeners = {group: Listener(self.loop, partial(self._heard, group)) for group in told["groups"]}
+        self.listeners = {group: Listener(self.loop, partial(self._heard, group)) for group in options["groups"]}
         self.loop.call_in(HEARTBEAT, self._beat)
 
     def ask_at(self) -> dict[str, str]:
         return {group: listener.text for group, listener in self.listeners.items()}
 
     def _list(self, group: str) -> bytes:
-        """The first of the list, as many as that group is told."""
-        most = self.told["listed"][group]
+        """The first of the list, as many as that group is options."""
+        most = self.options["listed"][group]
         if self.whole.get(most, (0,))[0] != self.generation:
             rows = ",".join(self.encoded[name] for name in self.up[:most] if name in self.encoded)
             self.whole[most] = (
@@ -343,7 +345,7 @@
                     self._tell(group, "change", line, data)
 
     def _told_to(self, group: str, data: bytes) -> bool:
-        return int(data.partition(b'"sim-')[2][:5]) < self.told["listed"][group]
+        return int(data.partition(b'"sim-')[2][:5]) < self.options["listed"][group]
 
     def ask_churn(self, rate: float) -> float:
         """Servers a second that are restarted from now on."""
@@ -390,11 +392,11 @@
 
 
 class Adder(Role):
-    def __init__(self, told: dict[str, Any]) -> None:
-        super().__init__(told)
+    def __init__(self, options: dict[str, Any]) -> None:
+        super().__init__(options)
         self.counts: Tally[str] = Tally()
         numbers: dict[bytes, tuple[float, float]] = {}
-        self.parts = {group: Adds(self, group, numbers, self.counts) for group in told["groups"]}
+        self.parts = {group: Adds(self, group, numbers, self.counts) for group in options["groups"]}
 
     def ask_at(self) -> dict[str, str]:
         return {group: part.listener.text for group, part in self.parts.items()}
@@ -408,11 +410,11 @@
 if __name__ == "__main__":
     kind, file = sys.argv[1:]
     faulthandler.register(signal.SIGUSR1)  # where it is, to its errors' file
-    told = json.loads(Path(file).read_text())
-    role = ROLES[kind](told)
-    if told.get("profile"):
+    options = json.loads(Path(file).read_text())
+    role = ROLES[kind](options)
+    if options.get("profile"):
         profile = cProfile.Profile()
         profile.runcall(role.run)
-        profile.dump_stats(told["profile"])
+        profile.dump_stats(options["profile"])
     else:
         role.run()
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.child import ROOT, Child, Silent, used
+from benchmarks.scale.child import ROOT, Child, NullLogger, measure_process
 from benchmarks.work_order import free_at
 from brackenpulley.fleet.caller import Call
 from brackenpulley.metrics import Metrics
@@ -152,7 +152,7 @@
         self.listed = {"hollow": hollow_servers or servers, "real": servers, "voter": servers}
         self.total = hollow + real + voters
         self.folder = Path(tempfile.mkdtemp(prefix="bracken-scale-"))
-        self.loop = Loop(wall_clock(), Metrics(), Silent())
+        self.loop = Loop(wall_clock(), Metrics(), NullLogger())
         self.children: list[Child] = []
         self.daemons: list[Real] = []
         self.most_mb = 0.0
@@ -356,7 +356,7 @@
 
     def watch_memory(self) -> None:
         """Raises Ended above the bound."""
-        total = sum(used(pid)[1] for pid in self.pids()) + used(os.getpid())[1]
+        total = sum(measure_process(pid)[1] for pid in self.pids()) + measure_process(os.getpid())[1]
         self.most_mb = max(self.most_mb, total)
         if total > MEMORY:
             raise Ended(f"{total:.0f} MB resident, {MEMORY} at most")
@@ -402,13 +402,13 @@
             return []
         self.turn(0.1)
         for host in self.hosts:
-            host.tell("state")
-        return [host.answer("state") for host in self.hosts]
+            host.submit("state")
+        return [host.collect("state") for host in self.hosts]
 
     def far(self) -> str:
         """What is not whole, and how busy the links are."""
         rows = [{key: row[key] for key in ("there", "waits", "members", "index", "entered")} for row in self.states()]
-        links = [[round(figure, 1) for figure in used(child.process.pid)] for child in self.links]
+        links = [[round(figure, 1) for figure in measure_process(child.process.pid)] for child in self.links]
         return f"{rows} of {self.total}; s and MB of each link: {links}"
 
     def whole(self, missing: int = 0) -> bool:
@@ -430,16 +430,16 @@
         found: dict[str, Any] = {"at": time.monotonic(), "daemons": {}, "hosts": {}}
         for one in self.daemons:
             assert one.process is not None
-            found["daemons"][one.place.name] = [one.ask("/v1/counters"), *used(one.process.pid)]
+            found["daemons"][one.place.name] = [one.ask("/v1/counters"), *measure_process(one.process.pid)]
         for host in self.hosts:
-            host.tell("counts")
+            host.submit("counts")
         for host in self.hosts:
-            found["hosts"][host.name] = [host.answer("counts"), *used(host.process.pid)]
+            found["hosts"][host.name] = [host.collect("counts"), *measure_process(host.process.pid)]
         for name, children in (("discovery", [self.discovery]), ("counter", [self.counter]), ("links", self.links)):
             sums: Tally[str] = Tally()
             for child in children:
                 sums.update(child.ask("counts"))
-            figures = [used(child.process.pid) for child in children]
+            figures = [measure_process(child.process.pid) for child in children]
             found[name] = [
                 sums,
                 sum(row[0] for row in figures),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,8 +12,8 @@
 import pytest
 
 from benchmarks.scale.__main__ import play, words
-from benchmarks.scale.child import Silent
-from benchmarks.scale.report import compared, limits, messages
+from benchmarks.scale.child import NullLogger
+from benchmarks.scale.report import compare_hollow_with_real, compute_membership_rates, find_exceeded_limits
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.operator import decode, decode_text
@@ -29,7 +29,7 @@
     """Hollow ingresses on one loop, the first of them seed of the others; no log, so no voters."""
 
     def __init__(self, folder: Path, count: int) -> None:
-        self.loop = Loop(wall_clock(), Metrics(), Silent())
+        self.loop = Loop(wall_clock(), Metrics(), NullLogger())
         self.sims = [SimServer(self.loop, f"s-{n}", random.Random(n)) for n in range(2)]
         self.discovery, self.counter = Discovery(self.loop, self.sims), Counter(self.loop)
         (folder / "keys").write_text("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\n")
@@ -54,7 +54,7 @@
         seeds = [one.daemon.members.service.protocol.address for one in self.there[:1]]
         tables["members"].update(seeds=seeds)
         del tables["members"]["advertise"]
-        made = Hollow(self.loop, place, raw, tables, [Firm(7, "school", 20.0, self.count, 0)], Silent(), number)
+        made = Hollow(self.loop, place, raw, tables, [Firm(7, "school", 20.0, self.count, 0)], NullLogger(), number)
         made.start()
         self.there.append(made)
         return made
@@ -134,7 +134,7 @@
         members_heard_carry_agree=4,
         members_dropped_forged=3,
     )
-    assert messages(counts, 2.0, 4) == {
+    assert compute_membership_rates(counts, 2.0, 4) == {
         "ping": {"outMessages": 1.0, "outBytes": 100.0},
         "carry_agree": {"inMessages": 0.5},
     }
@@ -146,8 +146,10 @@
 
 def test_each_limit_that_is_passed_is_one_line() -> None:
     bare = {"residentMb": {"most": 30.0}}
-    assert limits(_part(2.0, 62.0, 14_000.0), _part(90.0, 62.0, 14_000.0), bare) == []
-    assert [text.split()[2] for text in limits(_part(2.1, 62.1, 14_001.0), _part(0.0, 0.0, 15_000.0), bare)] == [
+    assert find_exceeded_limits(_part(2.0, 62.0, 14_000.0), _part(90.0, 62.0, 14_000.0), bare) == []
+    assert [
+        text.split()[2] for text in find_exceeded_limits(_part(2.1, 62.1, 14_001.0), _part(0.0, 0.0, 15_000.0), bare)
+    ] == [
         "2.10",
         "32.1",
         "14001",
@@ -165,13 +167,13 @@
         }
 
     part = {"seconds": 100.0, "real": group(1.0, 0.1), "hollow": group(1.12, 0.3)}
-    assert {(row["kind"], row["what"]): row["near"] for row in compared(part)} == {
+    assert {(row["kind"], row["what"]): row["near"] for row in compare_hollow_with_real(part)} == {
         ("members ping", "outMessages"): False,
         ("members ping", "outBytes"): False,
         ("members sync", "outMessages"): None,
     }
     part["hollow"] = group(1.08, 0.3)
-    assert all(row["near"] in (True, None) for row in compared(part))
+    assert all(row["near"] in (True, None) for row in compare_hollow_with_real(part))
 
 
 def test_the_short_form() -> None:
