--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -1,6 +1,9 @@
-"""The processes of a scale run that are no daemons: hollow ingresses, links, discovery, counter.
+"""Child processes of the scale benchmark that are not daemons: hollow ingresses, links, discovery and counter.
 
-python -m benchmarks.scale.roles KIND FILE          started by `world`, options by the file, asked by lines"""
+    python -m benchmarks.scale.roles KIND FILE
+
+`world` starts them; FILE holds the options as JSON, and requests come as lines on standard input.
+"""
 
 from __future__ import annotations
 
@@ -19,40 +22,40 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.child import Role, NullLogger
+from benchmarks.scale.child import NullLogger, Role
 from brackenpulley.net.http import Payload
 from brackenpulley.net.loop import READ
-from brackenpulley.simulation.links import Link as Way
+from brackenpulley.simulation.links import Link
 from brackenpulley.standins.hollow import Firm, Hollow, Place, operator
 from brackenpulley.standins.links import Relays
 from brackenpulley.standins.servers import HEARTBEAT, Counter
 from brackenpulley.standins.wire import Line, Listener
 
-MOST = 12  # that start at once
-LOOK = 0.05  # s between looks at those that are not whole yet
-KEPT = 4000  # changes of the list that one who watches again may be options
-AWAY = 0.5  # s that a restarted server drains, and again until its next life is listed
+MAX_STARTING = 12  # ingresses of this process that start at the same time
+POLL_INTERVAL_S = 0.05  # between checks of the ingresses that are starting
+MAX_KEPT_CHANGES = 4000  # list changes kept for watchers that reconnect
+RESTART_STEP_S = 0.5  # a restarted server drains this long and is then unlisted this long
 
 
-class Hollows(Role):
-    """`hollows`: their places and configurations."""
+class HollowRole(Role):
+    """Runs hollow ingresses in one event loop. The option `hollows` lists their places and configurations."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         super().__init__(options)
         self.rng = random.Random(options["seed"])
         self.rows = {row["place"]["name"]: row for row in options["hollows"]}
-        self.there: dict[str, Hollow] = {}
-        self.gone: Tally[str] = Tally()  # counts of lives that are over
-        self.waits: dict[str, float] = {}  # not whole yet: when they were started
-        self.took: list[list[float]] = []  # s until ready, until the list is whole
-        self.queue: deque[str] = deque()  # to be started
+        self.ingresses: dict[str, Hollow] = {}
+        self.finished_counts: Tally[str] = Tally()  # counters of ingresses that have ended
+        self.started_at: dict[str, float] = {}  # start times of the ingresses that are not ready yet
+        self.start_times: list[list[float]] = []  # seconds until ready, and until the list is complete
+        self.start_queue: deque[str] = deque()  # names of ingresses to start
         self.listed_at: dict[str, float] = {}
-        self.deaths: dict[str, list[float]] = {}  # by name: when one here took it for dead
-        self.applied: dict[int, list[float]] = {}  # by index
-        self.agreed: dict[str, Any] = {}
-        self.loop.call_in(LOOK, self._look)
+        self.death_times: dict[str, list[float]] = {}  # by name, when an ingress of this process declared it dead
+        self.applied_times: dict[int, list[float]] = {}  # by log index
+        self.proposal: dict[str, Any] = {}
+        self.loop.call_in(POLL_INTERVAL_S, self._poll)
 
-    def _make(self, name: str) -> None:
+    def _start_ingress(self, name: str) -> None:
         row = self.rows[name]
         place = Place(
             **{
@@ -61,7 +64,7 @@
                 "voters": tuple(tuple(pair) for pair in row["place"]["voters"]),
             }
         )
-        one = Hollow(
+        ingress = Hollow(
             self.loop,
             place,
             row["config"],
@@ -70,180 +73,204 @@
             NullLogger(),
             self.rng.getrandbits(32),
         )
-        one.dead, one.applied = self._dead, lambda entry: self._applied(entry.index)
-        self.there[name] = one
-        self.waits[name] = time.monotonic()
-        one.start()
+        ingress.dead, ingress.applied = self._on_death, lambda entry: self._on_applied(entry.index)
+        self.ingresses[name] = ingress
+        self.started_at[name] = time.monotonic()
+        ingress.start()
 
-    def _dead(self, ident: str) -> None:
-        if (times := self.deaths.get(ident.partition("@")[0])) is not None:
+    def _on_death(self, ingress_id: str) -> None:
+        if (times := self.death_times.get(ingress_id.partition("@")[0])) is not None:
             times.append(time.monotonic())
 
-    def _applied(self, index: int) -> None:
-        if self.agreed:
-            self.applied.setdefault(index, []).append(time.monotonic())
+    def _on_applied(self, index: int) -> None:
+        if self.proposal:
+            self.applied_times.setdefault(index, []).append(time.monotonic())
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         now = time.monotonic()
-        unlisted = sum(not self._whole(name) for name in self.waits)
-        while self.queue and unlisted < self.options["at_once"] and len(self.waits) < MOST:
-            self._make(self.queue.popleft())
+        unlisted = sum(not self._has_complete_list(name) for name in self.started_at)
+        while self.start_queue and unlisted < self.options["at_once"] and len(self.started_at) < MAX_STARTING:
+            self._start_ingress(self.start_queue.popleft())
             unlisted += 1
-        for name, since in list(self.waits.items()):
-            if self._whole(name):
+        for name, since in list(self.started_at.items()):
+            if self._has_complete_list(name):
                 self.listed_at.setdefault(name, now)
-            if name in self.listed_at and self.there[name].daemon.is_ready():
-                self.took.append([now - since, self.listed_at.pop(name) - since])
-                del self.waits[name]
-        self.loop.call_in(LOOK, self._look)
+            if name in self.listed_at and self.ingresses[name].daemon.is_ready():
+                self.start_times.append([now - since, self.listed_at.pop(name) - since])
+                del self.started_at[name]
+        self.loop.call_in(POLL_INTERVAL_S, self._poll)
 
-    def _whole(self, name: str) -> bool:
-        """Its list is there, but for servers that are being restarted."""
-        return len(self.there[name].daemon.inventory) >= self.options["servers"] * 9 // 10
+    def _has_complete_list(self, name: str) -> bool:
+        """Tells whether the ingress has the list, apart from servers that are restarting."""
+        return len(self.ingresses[name].daemon.inventory) >= self.options["servers"] * 9 // 10
 
     def ask_start(self, names: list[str]) -> bool:
-        """Few at once: a whole list has to be taken in within seconds (net/watching), and all share a core here."""
-        self.queue.extend(names)
+        """Queues the ingresses for start.
+
+        Only a few start at a time: a complete list has to be processed within seconds (net/watching), and all
+        ingresses of this process share one core.
+        """
+        self.start_queue.extend(names)
         return True
 
     def ask_settle(self) -> bool:
-        """What lives on is not looked at by the collector any more, as in a daemon that serves."""
+        """Exempts the objects that exist now from garbage collection, as a serving daemon does."""
         gc.collect()
         gc.freeze()
         return True
 
     def ask_state(self) -> dict[str, Any]:
-        members = [one.members for one in self.there.values()] or [0]
-        indexes = [one.index for one in self.there.values()] or [0]
+        """Returns the number of ingresses, how many are starting, and the ranges of members and log indexes."""
+        members = [ingress.members for ingress in self.ingresses.values()] or [0]
+        indexes = [ingress.index for ingress in self.ingresses.values()] or [0]
         entered = [
-            one.daemon.maintenance is None or bool(one.daemon.maintenance.agent.has_entered)
-            for one in self.there.values()
+            ingress.daemon.maintenance is None or bool(ingress.daemon.maintenance.agent.has_entered)
+            for ingress in self.ingresses.values()
         ]
         return {
             "there": len(members),
-            "waits": len(self.waits) + len(self.queue),
+            "waits": len(self.started_at) + len(self.start_queue),
             "members": [min(members), max(members)],
             "index": [min(indexes), max(indexes)],
             "entered": sum(entered),
-            "took": self.took,
+            "took": self.start_times,
         }
 
     def ask_counts(self) -> dict[str, Any]:
-        counts = Tally(self.gone)
+        """Returns the summed counters, the longest turn of each ingress since the last call, and the CPU seconds."""
+        counts = Tally(self.finished_counts)
         busy = 0.0
-        for one in self.there.values():
-            counts.update(one.daemon.metrics.counts)
-            busy += one.berth.busy
+        for ingress in self.ingresses.values():
+            counts.update(ingress.daemon.metrics.counts)
+            busy += ingress.berth.busy
         del counts["longest_turn_us"]
-        holds = sorted(one.daemon.metrics.counts.pop("longest_turn_us", 0) for one in self.there.values())
-        tries = [
-            sum(one.traffic.tries for one in self.there.values()),
-            sum(one.traffic.served for one in self.there.values()),
+        longest_turns = sorted(
+            ingress.daemon.metrics.counts.pop("longest_turn_us", 0) for ingress in self.ingresses.values()
+        )
+        message_counts = [
+            sum(ingress.traffic.tries for ingress in self.ingresses.values()),
+            sum(ingress.traffic.served for ingress in self.ingresses.values()),
         ]
-        return {"counts": counts, "holds": holds, "busy": busy, "tries": tries}
+        return {"counts": counts, "holds": longest_turns, "busy": busy, "tries": message_counts}
 
     def ask_traffic(self, on: bool) -> bool:
-        for one in self.there.values():
-            one.traffic.start() if on else one.traffic.stop()
+        """Starts or stops the generated traffic of all ingresses."""
+        for ingress in self.ingresses.values():
+            ingress.traffic.start() if on else ingress.traffic.stop()
         return on
 
-    def _bury(self, name: str) -> None:
-        one = self.there.pop(name)
-        self.gone.update({key: value for key, value in one.daemon.metrics.counts.items() if key != "longest_turn_us"})
-        self.waits.pop(name, None)
+    def _remove(self, name: str) -> None:
+        ingress = self.ingresses.pop(name)
+        self.finished_counts.update(
+            {key: value for key, value in ingress.daemon.metrics.counts.items() if key != "longest_turn_us"}
+        )
+        self.started_at.pop(name, None)
         self.listed_at.pop(name, None)
 
     def ask_watch(self, names: list[str]) -> bool:
-        self.deaths = {name: [] for name in names}
+        """Records from now on when the named ingresses are declared dead."""
+        self.death_times = {name: [] for name in names}
         return True
 
     def ask_kill(self, names: list[str], again: bool) -> float:
+        """Kills the ingresses without a graceful end, starts them anew if `again`, and returns the monotonic time."""
         now = time.monotonic()
-        self.took.clear()
+        self.start_times.clear()
         for name in names:
-            self.there[name].kill()
-            self._bury(name)
+            self.ingresses[name].kill()
+            self._remove(name)
         if again:
             for name in names:
-                self._make(name)
+                self._start_ingress(name)
         return now
 
     def ask_restart(self, name: str) -> bool:
-        """Ended in order, and started once it is over."""
-        one = self.there.get(name)
-        if one is None or name in self.waits:
+        """Ends an ingress gracefully and starts it anew afterwards; returns whether it was running and ready."""
+        ingress = self.ingresses.get(name)
+        if ingress is None or name in self.started_at:
             return False
 
-        def over() -> None:
-            self._bury(name)
-            self._make(name)
-            self.there[name].traffic.start()
+        def restart() -> None:
+            self._remove(name)
+            self._start_ingress(name)
+            self.ingresses[name].traffic.start()
 
-        one.ended = over
-        one.end()
+        ingress.ended = restart
+        ingress.end()
         return True
 
     def ask_deaths(self) -> dict[str, list[float]]:
-        return self.deaths
+        """Returns the recorded times of death declarations by name."""
+        return self.death_times
 
     def ask_propose(self) -> bool:
-        """One entry that no part takes, by one that is here: it is agreed, options and applied as any other."""
-        one = self.rng.choice(list(self.there.values()))
+        """Proposes a log entry through one ingress.
+
+        No component handles an entry of this kind, but it is agreed, distributed and applied like any other.
+        """
+        ingress = self.rng.choice(list(self.ingresses.values()))
         now = time.monotonic()
-        self.agreed = {"asked": now}
-        self.applied.clear()
+        self.proposal = {"asked": now}
+        self.applied_times.clear()
 
-        def done(outcome: Any) -> None:
-            self.agreed.update(answered=time.monotonic(), index=outcome.index if outcome is not None else 0)
+        def on_outcome(outcome: Any) -> None:
+            self.proposal.update(answered=time.monotonic(), index=outcome.index if outcome is not None else 0)
 
-        agreement = one.daemon.agreement
-        agreement.agreement.propose(self.loop.clock(), "scale", b"", 10.0, done)
+        agreement = ingress.daemon.agreement
+        agreement.agreement.propose(self.loop.clock(), "scale", b"", 10.0, on_outcome)
         agreement.send_pending()
         return True
 
     def ask_hear(self) -> bool:
-        """What is applied from now on is noted."""
-        self.agreed = {"asked": 0.0}
-        self.applied.clear()
+        """Records from now on when log entries are applied."""
+        self.proposal = {"asked": 0.0}
+        self.applied_times.clear()
         return True
 
     def ask_agreed(self, index: int = 0) -> dict[str, Any]:
-        index = index or self.agreed.get("index", 0)
-        return {**self.agreed, "times": self.applied.get(index, [])}
+        """Returns the state of the proposal and the times at which the entry at `index` was applied here."""
+        index = index or self.proposal.get("index", 0)
+        return {**self.proposal, "times": self.applied_times.get(index, [])}
+
 
+class LinkRole(Role):
+    """Runs a share of the membership relays, with delay and loss between sites.
 
-class Links(Role):
-    """A share of the relays: `names` by number, with where each listens, its datagrams' socket, and the listener's
-    where this process has it. Sites are regions and zones; ways between them as `ways` says."""
+    The option `relays` lists each relay with the address of its ingress, the descriptor of its datagram socket and,
+    if it belongs to this process, that of its listener. `sites` maps names to region and zone; `ways` holds delay,
+    jitter and loss of each pair of sites.
+    """
 
     def __init__(self, options: dict[str, Any]) -> None:
         super().__init__(options)
-        self.relays = Handed(self.loop, options["seed"])
+        self.relays = SharedRelays(self.loop, options["seed"])
         for row in options["relays"]:
-            self.relays.take(row["name"], tuple(row["listens"]), row["datagrams"], row["listener"])
+            self.relays.adopt_sockets(row["name"], tuple(row["listens"]), row["datagrams"], row["listener"])
         self.relays.links.sites = options["sites"]
-        self.usual = {
-            (a, b): Way(delay=delay, jitter=spread, loss=loss) for a, b, delay, spread, loss in options["ways"]
+        self.initial_links = {
+            (a, b): Link(delay=delay, jitter=jitter, loss=loss) for a, b, delay, jitter, loss in options["ways"]
         }
-        self.relays.links.site_links = dict(self.usual)
+        self.relays.links.site_links = dict(self.initial_links)
 
     def ask_cut(self, region: str, on: bool) -> bool:
-        """Nothing goes between that region and the others."""
+        """Cuts all links between a region and the others, or restores them."""
         self.relays.links.site_links = {
-            (a, b): Way(is_cut=True) if on and (a.startswith(region) != b.startswith(region)) else way
-            for (a, b), way in self.usual.items()
+            (a, b): Link(is_cut=True) if on and (a.startswith(region) != b.startswith(region)) else link
+            for (a, b), link in self.initial_links.items()
         }
         return on
 
     def ask_counts(self) -> dict[str, int]:
+        """Returns how many packets were forwarded and lost."""
         return {"passed": self.relays.passed, "lost": self.relays.lost}
 
 
-class Handed(Relays):
-    """Relays whose sockets were opened by another process, and are shared by several: each reads some of them."""
+class SharedRelays(Relays):
+    """Relays on sockets inherited from the parent and shared by several processes, each of which reads some."""
 
-    def take(self, name: str, listens: tuple[str, int], datagrams: int, listener: int | None) -> None:
-        self.real[name], self._names[listens[0]] = listens, name
+    def adopt_sockets(self, name: str, address: tuple[str, int], datagrams: int, listener: int | None) -> None:
+        """Adds a relay; without a listener, another process reads its sockets."""
+        self.real[name], self._names[address[0]] = address, name
         self._sockets[name] = socket.socket(fileno=datagrams)
         if listener is not None:
             self._listeners[name] = socket.socket(fileno=listener)
@@ -251,10 +278,11 @@
             self.loop.register(self._sockets[name], READ, lambda events: self._readable(name))
 
 
-class Servers(Role):
-    """Discovery with many servers, and a listener for each kind of asker, so that what each costs is counted apart.
+class DiscoveryRole(Role):
+    """Discovery service with many servers and one listener per group of clients, whose costs are counted separately.
 
-    Servers restart one after the other: draining, gone, and there again as of now."""
+    Servers restart one after the other: a server is draining, then absent, then listed again as just started.
+    """
 
     def __init__(self, options: dict[str, Any]) -> None:
         super().__init__(options)
@@ -262,40 +290,41 @@
         self.generation, self.rate = 1, 0.0
         self.rows: dict[str, dict[str, Any]] = {}
         for number in range(max(options["listed"].values())):
-            at = options["at"][number % len(options["at"])]
+            address = options["at"][number % len(options["at"])]
             zone = options["zones"][number % len(options["zones"])]
             name = f"sim-{number:05d}"
             self.rows[name] = {
                 "instanceId": name,
-                "hostPort": at,
+                "hostPort": address,
                 "zone": zone,
                 "cell": number // 48,
                 "weight": 1.0,
                 "lifecycle": "SERVING",
                 "startedAtMs": 1764000000000 + number,
             }
-        self.up = list(self.rows)
+        self.names = list(self.rows)
         self.encoded = {name: json.dumps(row) for name, row in self.rows.items()}
-        self.whole: dict[int, tuple[int, bytes]] = {}  # by how many are listed
-        self.changes: deque[tuple[int, bytes]] = deque(maxlen=KEPT)
+        self.encoded_lists: dict[int, tuple[int, bytes]] = {}  # by list length: generation and body
+        self.changes: deque[tuple[int, bytes]] = deque(maxlen=MAX_KEPT_CHANGES)
         self.watchers: dict[str, list[Line]] = {group: [] for group in options["groups"]}
         self.counts: Tally[str] = Tally()
         self.listeners = {group: Listener(self.loop, partial(self._heard, group)) for group in options["groups"]}
-        self.loop.call_in(HEARTBEAT, self._beat)
+        self.loop.call_in(HEARTBEAT, self._send_heartbeats)
 
     def ask_at(self) -> dict[str, str]:
+        """Returns the address of the listener of each group."""
         return {group: listener.text for group, listener in self.listeners.items()}
 
     def _list(self, group: str) -> bytes:
-        """The first of the list, as many as that group is options."""
-        most = self.options["listed"][group]
-        if self.whole.get(most, (0,))[0] != self.generation:
-            rows = ",".join(self.encoded[name] for name in self.up[:most] if name in self.encoded)
-            self.whole[most] = (
+        """Encodes the start of the list, of the length configured for the group."""
+        list_size = self.options["listed"][group]
+        if self.encoded_lists.get(list_size, (0,))[0] != self.generation:
+            rows = ",".join(self.encoded[name] for name in self.names[:list_size] if name in self.encoded)
+            self.encoded_lists[list_size] = (
                 self.generation,
                 (f'{{"generation": {self.generation}, "reset": true, "instances": [{rows}]}}').encode(),
             )
-        return self.whole[most][1]
+        return self.encoded_lists[list_size][1]
 
     def _count(self, group: str, kind: str, size: int) -> None:
         self.counts[f"{group} {kind}"] += 1
@@ -311,23 +340,23 @@
         since = int(payload.target.partition(b"from=")[2] or 0)
         self.watchers[group].append(line)
         if self.changes and since + 1 < self.changes[0][0]:
-            self._tell(group, "whole", line, self._list(group))
+            self._send_chunk(group, "whole", line, self._list(group))
             return
         for generation, data in self.changes:
-            if generation > since and self._told_to(group, data):
-                self._tell(group, "change", line, data)
+            if generation > since and self._is_in_list(group, data):
+                self._send_chunk(group, "change", line, data)
 
-    def _tell(self, group: str, kind: str, line: Line, data: bytes) -> None:
+    def _send_chunk(self, group: str, kind: str, line: Line, data: bytes) -> None:
         framed = b"%x\r\n%b\n\r\n" % (len(data) + 1, data)
         self._count(group, kind, len(framed))
         line.send(framed)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for group, lines in self.watchers.items():
             lines[:] = [line for line in lines if line.open]
             for line in lines:
-                self._tell(group, "beat", line, b"")
-        self.loop.call_in(HEARTBEAT, self._beat)
+                self._send_chunk(group, "beat", line, b"")
+        self.loop.call_in(HEARTBEAT, self._send_heartbeats)
 
     def _change(self, name: str, state: str) -> None:
         self.generation += 1
@@ -340,41 +369,42 @@
         data = json.dumps({"generation": self.generation, "reset": False, "instances": [row]}).encode()
         self.changes.append((self.generation, data))
         for group, lines in self.watchers.items():
-            for line in lines if self._told_to(group, data) else ():
+            for line in lines if self._is_in_list(group, data) else ():
                 if line.open:
-                    self._tell(group, "change", line, data)
+                    self._send_chunk(group, "change", line, data)
 
-    def _told_to(self, group: str, data: bytes) -> bool:
+    def _is_in_list(self, group: str, data: bytes) -> bool:
         return int(data.partition(b'"sim-')[2][:5]) < self.options["listed"][group]
 
     def ask_churn(self, rate: float) -> float:
-        """Servers a second that are restarted from now on."""
-        before, self.rate = self.rate, rate
-        if rate and not before:
+        """Sets how many servers restart per second and returns that rate."""
+        previous_rate, self.rate = self.rate, rate
+        if rate and not previous_rate:
             self.loop.call_in(self.rng.expovariate(rate), self._restart)
         return rate
 
     def _restart(self) -> None:
         if not self.rate:
             return
-        name = self.rng.choice(self.up)
+        name = self.rng.choice(self.names)
         if self.rows[name]["lifecycle"] == "SERVING":
             self._change(name, "DRAINING")
             self.counts["restarts"] += 1
-            self.loop.call_in(AWAY, lambda: self._change(name, "DELETED"))
-            self.loop.call_in(2 * AWAY, lambda: self._again(name))
+            self.loop.call_in(RESTART_STEP_S, lambda: self._change(name, "DELETED"))
+            self.loop.call_in(2 * RESTART_STEP_S, lambda: self._finish_restart(name))
         self.loop.call_in(self.rng.expovariate(self.rate), self._restart)
 
-    def _again(self, name: str) -> None:
+    def _finish_restart(self, name: str) -> None:
         self.rows[name]["startedAtMs"] = int(time.time() * 1000)
         self._change(name, "SERVING")
 
     def ask_counts(self) -> dict[str, int]:
+        """Returns responses and bytes by group and kind, and the number of restarts."""
         return self.counts
 
 
-class Adds(Counter):
-    """A counter for one kind of asker, with the others' numbers."""
+class GroupCounter(Counter):
+    """Counter service for one group of clients, which shares its entries with the other groups' instances."""
 
     def __init__(self, role: Role, group: str, numbers: dict[bytes, tuple[float, float]], counts: Tally[str]) -> None:
         super().__init__(role.loop)
@@ -391,26 +421,35 @@
         return answer
 
 
-class Adder(Role):
+class CounterRole(Role):
+    """Counter service with one listener per group of clients, whose costs are counted separately."""
+
     def __init__(self, options: dict[str, Any]) -> None:
         super().__init__(options)
         self.counts: Tally[str] = Tally()
         numbers: dict[bytes, tuple[float, float]] = {}
-        self.parts = {group: Adds(self, group, numbers, self.counts) for group in options["groups"]}
+        self.counters = {group: GroupCounter(self, group, numbers, self.counts) for group in options["groups"]}
 
     def ask_at(self) -> dict[str, str]:
-        return {group: part.listener.text for group, part in self.parts.items()}
+        """Returns the address of the listener of each group."""
+        return {group: counter.listener.text for group, counter in self.counters.items()}
 
     def ask_counts(self) -> dict[str, int]:
+        """Returns calls and bytes by group."""
         return self.counts
 
 
-ROLES: dict[str, type[Role]] = {"hollows": Hollows, "links": Links, "discovery": Servers, "counter": Adder}
+ROLES: dict[str, type[Role]] = {
+    "hollows": HollowRole,
+    "links": LinkRole,
+    "discovery": DiscoveryRole,
+    "counter": CounterRole,
+}
 
 if __name__ == "__main__":
-    kind, file = sys.argv[1:]
-    faulthandler.register(signal.SIGUSR1)  # where it is, to its errors' file
-    options = json.loads(Path(file).read_text())
+    kind, options_path = sys.argv[1:]
+    faulthandler.register(signal.SIGUSR1)  # SIGUSR1 writes a traceback to standard error
+    options = json.loads(Path(options_path).read_text())
     role = ROLES[kind](options)
     if options.get("profile"):
         profile = cProfile.Profile()
