--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,29 +1,34 @@
-"""A fleet at size on this machine: hollow ingresses beside real ones, with what each kind of process costs.
+"""Runs a large fleet on this machine, hollow ingresses beside real ones, and measures the cost of each kind of process.
 
     python -m benchmarks.scale --hollow 890 --real 8 --seconds 120 --seed 1 [--json]
-    python -m benchmarks.scale --compare                      12 hollow against 12 real, by kind of message
+    python -m benchmarks.scale --compare                      12 hollow and 12 real, compared by kind of message
     python -m benchmarks.scale --hollow 890 --real 8 --seconds 120 --seed 1 --trouble
 
-Hollow ingresses (standins/hollow) are many to a process; real ones and voters are `serve`. Membership of each goes
-through a relay of its own (standins/links): three regions, twelve zones, delay and loss by pair of zones. Discovery has
-12,000 servers that restart one after the other, 3,700 a day over servers and ingresses together, times `--factor`.
-Phases: all start and are whole; a third of the time without clients (`calm`: what is used then is control's); the rest
-with clients at real ones and drawn tries at hollow ones (`loaded`), with changes agreed and ingresses killed in it.
-
-Exits 1 where a real ingress passes 2 % of a core (calm), 32 MB (over a daemon with nothing on) or 14,000 bytes a second
-for control, where something did not come in its time, or with `--compare` where a kind is not within 10 %.
-
-JSON: as asked `hollow`, `real`, `voters`, `servers`, `hollowServers` (of the list, told to hollow ones), `seed`,
-`parts`, `factor`, `tries` (a second at each ingress); `wrong` and `limits` (texts; empty is well); `machine` (cores,
-load before and after); `startS` by kind; `times` in s, each with least, median, most99, most and `of`: `readyHollow`,
-`listWholeHollow`, `readyReal`, `listWholeReal`, `membersWhole` (of the
-start), `agreedToAll` (a row a change: from the proposal to applied by each hollow one), `deathKnown` (a row a death:
-from the kill to each hollow one, and `real` each real one). `calm` and `loaded`: `seconds`, and by kind of process
-(hollow, real, voter, bare, discovery, counter, links) what one costs: `members`, `discovery`, `counter` by kind with
-messages and bytes a second (out and in; discovery and counter as those counted it), `controlBytesASecond`,
-`cpuPercent`, `residentMb`, `longestHoldMs`. A hollow one's CPU and memory are its host's divided by its number;
-`ownCallsPercent` is the time its own calls took. `trouble`: what the cut and the kill of a tenth cost. `mostMb` of
-all processes together, `processes`. Bytes are those of messages as sealed or framed, without IP, UDP and TCP."""
+Many hollow ingresses (standins/hollow) share one process; real ingresses and voters run `serve`. The membership traffic
+of each passes through a relay of its own (standins/links), which adds the delay and loss between twelve zones in three
+regions. Discovery lists 12,000 servers that restart one after the other, 3,700 restarts a day over servers and
+ingresses together, times `--factor`. Phases: all processes start and become complete; for a third of the time there are
+no clients (`calm`, where all cost is control traffic); for the rest, real ingresses have clients and hollow ones
+simulated messages (`loaded`), while changes are agreed and ingresses killed.
+
+Exits with 1 if control traffic of a real ingress exceeds 2 % of a core (calm), 32 MB (above a daemon with all features
+off) or 14,000 bytes per second, if something did not happen in time, or with `--compare` if a kind of message differs
+by more than 10 %.
+
+JSON: the options `hollow`, `real`, `voters`, `servers`, `hollowServers` (the part of the list that hollow ingresses
+get), `seed`, `parts`, `factor` and `tries` (messages per second at each ingress); `wrong` and `limits` (texts, empty on
+success); `machine` (cores, load average before and after); `startS` by kind; `times` in seconds, each with least,
+median, most99, most and `of` (number of values): `readyHollow`, `listWholeHollow`, `readyReal`, `listWholeReal`,
+`membersWhole` (of the start), `agreedToAll` (a row per change: from the proposal until applied by each hollow ingress),
+`deathKnown` (a row per death: from the kill until known to each hollow ingress, and in `real` to each real one). `calm`
+and `loaded` have `seconds` and, by kind of process (hollow, real, voter, bare, discovery, counter, links), the cost of
+one process: `members`, `discovery` and `counter` by kind with messages and bytes per second (sent and received;
+discovery and counter as counted by those services), `controlBytesASecond`, `cpuPercent`, `residentMb` and
+`longestHoldMs`. CPU and memory of a hollow ingress are those of its host divided by the number of ingresses on it;
+`ownCallsPercent` is the time spent in its own calls. `trouble` is the cost of cutting off a region and of killing a
+tenth of the hollow ingresses; `mostMb` is the memory of all processes together; `processes` is their number. Bytes are
+those of messages as encrypted or framed, without IP, UDP and TCP headers.
+"""
 
 from __future__ import annotations
 
@@ -37,243 +42,285 @@
 from typing import Any
 
 from benchmarks.scale.report import compare_hollow_with_real, find_exceeded_limits, summarize, summarize_window
-from benchmarks.scale.world import Ended, World
+from benchmarks.scale.world import BenchmarkError, World
 from brackenpulley.standins.hollow import PARTS, USUAL
 
-A_DAY, MACHINES = 3700, 12_890  # restarts, and the servers and ingresses over which they are spread evenly
-START, SOON = 600.0, 60.0  # s until all are up, until something asked for has come
-KNOWN = 14.0  # s until a change is in force everywhere
+RESTARTS_PER_DAY = 3700
+MACHINE_COUNT = 12_890  # servers and ingresses, over which the restarts are spread evenly
+START_TIMEOUT_S = 600.0  # until all processes are up
+RESPONSE_TIMEOUT_S = 60.0
+CHANGE_TIMEOUT_S = 14.0  # until a change is in force everywhere
 
 
 class Run:
-    def __init__(self, told: argparse.Namespace) -> None:
-        self.told = told
-        self.rate = A_DAY / 86400 * told.factor / MACHINES  # restarts of one machine a second
-        self.wrong: list[str] = []
+    """One run through all phases, which collects times and failures."""
+
+    def __init__(self, options: argparse.Namespace) -> None:
+        self.options = options
+        self.rate = RESTARTS_PER_DAY / 86400 * options.factor / MACHINE_COUNT  # restarts per second of one machine
+        self.failures: list[str] = []
         self.times: dict[str, Any] = {"agreedToAll": [], "deathKnown": []}
         self.world = World(
-            told.hollow,
-            told.real,
-            told.seed,
-            told.servers,
-            tuple(told.parts.split(",")),
-            told.tries,
-            told.voters,
-            told.hollow_servers,
-            told.profile,
+            options.hollow,
+            options.real,
+            options.seed,
+            options.servers,
+            tuple(options.parts.split(",")),
+            options.tries,
+            options.voters,
+            options.hollow_servers,
+            options.profile,
         )
-        self.restarts, self.restarting = 0, False
+        self.restart_count, self.is_restarting = 0, False
 
-    def step(self, what: str, call: Callable[[], Any]) -> Any:
-        """What does not come in its time is wrong, and the rest of the run is played all the same."""
+    def run_step(self, description: str, action: Callable[[], Any]) -> Any:
+        """Runs a step and returns its result; a failure is recorded and the run continues with the next step."""
         try:
-            return call()
-        except Ended as error:
-            self.wrong.append(f"{what}: {error}")
-            self.say(self.wrong[-1])
+            return action()
+        except BenchmarkError as error:
+            self.failures.append(f"{description}: {error}")
+            self.print_progress(self.failures[-1])
             return None
 
-    def say(self, text: str) -> None:
-        print(f"{time.monotonic() - self.began:7.1f} s  {text}", file=sys.stderr, flush=True)
-
-    def play(self) -> dict[str, Any]:
-        told, world = self.told, self.world
-        self.began = time.monotonic()
-        load = os.getloadavg()[0]
-        started = world.start(min(START, 2 * told.patience))
-        self.say(f"started: {started}")
-        whole = self.step("the start", lambda: world.until(world.whole, told.patience, world.far))
-        self.say(f"whole after {whole}")
-        reals = world.reals()
-        took = [row for state in world.states() for row in state["took"]]
-        self.step("lists", lambda: world.until(lambda: all(one.whole_after for one in reals), SOON, "real lists"))
+    def print_progress(self, text: str) -> None:
+        """Prints a line to standard error with the seconds since the start."""
+        print(f"{time.monotonic() - self.started_at:7.1f} s  {text}", file=sys.stderr, flush=True)
+
+    def execute(self) -> dict[str, Any]:
+        """Runs all phases and returns the report."""
+        options, world = self.options, self.world
+        self.started_at = time.monotonic()
+        load_average = os.getloadavg()[0]
+        start_durations = world.start(min(START_TIMEOUT_S, 2 * options.patience))
+        self.print_progress(f"started: {start_durations}")
+        complete_after_s = self.run_step(
+            "start", lambda: world.wait_until(world.is_complete, options.patience, world.describe_incomplete)
+        )
+        self.print_progress(f"complete after {complete_after_s}")
+        reals = world.list_daemons()
+        start_times = [row for state in world.query_states() for row in state["took"]]
+        self.run_step(
+            "lists",
+            lambda: world.wait_until(
+                lambda: all(daemon.list_complete_after_s for daemon in reals),
+                RESPONSE_TIMEOUT_S,
+                "lists of real ingresses are complete",
+            ),
+        )
         self.times.update(
-            readyHollow=summarize(row[0] for row in took),
-            listWholeHollow=summarize(row[1] for row in took),
-            readyReal=summarize(one.ready_after for one in reals),
-            listWholeReal=summarize(one.whole_after for one in reals),
-            membersWhole=whole,
+            readyHollow=summarize(row[0] for row in start_times),
+            listWholeHollow=summarize(row[1] for row in start_times),
+            readyReal=summarize(daemon.ready_after_s for daemon in reals),
+            listWholeReal=summarize(daemon.list_complete_after_s for daemon in reals),
+            membersWhole=complete_after_s,
         )
         for host in world.hosts:
             host.ask("settle")
-        world.turn(told.rest)  # what the start left to be told
-        world.discovery.ask("churn", rate=self.rate * told.servers)
-        kinds = {kind: [one.place.name for one in world.reals(kind)] for kind in ("real", "voter", "bare")}
-        first = world.counts()
-        world.turn(told.seconds / 3)
-        second = world.counts()
-        self.say("calm is over")
+        world.run_for(options.rest)  # lets the messages that the start caused settle
+        world.discovery.ask("churn", rate=self.rate * options.servers)
+        names_by_kind = {
+            kind: [daemon.place.name for daemon in world.list_daemons(kind)] for kind in ("real", "voter", "bare")
+        }
+        start_counts = world.collect_counts()
+        world.run_for(options.seconds / 3)
+        calm_counts = world.collect_counts()
+        self.print_progress("calm phase ended")
         for host in world.hosts:
             host.ask("traffic", on=True)
-        world.load.start()
-        self._loaded(told.seconds * 2 / 3)
-        third = world.counts()
-        calm, loaded = (summarize_window(a, b, kinds, told.hollow) for a, b in ((first, second), (second, third)))
-        self.say("loaded is over")
-        self.restarting = False
-        trouble = self._trouble() if told.trouble else None
+        world.client_load.start()
+        self._run_loaded_phase(options.seconds * 2 / 3)
+        loaded_counts = world.collect_counts()
+        calm, loaded = (
+            summarize_window(a, b, names_by_kind, options.hollow)
+            for a, b in ((start_counts, calm_counts), (calm_counts, loaded_counts))
+        )
+        self.print_progress("loaded phase ended")
+        self.is_restarting = False
+        trouble = self._measure_trouble() if options.trouble else None
         for host in world.hosts:
             host.ask("traffic", on=False)
-        world.load.stop()
-        self.step("clients", lambda: world.until(lambda: not world.load.out, 12.0, "clients have their answers"))
-        tries = world.load.tries
-        served = sum(one.status == 200 for one in tries)
+        world.client_load.stop()
+        self.run_step(
+            "clients", lambda: world.wait_until(lambda: not world.client_load.out, 12.0, "clients have their responses")
+        )
+        messages = world.client_load.tries
+        served = sum(message.status == 200 for message in messages)
         return {
-            "hollow": told.hollow,
-            "real": told.real,
-            "voters": told.voters,
-            "servers": told.servers,
-            "hollowServers": told.hollow_servers or told.servers,
-            "seed": told.seed,
-            "parts": told.parts,
-            "factor": told.factor,
-            "tries": told.tries,
+            "hollow": options.hollow,
+            "real": options.real,
+            "voters": options.voters,
+            "servers": options.servers,
+            "hollowServers": options.hollow_servers or options.servers,
+            "seed": options.seed,
+            "parts": options.parts,
+            "factor": options.factor,
+            "tries": options.tries,
             "machine": {
                 "cores": os.cpu_count(),
-                "loadBefore": round(load, 2),
+                "loadBefore": round(load_average, 2),
                 "loadAfter": round(os.getloadavg()[0], 2),
             },
-            "startS": {name: round(value, 2) for name, value in started.items()},
+            "startS": {name: round(value, 2) for name, value in start_durations.items()},
             "times": self.times,
             "calm": calm,
             "loaded": loaded,
             "trouble": trouble,
-            "restartsOfIngresses": self.restarts,
-            "clients": {"tries": len(tries), "served": served},
-            "limits": find_exceeded_limits(calm, loaded, calm["bare"]) if told.real else [],
+            "restartsOfIngresses": self.restart_count,
+            "clients": {"tries": len(messages), "served": served},
+            "limits": find_exceeded_limits(calm, loaded, calm["bare"]) if options.real else [],
             "folder": str(world.folder),
-            "processes": len(world.pids()) + 1,
-            "mostMb": round(world.most_mb),
-            "wrong": self.wrong,
+            "processes": len(world.list_pids()) + 1,
+            "mostMb": round(world.peak_memory_mb),
+            "wrong": self.failures,
         }
 
-    def _loaded(self, seconds: float) -> None:
-        """Traffic, and in it a change agreed and a death, one after the other, and ingresses that restart."""
-        world, until = self.world, time.monotonic() + seconds
-        self.restarting = True
-        self._restart()
-        for _ in range(self.told.changes):
+    def _run_loaded_phase(self, seconds: float) -> None:
+        """Measures changes and deaths one after the other, under traffic and while ingresses restart."""
+        world, deadline = self.world, time.monotonic() + seconds
+        self.is_restarting = True
+        self._schedule_restart()
+        for _ in range(self.options.changes):
             if world.hosts:
-                self.step("a change agreed", self._agree)
-        for _ in range(self.told.deaths if world.hosts else 0):
-            self.step("a death known", self._death)
-        if (left := until - time.monotonic()) > 0:
-            world.turn(left)
-
-    def _restart(self) -> None:
-        """One hollow ingress now and then, in order; discovery's servers restart by themselves."""
+                self.run_step("agreement on a change", self._measure_agreement)
+        for _ in range(self.options.deaths if world.hosts else 0):
+            self.run_step("detection of a death", self._measure_death)
+        if (remaining := deadline - time.monotonic()) > 0:
+            world.run_for(remaining)
+
+    def _schedule_restart(self) -> None:
+        """Schedules the next graceful restart of a hollow ingress; discovery restarts its servers itself."""
         if self.world.hosts and self.rate > 0:
-            self.world.loop.call_in(self.world.rng.expovariate(self.rate * self.told.hollow), self._due)
+            self.world.loop.call_in(self.world.rng.expovariate(self.rate * self.options.hollow), self._restart_one)
 
-    def _due(self) -> None:
-        if self.restarting:
+    def _restart_one(self) -> None:
+        if self.is_restarting:
             host = self.world.rng.choice(self.world.hosts)
-            host.notify("restart", name=self.world.rng.choice(self.world.names[host.name]))
-            self.restarts += 1
-        self._restart()
+            host.notify("restart", name=self.world.rng.choice(self.world.names_by_host[host.name]))
+            self.restart_count += 1
+        self._schedule_restart()
 
-    def _agree(self) -> None:
+    def _measure_agreement(self) -> None:
         world = self.world
         for host in world.hosts:
             host.ask("hear")
-        asked = world.hosts[0]
-        asked.ask("propose")
-        found: dict[str, Any] = {}
-
-        def known() -> bool:
-            world.turn(0.1)
-            found.update(asked.ask("agreed"))
-            if not found.get("index"):
+        proposer = world.hosts[0]
+        proposer.ask("propose")
+        results: dict[str, Any] = {}
+
+        def is_known() -> bool:
+            world.run_for(0.1)
+            results.update(proposer.ask("agreed"))
+            if not results.get("index"):
                 return False
-            found["all"] = [when for host in world.hosts for when in host.ask("agreed", index=found["index"])["times"]]
-            return len(found["all"]) >= self.told.hollow
+            results["all"] = [
+                when for host in world.hosts for when in host.ask("agreed", index=results["index"])["times"]
+            ]
+            return len(results["all"]) >= self.options.hollow
 
         try:
-            world.until(known, KNOWN, "a change at all hollow ones")
+            world.wait_until(is_known, CHANGE_TIMEOUT_S, "a change applied by all hollow ingresses")
         finally:
-            if found.get("all"):
-                row = summarize(when - found["asked"] for when in found["all"])
+            if results.get("all"):
+                row = summarize(when - results["asked"] for when in results["all"])
                 self.times["agreedToAll"].append(row)
 
-    def _death(self, patience: float = SOON) -> None:
+    def _measure_death(self, timeout_s: float = RESPONSE_TIMEOUT_S) -> None:
         world = self.world
-        name = world.names[world.hosts[-1].name][-1]
-        self.restarting = False  # a new life never knew the one that dies
+        name = world.names_by_host[world.hosts[-1].name][-1]
+        self.is_restarting = False  # an ingress that restarts now never knew the one that is killed
         for host in world.hosts:
             host.ask("watch", names=[name])
         killed = world.hosts[-1].ask("kill", names=[name], again=False)
-        found: list[float] = []
+        results: list[float] = []
 
-        def known() -> bool:
-            world.turn(0.1)
-            found[:] = [when for host in world.hosts for when in host.ask("deaths")[name] if when >= killed]
-            return len(found) >= self.told.hollow - 1
+        def is_known() -> bool:
+            world.run_for(0.1)
+            results[:] = [when for host in world.hosts for when in host.ask("deaths")[name] if when >= killed]
+            return len(results) >= self.options.hollow - 1
 
         try:
-            world.until(known, patience, f"the death of {name} at all hollow ones")
-            world.until(lambda: all(one.dead(name) for one in world.reals()), 5.0, "and at real ones")
+            world.wait_until(is_known, timeout_s, f"the death of {name} known to all hollow ingresses")
+            world.wait_until(
+                lambda: all(daemon.find_death_times(name) for daemon in world.list_daemons()),
+                5.0,
+                "the death known to all real ingresses",
+            )
         finally:
             self.times["deathKnown"].append(
                 {
-                    **summarize(when - killed for when in found),
+                    **summarize(when - killed for when in results),
                     "real": summarize(
-                        when - killed for one in world.reals() for when in one.dead(name)[-1:] if when >= killed
+                        when - killed
+                        for daemon in world.list_daemons()
+                        for when in daemon.find_death_times(name)[-1:]
+                        if when >= killed
                     ),
                 }
             )
             world.hosts[-1].ask("start", names=[name])
             world.hosts[-1].ask("traffic", on=True)
-            self.restarting = True
-
-    def _trouble(self) -> dict[str, Any]:
-        """A region cut off and back; then a tenth of the hollow ones killed and started anew at once."""
-        world, told = self.world, self.told
-        kinds = {kind: [one.place.name for one in world.reals(kind)] for kind in ("real", "voter", "bare")}
-        found: dict[str, Any] = {}
-        self.restarting = False
-        first = world.counts()
+            self.is_restarting = True
+
+    def _measure_trouble(self) -> dict[str, Any]:
+        """Cuts off a region and restores it, then kills a tenth of the hollow ingresses and restarts them at once."""
+        world, options = self.world, self.options
+        names_by_kind = {
+            kind: [daemon.place.name for daemon in world.list_daemons(kind)] for kind in ("real", "voter", "bare")
+        }
+        results: dict[str, Any] = {}
+        self.is_restarting = False
+        start_counts = world.collect_counts()
         for link in world.links:
             link.ask("cut", region="r2", on=True)
-        world.turn(told.cut)
-        cut = world.counts()
+        world.run_for(options.cut)
+        cut_counts = world.collect_counts()
         for link in world.links:
             link.ask("cut", region="r2", on=False)
-        back = self.step("a region back", lambda: world.until(world.whole, told.patience, world.far))
-        healed = world.counts()
-        found["cut"] = {
-            "seconds": told.cut,
-            "wholeAfterS": back,
-            "during": summarize_window(first, cut, kinds, told.hollow),
-            "after": summarize_window(cut, healed, kinds, told.hollow),
+        recovered_after_s = self.run_step(
+            "recovery of a region",
+            lambda: world.wait_until(world.is_complete, options.patience, world.describe_incomplete),
+        )
+        healed_counts = world.collect_counts()
+        results["cut"] = {
+            "seconds": options.cut,
+            "wholeAfterS": recovered_after_s,
+            "during": summarize_window(start_counts, cut_counts, names_by_kind, options.hollow),
+            "after": summarize_window(cut_counts, healed_counts, names_by_kind, options.hollow),
         }
-        self.say(f"the region is back after {back}")
-        tenth = {host: world.names[host.name][::10] for host in world.hosts}
-        for host, names in tenth.items():
+        self.print_progress(f"region recovered after {recovered_after_s}")
+        killed_names = {host: world.names_by_host[host.name][::10] for host in world.hosts}
+        for host, names in killed_names.items():
             host.submit("kill", names=names, again=True)
-        for host in tenth:
-            host.collect("kill", SOON)
-        ready = self.step(
-            "a tenth ready",
-            lambda: world.until(
-                lambda: not any(row["waits"] for row in world.states()), told.patience, "a tenth is ready"
+        for host in killed_names:
+            host.collect("kill", RESPONSE_TIMEOUT_S)
+        ready_after_s = self.run_step(
+            "readiness of a tenth",
+            lambda: world.wait_until(
+                lambda: not any(row["waits"] for row in world.query_states()),
+                options.patience,
+                "the restarted tenth is ready",
             ),
         )
-        took = [row for state in world.states() for row in state["took"]]
-        again = self.step("a tenth back", lambda: world.until(world.whole, told.patience, world.far))
-        last = world.counts()
-        found["tenth"] = {
-            "killed": sum(len(names) for names in tenth.values()),
-            "readyS": ready,
-            "wholeAfterS": again,
-            "ready": summarize(row[0] for row in took),
-            "listWhole": summarize(row[1] for row in took),
-            "after": summarize_window(healed, last, kinds, told.hollow),
+        start_times = [row for state in world.query_states() for row in state["took"]]
+        tenth_recovered_after_s = self.run_step(
+            "recovery of a tenth",
+            lambda: world.wait_until(world.is_complete, options.patience, world.describe_incomplete),
+        )
+        final_counts = world.collect_counts()
+        results["tenth"] = {
+            "killed": sum(len(names) for names in killed_names.values()),
+            "readyS": ready_after_s,
+            "wholeAfterS": tenth_recovered_after_s,
+            "ready": summarize(row[0] for row in start_times),
+            "listWhole": summarize(row[1] for row in start_times),
+            "after": summarize_window(healed_counts, final_counts, names_by_kind, options.hollow),
         }
-        self.say(f"the tenth is back after {again}")
-        return found
+        self.print_progress(f"tenth recovered after {tenth_recovered_after_s}")
+        return results
 
 
-def table(report: dict[str, Any]) -> str:
+def format_report(report: dict[str, Any]) -> str:
+    """Formats the report as text."""
     lines = [
         f"{report['hollow']} hollow, {report['real']} real, {report['voters']} voters, {report['servers']} "
         f"servers, seed {report['seed']}; {report['processes']} processes, {report['mostMb']} MB at most"
@@ -313,49 +360,55 @@
     return "\n".join(lines)
 
 
-def words() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    made.add_argument("--hollow", type=int, default=60)
-    made.add_argument("--real", type=int, default=3)
-    made.add_argument("--voters", type=int, default=3, choices=(1, 3, 5))
-    made.add_argument("--seconds", type=float, default=60.0)
-    made.add_argument("--seed", type=int, default=1)
-    made.add_argument("--servers", type=int, default=12_000)
-    made.add_argument("--hollow-servers", type=int, default=0, help="of the list, told to hollow ones; 0 = all")
-    made.add_argument("--profile", default="", help="a file: what the first host of hollow ones does, for pstats")
-    made.add_argument("--factor", type=float, default=1.0, help="times the letter's 3,700 restarts a day")
-    made.add_argument("--tries", type=float, default=2.0, help="a second at each ingress, hollow or real")
-    made.add_argument("--parts", default=",".join(USUAL), help=f"of {', '.join(PARTS)}")
-    made.add_argument("--changes", type=int, default=3)
-    made.add_argument("--deaths", type=int, default=1)
-    made.add_argument("--rest", type=float, default=10.0, help="s between whole and the first window")
-    made.add_argument("--patience", type=float, default=240.0, help="s until all are whole")
-    made.add_argument("--compare", action="store_true")
-    made.add_argument("--trouble", action="store_true")
-    made.add_argument("--cut", type=float, default=30.0, help="s that the region is away")
-    made.add_argument("--json", action="store_true")
-    return made
-
-
-def play(told: argparse.Namespace) -> dict[str, Any]:
-    if told.compare:
-        told.hollow = told.real = 12
-        told.deaths = 0
-    run = Run(told)
+def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser of the command line."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--hollow", type=int, default=60)
+    parser.add_argument("--real", type=int, default=3)
+    parser.add_argument("--voters", type=int, default=3, choices=(1, 3, 5))
+    parser.add_argument("--seconds", type=float, default=60.0)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--servers", type=int, default=12_000)
+    parser.add_argument(
+        "--hollow-servers", type=int, default=0, help="servers of the list that hollow ingresses get; 0 = all"
+    )
+    parser.add_argument("--profile", default="", help="file for a cProfile of the first host of hollow ingresses")
+    parser.add_argument("--factor", type=float, default=1.0, help="multiplier of the 3,700 restarts a day")
+    parser.add_argument("--tries", type=float, default=2.0, help="messages per second at each ingress, hollow or real")
+    parser.add_argument("--parts", default=",".join(USUAL), help=f"comma-separated features out of {', '.join(PARTS)}")
+    parser.add_argument("--changes", type=int, default=3)
+    parser.add_argument("--deaths", type=int, default=1)
+    parser.add_argument(
+        "--rest", type=float, default=10.0, help="seconds between completion of the start and the first window"
+    )
+    parser.add_argument("--patience", type=float, default=240.0, help="seconds until all processes are complete")
+    parser.add_argument("--compare", action="store_true")
+    parser.add_argument("--trouble", action="store_true")
+    parser.add_argument("--cut", type=float, default=30.0, help="seconds that the region is cut off")
+    parser.add_argument("--json", action="store_true")
+    return parser
+
+
+def run_benchmark(options: argparse.Namespace) -> dict[str, Any]:
+    """Runs the benchmark and returns the report; all processes have ended afterwards."""
+    if options.compare:
+        options.hollow = options.real = 12
+        options.deaths = 0
+    run = Run(options)
     report: dict[str, Any] = {}
     try:
-        report = run.play()
-    except (Ended, RuntimeError) as error:
-        run.wrong.append(str(error))
+        report = run.execute()
+    except (BenchmarkError, RuntimeError) as error:
+        run.failures.append(str(error))
         raise
     finally:
-        late = run.world.close(keep=bool(run.wrong))
-        if late:
-            run.wrong.append(f"{late} processes had to be killed after SIGTERM")
-    if told.compare:
+        killed_count = run.world.close(keep=bool(run.failures))
+        if killed_count:
+            run.failures.append(f"{killed_count} processes had to be killed after SIGTERM")
+    if options.compare:
         report["compared"] = compare_hollow_with_real(report["loaded"])
         report["wrong"] += [
-            f"hollow is unlike real: {row['kind']} {row['what']}: {row['ratio']}"
+            f"hollow differs from real: {row['kind']} {row['what']}: {row['ratio']}"
             for row in report["compared"]
             if row["near"] is False
         ]
@@ -363,10 +416,11 @@
 
 
 def main() -> int:
-    told = words().parse_args()
+    """Runs the command line and returns the exit code."""
+    options = build_parser().parse_args()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
-    report = play(told)
-    print(json.dumps(report) if told.json else table(report))
+    report = run_benchmark(options)
+    print(json.dumps(report) if options.json else format_report(report))
     return int(bool(report["wrong"] or report["limits"]))
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from benchmarks.scale.__main__ import play, words
+from benchmarks.scale.__main__ import build_parser, run_benchmark
 from benchmarks.scale.child import NullLogger
 from benchmarks.scale.report import compare_hollow_with_real, compute_membership_rates, find_exceeded_limits
 from brackenpulley.metrics import Metrics
@@ -178,7 +178,7 @@
 
 def test_the_short_form() -> None:
     """60 hollow, 3 real, 3 voters. What its processor time is follows the machine, so that limit is not judged here."""
-    told = words().parse_args(
+    told = build_parser().parse_args(
         [
             "--hollow",
             "60",
@@ -198,7 +198,7 @@
             "3",
         ]
     )
-    report = play(told)
+    report = run_benchmark(told)
     assert report["wrong"] == []
     assert [text for text in report["limits"] if "core" not in text] == []
     assert report["times"]["agreedToAll"][0]["of"] == 60 and report["times"]["deathKnown"][0]["of"] == 59
