--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from benchmarks.fleet import Trial, usage
+from benchmarks.fleet import Trial, measure_process
 from benchmarks.ledger_cost import Process
 from benchmarks.plan_changes import free_ports
 from benchmarks.relay import Closed, SimServer
@@ -90,7 +90,7 @@
             wait(loop, lambda: bool(discovery.watchers), 30.0)
             spend(loop, 0.7)  # until the list of the watch is taken
             pid = daemon.process.pid
-            before, resident = spent(pid), usage(pid)[1]
+            before, resident = spent(pid), measure_process(pid)[1]
             spend(loop, 1.5)
             rest = (spent(pid) - before) / 1.5
             discovery.drained()
@@ -143,14 +143,14 @@
     made = Trial(instances, 1, 0.0, 40.0, True)
 
     def pids() -> list[int]:
-        return [row["pid"] for row in made.status()["places"] if row["state"] == "ready"]
+        return [row["pid"] for row in made.read_status()["places"] if row["state"] == "ready"]
 
     found = []
     try:
-        made.run()
-        made.all_ready(max(1, instances // 2), 30.0, "the first")
-        made.ask("POST", "/v1/fleet/scale", {"instances": instances})
-        made.all_ready(instances, 30.0, "all")
+        made.start_supervisor()
+        made.wait_all_ready(max(1, instances // 2), 30.0, "the first")
+        made.call_supervisor("POST", "/v1/fleet/scale", {"instances": instances})
+        made.wait_all_ready(instances, 30.0, "all")
         assert made.supervisor is not None
         own = made.supervisor.pid
         for _ in range(repeats):
@@ -159,7 +159,7 @@
             before, mine = [spent(pid) for pid in at], spent(own)
             spend(made.loop, seconds)
             now, then = [spent(pid) for pid in at], spent(own)
-            resident = sum(usage(pid)[1] for pid in at) / instances / 1024
+            resident = sum(measure_process(pid)[1] for pid in at) / instances / 1024
             os.kill(at[0], signal.SIGKILL)
             began = time.monotonic()
             while at[0] in (ready := pids()) or len(ready) < instances:
@@ -169,7 +169,7 @@
             found.append(
                 {
                     "supervisor": (then - mine) / seconds * 100,
-                    "memory": usage(own)[1] / 1024,
+                    "memory": measure_process(own)[1] / 1024,
                     "again": time.monotonic() - began,
                     "resident": resident,
                     "instance": sum(b - a for a, b in zip(before, now, strict=True)) / instances / seconds * 100,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,13 +1,15 @@
-"""A fleet of real daemons under a real supervisor, under open-loop load, with a sim server that starts cold.
+"""Runs a fleet of real daemons and their supervisor under open-loop load, with a sim server that has cold starts.
 
     python -m benchmarks.fleet --instances 40 --plot fleet.png
-    python -m benchmarks.fleet --cold            twenty that start at once against a small cold server
+    python -m benchmarks.fleet --cold            twenty ingresses that start at once beside a small cold server
     python -m benchmarks.fleet --idle            memory and CPU of idle instances, with and without membership
 
-Half of the instances start while the cold server does; then the other half at once, and the server is cold again; half
-are killed with SIGKILL in mid-load; one is stopped with SIGSTOP; all are restarted, a few at a time; the supervisor is
-killed and a new one takes over. Each try that an instance took which was not killed must have exactly one answer, and
-no window of the cold server's arrivals may pass what it bears. Exits 1 where that does not hold."""
+Half of the instances start together with the cold server; then the other half at once, with the server cold again. Half
+of them are killed with SIGKILL under load, one is stopped with SIGSTOP, all are restarted a few at a time, and the
+supervisor is killed and replaced by a new one. Each message that was accepted by an instance which was not killed must
+get exactly one response, and the arrivals at the cold server must never exceed its capacity in any window. Exits with 1
+if either is violated.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,7 @@
 from brackenpulley.fleet.caller import Call
 from brackenpulley.fleet.files import Base
 from brackenpulley.fleet.process import search
-from brackenpulley.fleet.spec import load as spec_of
+from brackenpulley.fleet.spec import load as load_spec
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.serve import wall_clock
@@ -43,30 +45,42 @@
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import settings
 
-LOOK = 0.25  # s between the front's looks at /ready
-TICK = os.sysconf("SC_CLK_TCK")
-BUSY = 0.75  # of what the servers can do when warm
-COLD_FROM, COLD, MULTIPLE, FALL = 0.17, 12.0, 2.5, 3.0  # in the wire page's words; shorter than there
-KEY = "c29tZSBzZWNyZXQgb2YgMzIgYnl0ZXMgaGVyZSwgbm8="
+PROBE_INTERVAL_S = 0.25  # between readiness probes of the router
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+TARGET_UTILIZATION = 0.75  # fraction of the capacity of the warm servers
+# Cold start and overload of the sim servers as the wire protocol defines them, with shorter times than there.
+COLD_FRACTION = 0.17  # of the full rate, right after a start
+COLD_START_S = 12.0
+OVERLOAD_FACTOR = 2.5
+OVERLOAD_WINDOW_S = 3.0
+MEMBERSHIP_KEY = "c29tZSBzZWNyZXQgb2YgMzIgYnl0ZXMgaGVyZSwgbm8="
 
 
-class Front:
-    """What sends to the instances: looks at /ready and passes over those that say no."""
+class ReadinessRouter:
+    """Probes /ready of all instances and keeps the load away from those that are not ready."""
 
     def __init__(self, loop: Loop, load: Load) -> None:
         self.loop, self.load = loop, load
-        self.up: set[int] = set()
+        self.ready_ingresses: set[int] = set()
         self.load.down = set(range(len(load.ingresses)))
-        self.running = True
-        self._look()
-
-    def _look(self) -> None:
-        for place, at in enumerate(self.load.ingresses):
-            Call(self.loop, at, "GET", "/ready", b"", LOOK, lambda status, body, n=place: self._heard(n, status))
-        if self.running:
-            self.loop.call_in(LOOK, self._look)
+        self.is_running = True
+        self._probe()
+
+    def _probe(self) -> None:
+        for index, address in enumerate(self.load.ingresses):
+            Call(
+                self.loop,
+                address,
+                "GET",
+                "/ready",
+                b"",
+                PROBE_INTERVAL_S,
+                lambda status, body, n=index: self._on_response(n, status),
+            )
+        if self.is_running:
+            self.loop.call_in(PROBE_INTERVAL_S, self._probe)
 
-    def _heard(self, place: int, status: int) -> None:
+    def _on_response(self, place: int, status: int) -> None:
         if status == 200:
             self.load.down.discard(place)
         else:
@@ -74,7 +88,7 @@
 
 
 class Trial:
-    """A folder, stand-ins, a load with a front, and room for a supervisor; `run` starts it."""
+    """A folder, stand-in services, a load with a router, and a supervisor, which `start_supervisor` starts."""
 
     def __init__(
         self,
@@ -90,31 +104,43 @@
         self.folder = Path(tempfile.mkdtemp(prefix="bracken-fleet-"))
         self.clock = wall_clock()
         self.loop = Loop(self.clock, Metrics(), structlog.get_logger())
-        count = warm or max(2, math.ceil(rate / full / BUSY) - 1)  # so that the cold one is needed, too
+        # One server fewer than the load needs, so that the cold server gets load too.
+        count = warm or max(2, math.ceil(rate / full / TARGET_UTILIZATION) - 1)
         self.servers: list[SimServer] = [
-            ColdServer(self.loop, f"s-{n}", random.Random(seed + n), full, 1.0, 0.0, MULTIPLE, FALL)
+            ColdServer(self.loop, f"s-{n}", random.Random(seed + n), full, 1.0, 0.0, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S)
             for n in range(count)
         ]
-        self.cold = ColdServer(self.loop, "cold", random.Random(seed), full, COLD_FROM, COLD, MULTIPLE, FALL)
+        self.cold = ColdServer(
+            self.loop,
+            "cold",
+            random.Random(seed),
+            full,
+            COLD_FRACTION,
+            COLD_START_S,
+            OVERLOAD_FACTOR,
+            OVERLOAD_WINDOW_S,
+        )
         self.discovery, self.counter = Discovery(self.loop, [*self.servers, self.cold]), Counter(self.loop)
         ports = free_ports(2 * instances)
-        self.at = [("127.0.0.1", port) for port in ports[:instances]]
+        self.addresses = [("127.0.0.1", port) for port in ports[:instances]]
         self.members = [f"127.0.0.1:{port}" for port in ports[instances:]] if members else []
         firms = [Firm(n + 1, "county", rate / 60, 3, n % instances) for n in range(60)]
-        self.load = Load(self.loop, self.at, firms, self.rng)
-        self.front = Front(self.loop, self.load)
-        self.killed: list[tuple[int, float, float]] = []  # place, from, to
+        self.load = Load(self.loop, self.addresses, firms, self.rng)
+        self.router = ReadinessRouter(self.loop, self.load)
+        self.killed_periods: list[tuple[int, float, float]] = []  # instance, since, until
         self.marks: list[tuple[float, str]] = []
-        self.colds: list[dict[str, Any]] = []
-        self.ready: list[tuple[float, int]] = []
+        self.cold_starts: list[dict[str, Any]] = []
+        self.ready_counts: list[tuple[float, int]] = []
         self.supervisor: subprocess.Popen[bytes] | None = None
-        self.file = self.folder / "fleet.toml"
-        self._write(instances // 2 or 1, watchdog)
+        self.fleet_file = self.folder / "fleet.toml"
+        self._write_files(instances // 2 or 1, watchdog)
         self.control = Control(f"unix:{self.folder}/run/supervisor.sock")
 
-    def _write(self, count: int, watchdog: float) -> None:
+    def _write_files(self, count: int, watchdog: float) -> None:
         raw = settings(1)
-        raw["Invariants"].update(ColdFrom=COLD_FROM, Cold=COLD, OverloadFactor=MULTIPLE, TipAfter=FALL)
+        raw["Invariants"].update(
+            ColdFrom=COLD_FRACTION, Cold=COLD_START_S, OverloadFactor=OVERLOAD_FACTOR, TipAfter=OVERLOAD_WINDOW_S
+        )
         raw["Report"] = {"Via": "piggyback", "Fields": ["busy_reqs"]}
         for plan in raw["TiersOfService"]:
             plan.update(QuotaRate=1e6, Burst=1e6)
@@ -125,10 +151,10 @@
         )
         text = (
             f'[fleet]\nname = "trial"\nrun = "{self.folder}/run"\nconfig = "ingress.json"\n'
-            f"instances = {count}\nlisten = {json.dumps([f'{h}:{p}' for h, p in self.at])}\n"
+            f"instances = {count}\nlisten = {json.dumps([f'{h}:{p}' for h, p in self.addresses])}\n"
         )
         if self.members:
-            (self.folder / "keys").write_text(KEY + "\n")
+            (self.folder / "keys").write_text(MEMBERSHIP_KEY + "\n")
             (self.folder / "keys").chmod(0o600)
             (self.folder / "operator.toml").write_text(
                 f'[members]\nfleet = "trial"\nlisten = "{{member}}"\nseeds = [{{seeds}}]\nkeys = "{self.folder}/keys"\n'
@@ -138,63 +164,70 @@
             "[start]\nready_s = 30.0\nat_once = 100\n[stop]\nnotice_s = 1.0\ndeadline_s = 10.0\n"
             f"[watch]\nwatchdog_s = {watchdog}\n[restart]\ncrashes = 10\n"
         )
-        self.file.write_text(text)
+        self.fleet_file.write_text(text)
 
-    # Steps.
+    def mark_step(self, description: str) -> None:
+        """Records the time at which a step begins."""
+        self.marks.append((self.clock(), description))
 
-    def mark(self, what: str) -> None:
-        self.marks.append((self.clock(), what))
-
-    def run(self) -> None:
+    def start_supervisor(self) -> None:
+        """Starts a supervisor for the fleet file."""
         log = open(self.folder / "log", "ab")
         self.supervisor = subprocess.Popen(
-            [sys.executable, "-m", "brackenpulley", "fleet", "run", str(self.file)], cwd=ROOT, stdout=log, stderr=log
+            [sys.executable, "-m", "brackenpulley", "fleet", "run", str(self.fleet_file)],
+            cwd=ROOT,
+            stdout=log,
+            stderr=log,
         )
         log.close()
 
-    def ask(self, method: str, path: str, body: Any = None) -> Any:
-        """The supervisor does not depend on this process's loop, so a blocking call is short."""
+    def call_supervisor(self, method: str, path: str, body: Any = None) -> Any:
+        """Calls the supervisor. Blocking is short, since its answer does not depend on this process's event loop."""
         return self.control.call(method, path, body)
 
-    def status(self) -> dict[str, Any]:
+    def read_status(self) -> dict[str, Any]:
+        """Returns the status of the fleet, which is empty while no supervisor answers."""
         try:
-            found: dict[str, Any] = self.ask("GET", "/v1/fleet")
+            status: dict[str, Any] = self.call_supervisor("GET", "/v1/fleet")
         except ControlError:
             return {"ready": 0, "places": [], "rolling": None}
-        self.ready.append((self.clock(), found["ready"]))
-        return found
+        self.ready_counts.append((self.clock(), status["ready"]))
+        return status
 
-    def until(self, done: Callable[[dict[str, Any]], bool], longest: float, what: str) -> float:
-        """s that it took. Raises TimeoutError."""
-        begin = time.monotonic()
+    def wait_until(self, condition: Callable[[dict[str, Any]], bool], timeout_s: float, description: str) -> float:
+        """Runs the loop until the condition on the status holds; returns the seconds taken, or raises TimeoutError."""
+        started_at = time.monotonic()
         while True:
-            found = self.status()
-            if done(found):
-                return time.monotonic() - begin
-            if time.monotonic() - begin > longest:
-                rows = [(r["instance"], r["state"], r["why"]) for r in found["places"] if r["state"] != "ready"]
-                raise TimeoutError(f"{what}: not within {longest:g} s: {rows[:5]}")
-            self.turn(0.1)
-
-    def turn(self, seconds: float) -> None:
+            status = self.read_status()
+            if condition(status):
+                return time.monotonic() - started_at
+            if time.monotonic() - started_at > timeout_s:
+                rows = [(r["instance"], r["state"], r["why"]) for r in status["places"] if r["state"] != "ready"]
+                raise TimeoutError(f"{description}: not within {timeout_s:g} s: {rows[:5]}")
+            self.run_for(0.1)
+
+    def run_for(self, seconds: float) -> None:
+        """Runs the event loop for that long."""
         end = time.monotonic() + seconds
-        while (left := end - time.monotonic()) > 0:
-            self.loop.run_once(min(left, 0.02))
+        while (remaining := end - time.monotonic()) > 0:
+            self.loop.run_once(min(remaining, 0.02))
 
-    def all_ready(self, count: int, longest: float, what: str) -> float:
-        return self.until(lambda s: s["ready"] == count and len(s["places"]) == count, longest, what)
+    def wait_all_ready(self, count: int, timeout_s: float, description: str) -> float:
+        """Waits until the fleet has `count` instances, all ready; returns the seconds taken."""
+        return self.wait_until(lambda s: s["ready"] == count and len(s["places"]) == count, timeout_s, description)
 
-    def chill(self, what: str) -> None:
-        """The cold server starts anew; the last start's figures are kept."""
-        self.warm()
+    def restart_cold_server(self, description: str) -> None:
+        """Starts the cold server anew, after recording the figures of its previous start."""
+        self.record_cold_start()
         self.cold.start()
         self.cold.worst, self.cold.arrivals = 0.0, []
         self.discovery.change(self.cold, "SERVING")
-        self.colds.append({"what": what, "at": self.clock()})
+        self.cold_starts.append({"what": description, "at": self.clock()})
 
-    def warm(self) -> None:
-        if self.colds and "worst" not in self.colds[-1]:
-            self.colds[-1].update(
+    def record_cold_start(self) -> None:
+        """Records the figures of the latest start of the cold server, once."""
+        if self.cold_starts and "worst" not in self.cold_starts[-1]:
+            self.cold_starts[-1].update(
                 worst=round(self.cold.worst, 3),
                 arrivals=len(self.cold.arrivals),
                 fell=self.cold.down,
@@ -202,38 +235,38 @@
             )
 
     def kill(self, places: list[int]) -> None:
-        """SIGKILL, all within a few ms."""
-        pids = {row["instance"]: row["pid"] for row in self.status()["places"]}
+        """Sends SIGKILL to the instances, all within a few milliseconds."""
+        pids = {row["instance"]: row["pid"] for row in self.read_status()["places"]}
         at = self.clock()
         for place in places:
             os.kill(pids[place], signal.SIGKILL)
-        self.killed += [(place, at, math.inf) for place in places]
+        self.killed_periods += [(place, at, math.inf) for place in places]
 
-    def back(self, places: list[int]) -> None:
-        """From now on what these take counts again."""
+    def mark_recovered(self, places: list[int]) -> None:
+        """Counts the messages that these killed instances accept from now on."""
         now = self.clock()
-        self.killed = [(p, a, now if p in places and b == math.inf else b) for p, a, b in self.killed]
+        self.killed_periods = [(p, a, now if p in places and b == math.inf else b) for p, a, b in self.killed_periods]
 
-    def faults(self) -> list[str]:
-        """Tries that a living instance took without exactly one answer."""
+    def find_faults(self) -> list[str]:
+        """Describes the messages that a living instance accepted and that did not get exactly one response."""
 
-        def lost(one: Try) -> bool:
+        def is_lost(message: Try) -> bool:
             return any(
-                place == one.ingress and one.sent < until and one.ended >= since - 0.01
-                for place, since, until in self.killed
+                place == message.ingress and message.sent < until and message.ended >= since - 0.01
+                for place, since, until in self.killed_periods
             )
 
-        zero = self.marks[0][0]
+        origin = self.marks[0][0]
         return [
-            f"try {one.id}: taken by instance {one.ingress} at {one.sent - zero:.2f} s, {one.answers} answers, "
-            f"ended at {one.ended - zero:.2f} s"
-            for one in self.load.tries
-            if one.taken and one.answers != 1 and not lost(one)
+            f"message {message.id}: accepted by instance {message.ingress} at {message.sent - origin:.2f} s, "
+            f"{message.answers} responses, ended at {message.ended - origin:.2f} s"
+            for message in self.load.tries
+            if message.taken and message.answers != 1 and not is_lost(message)
         ]
 
     def close(self) -> None:
-        """Nothing of it is left running, whatever went wrong."""
-        self.front.running = False
+        """Ends the supervisor and kills all instances that are left, whatever went wrong before."""
+        self.router.is_running = False
         self.load.close()
         if self.supervisor is not None and self.supervisor.poll() is None:
             self.supervisor.terminate()
@@ -241,8 +274,8 @@
                 self.supervisor.wait(30)
             except subprocess.TimeoutExpired:
                 self.supervisor.kill()
-        for one in search(self.folder / "run"):
-            os.kill(one.pid, signal.SIGKILL)
+        for process in search(self.folder / "run"):
+            os.kill(process.pid, signal.SIGKILL)
         for listener in (
             self.discovery.listener,
             self.counter.listener,
@@ -253,7 +286,7 @@
         self.loop.close()
 
 
-def trial(
+def run_trial(
     instances: int = 40,
     seed: int = 3,
     rate: float = 0.0,
@@ -264,9 +297,9 @@
     plot: str = "",
     at_once: int = 0,
 ) -> dict[str, Any]:
-    """One run through all steps; the report that is also printed."""
-    made = Trial(instances, seed, rate or 8.0 * instances, full, members)
-    half, found = instances // 2, {}
+    """Runs all steps and returns the report."""
+    trial = Trial(instances, seed, rate or 8.0 * instances, full, members)
+    half_count, results = instances // 2, {}
     steps = (
         "half start cold",
         "the other half at once",
@@ -281,71 +314,77 @@
             task = progress.add_task("fleet", total=len(steps))
 
             def step(name: str) -> None:
-                made.mark(name)
+                trial.mark_step(name)
                 progress.update(task, description=name, advance=1)
 
             step(steps[0])
-            made.load.start()  # clients do not wait for the fleet
-            made.run()
-            made.chill(steps[0])
-            found["halfReadySeconds"] = made.all_ready(half, 60, "start")
-            made.turn(pause)
+            trial.load.start()  # clients send before the fleet is ready
+            trial.start_supervisor()
+            trial.restart_cold_server(steps[0])
+            results["halfReadySeconds"] = trial.wait_all_ready(half_count, 60, "start")
+            trial.run_for(pause)
             step(steps[1])
-            made.ask("POST", "/v1/fleet/scale", {"instances": instances})
-            made.chill(steps[1])
-            found["allReadySeconds"] = made.all_ready(instances, 60, "scale")
-            made.turn(pause)
+            trial.call_supervisor("POST", "/v1/fleet/scale", {"instances": instances})
+            trial.restart_cold_server(steps[1])
+            results["allReadySeconds"] = trial.wait_all_ready(instances, 60, "scale")
+            trial.run_for(pause)
             step(steps[2])
-            victims = sorted(made.rng.sample(range(instances), half))
-            made.kill(victims)
-            made.chill(steps[2])
-            made.turn(0.3)
-            found["halfBackSeconds"] = made.all_ready(instances, 60, "back after SIGKILL")
-            made.turn(2 * LOOK)
-            made.back(victims)
-            made.turn(pause)
+            victims = sorted(trial.rng.sample(range(instances), half_count))
+            trial.kill(victims)
+            trial.restart_cold_server(steps[2])
+            trial.run_for(0.3)
+            results["halfBackSeconds"] = trial.wait_all_ready(instances, 60, "back after SIGKILL")
+            trial.run_for(2 * PROBE_INTERVAL_S)
+            trial.mark_recovered(victims)
+            trial.run_for(pause)
             step(steps[3])
-            stopped = made.rng.randrange(instances)
-            pid = next(r["pid"] for r in made.status()["places"] if r["instance"] == stopped)
-            made.killed.append((stopped, made.clock(), math.inf))
+            stopped = trial.rng.randrange(instances)
+            pid = next(r["pid"] for r in trial.read_status()["places"] if r["instance"] == stopped)
+            trial.killed_periods.append((stopped, trial.clock(), math.inf))
             os.kill(pid, signal.SIGSTOP)
-            found["stoppedSeenSeconds"] = made.until(
+            results["stoppedSeenSeconds"] = trial.wait_until(
                 lambda s: any(r["instance"] == stopped and r["pid"] not in (pid,) for r in s["places"]), 30, "watchdog"
             )
-            made.all_ready(instances, 60, "back after SIGSTOP")
-            made.turn(2 * LOOK)
-            made.back([stopped])
+            trial.wait_all_ready(instances, 60, "back after SIGSTOP")
+            trial.run_for(2 * PROBE_INTERVAL_S)
+            trial.mark_recovered([stopped])
             step(steps[4])
-            lives = {r["instance"]: r["life"] for r in made.status()["places"]}
-            made.ask("POST", "/v1/fleet/restart", {"atOnce": at_once or max(1, instances // 5)})
-            found["rollingSeconds"] = made.until(lambda s: bool(s["rolling"] and s["rolling"]["over"]), 180, "restart")
-            rolled = made.status()
-            found["rolled"] = sum(r["life"] == lives[r["instance"]] + 1 for r in rolled["places"])
-            found["rollingFailed"] = rolled["rolling"]["failed"]
+            previous_lives = {r["instance"]: r["life"] for r in trial.read_status()["places"]}
+            trial.call_supervisor("POST", "/v1/fleet/restart", {"atOnce": at_once or max(1, instances // 5)})
+            results["rollingSeconds"] = trial.wait_until(
+                lambda s: bool(s["rolling"] and s["rolling"]["over"]), 180, "restart"
+            )
+            rolled = trial.read_status()
+            results["rolled"] = sum(r["life"] == previous_lives[r["instance"]] + 1 for r in rolled["places"])
+            results["rollingFailed"] = rolled["rolling"]["failed"]
             step(steps[5])
-            assert made.supervisor is not None
-            before = {r["instance"]: r["pid"] for r in made.status()["places"]}
-            made.supervisor.kill()
-            made.supervisor.wait()
-            made.turn(1.0)
-            made.run()
-            made.until(lambda s: s["ready"] == instances, 60, "taken over")
-            after = made.status()
-            found["adopted"] = sum(r["adopted"] and r["pid"] == before[r["instance"]] for r in after["places"])
-            made.turn(1.0)
+            assert trial.supervisor is not None
+            previous = {r["instance"]: r["pid"] for r in trial.read_status()["places"]}
+            trial.supervisor.kill()
+            trial.supervisor.wait()
+            trial.run_for(1.0)
+            trial.start_supervisor()
+            trial.wait_until(lambda s: s["ready"] == instances, 60, "taken over")
+            status_after = trial.read_status()
+            results["adopted"] = sum(
+                r["adopted"] and r["pid"] == previous[r["instance"]] for r in status_after["places"]
+            )
+            trial.run_for(1.0)
             step(steps[6])
-            made.load.stop()
+            trial.load.stop()
             end = time.monotonic() + 15
-            while made.load.out and time.monotonic() < end:
-                made.turn(0.05)
-            made.warm()
-            found["health"] = [r["health"] for r in made.status()["places"]][:3]
-            made.supervisor.terminate()
-            found["exit"] = made.supervisor.wait(30)
-            found["orphans"] = len(search(made.folder / "run"))
-        faults = made.faults()
-        faults += [f"{n} tries taken for malformed" for n in [sum(t.status == 400 for t in made.load.tries)] if n]
-        faults += [f"cold server, {c['what']}: {c['worst']:.2f} of what it bears" for c in made.colds if c["fell"]]
+            while trial.load.out and time.monotonic() < end:
+                trial.run_for(0.05)
+            trial.record_cold_start()
+            results["health"] = [r["health"] for r in trial.read_status()["places"]][:3]
+            trial.supervisor.terminate()
+            results["exit"] = trial.supervisor.wait(30)
+            results["orphans"] = len(search(trial.folder / "run"))
+        faults = trial.find_faults()
+        faults += [f"{n} messages answered with 400" for n in [sum(t.status == 400 for t in trial.load.tries)] if n]
+        faults += [
+            f"cold server, {c['what']}: {c['worst']:.2f} of its capacity" for c in trial.cold_starts if c["fell"]
+        ]
         for name, wanted in (
             ("rolled", instances),
             ("adopted", instances),
@@ -353,33 +392,33 @@
             ("exit", 0),
             ("rollingFailed", None),
         ):
-            if found[name] != wanted:
-                faults.append(f"{name}: {found[name]}, not {wanted}")
-        statuses = [one.status for one in made.load.tries]
-        found = {
+            if results[name] != wanted:
+                faults.append(f"{name}: {results[name]}, expected {wanted}")
+        statuses = [message.status for message in trial.load.tries]
+        results = {
             "instances": instances,
-            **{k: round(v, 2) if isinstance(v, float) else v for k, v in found.items()},
+            **{k: round(v, 2) if isinstance(v, float) else v for k, v in results.items()},
             "tries": len(statuses),
             "served": statuses.count(200),
             "refused": statuses.count(429) + statuses.count(503),
             "failed": statuses.count(502),
             "misread": statuses.count(400),
             "unanswered": statuses.count(0),
-            "takenUnanswered": sum(t.taken and not t.answers for t in made.load.tries),
-            "cold": [{k: v for k, v in c.items() if k not in ("seen", "at")} for c in made.colds],
+            "takenUnanswered": sum(t.taken and not t.answers for t in trial.load.tries),
+            "cold": [{k: v for k, v in c.items() if k not in ("seen", "at")} for c in trial.cold_starts],
             "faults": faults,
         }
         if plot:
-            draw(made, plot)
-        return found
+            draw_plot(trial, plot)
+        return results
     finally:
-        made.close()
+        trial.close()
 
 
-def cold_start(
+def run_cold_start(
     instances: int,
     seed: int,
-    believes: int = 0,
+    believed_count: int = 0,
     reports: bool = False,
     starts: int = 1,
     small: float = 4.0,
@@ -387,32 +426,35 @@
     load: float = 40.0,
     seconds: float = 9.0,
 ) -> dict[str, Any]:
-    """All instances start at the same instant as a small server, beside one warm server that can't do it all, or alone
-    (`warm` 0). With `believes` they have no supervisor and are told of so many ingresses, as before there was one;
-    with `reports` they heed what the server says of itself. The fullest window of the small one's arrivals, over what
-    it bears, for each of so many starts of it."""
-    made = Trial(2 * instances, seed, load, small, warm=1)
+    """Starts all instances at the same instant as a small cold server and measures its overload.
+
+    Beside it is one warm server that cannot take the whole load, or none if `warm` is 0. With `believed_count`, the
+    ingresses have no supervisor and their settings name that many ingresses. With `reports`, they use the load reports
+    of the server. `worst` in the report has, for each of `starts` starts of the server, the highest ratio of arrivals
+    in a window to its capacity.
+    """
+    trial = Trial(2 * instances, seed, load, small, warm=1)
     if warm:
-        made.servers[0].full = warm  # type: ignore[attr-defined]
-        made.cold.weight = small / warm
+        trial.servers[0].full = warm  # type: ignore[attr-defined]
+        trial.cold.weight = small / warm
     else:
-        made.servers[0].listener.stop()
-        made.discovery.servers.remove(made.servers.pop())
+        trial.servers[0].listener.stop()
+        trial.discovery.servers.remove(trial.servers.pop())
     processes: list[subprocess.Popen[bytes]] = []
-    found = []
+    results = []
     try:
-        made.load.firms = [Firm(n + 1, "county", load / instances, 1, n) for n in range(instances)]
-        made.load.start()
-        if believes:
-            made.load.numbers = believes
-            base = Base.read(spec_of(str(made.file)))
-            (made.folder / "run").mkdir()
-            with open(made.folder / "log", "ab") as log:
+        trial.load.firms = [Firm(n + 1, "county", load / instances, 1, n) for n in range(instances)]
+        trial.load.start()
+        if believed_count:
+            trial.load.numbers = believed_count
+            base = Base.read(load_spec(str(trial.fleet_file)))
+            (trial.folder / "run").mkdir()
+            with open(trial.folder / "log", "ab") as log:
                 for number in range(instances):
                     base.write(number, instances)
-                    path = made.folder / "run" / f"{number}.json"
+                    path = trial.folder / "run" / f"{number}.json"
                     raw = json.loads(path.read_text())
-                    raw["settings"].update(NInstances=believes, MyNumber=number % believes)
+                    raw["settings"].update(NInstances=believed_count, MyNumber=number % believed_count)
                     path.write_text(json.dumps(raw))
                     env = {**os.environ, **({"BALANCER_CONTROL": f"unix:{path}.sock"} if reports else {})}
                     processes.append(
@@ -425,174 +467,197 @@
                         )
                     )
         else:
-            made.run()
-        made.chill("start")
+            trial.start_supervisor()
+        trial.restart_cold_server("start")
         end = time.monotonic() + 30
-        while len(made.front.load.down) > 1.02 * instances and time.monotonic() < end:
-            made.turn(0.05)
+        while len(trial.router.load.down) > 1.02 * instances and time.monotonic() < end:
+            trial.run_for(0.05)
         for number in range(starts):
-            made.chill(f"start {number + 1}")
-            made.turn(seconds)
-            made.warm()
-            found.append(made.colds[-1]["worst"])
+            trial.restart_cold_server(f"start {number + 1}")
+            trial.run_for(seconds)
+            trial.record_cold_start()
+            results.append(trial.cold_starts[-1]["worst"])
         return {
             "instances": instances,
-            "believe": believes or "told",
+            "believe": believed_count or "told",
             "reports": reports,
-            "worst": found,
-            "fell": sum(c["fell"] for c in made.colds),
-            "arrivals": [c["arrivals"] for c in made.colds[1:]],
-            "served": sum(t.status == 200 for t in made.load.tries),
-            "refused": sum(t.status in (429, 503) for t in made.load.tries),
-            "failed": sum(t.status == 502 for t in made.load.tries),
-            "tries": len(made.load.tries),
+            "worst": results,
+            "fell": sum(c["fell"] for c in trial.cold_starts),
+            "arrivals": [c["arrivals"] for c in trial.cold_starts[1:]],
+            "served": sum(t.status == 200 for t in trial.load.tries),
+            "refused": sum(t.status in (429, 503) for t in trial.load.tries),
+            "failed": sum(t.status == 502 for t in trial.load.tries),
+            "tries": len(trial.load.tries),
         }
     finally:
         for process in processes:
             process.terminate()
         for process in processes:
             process.wait(20)
-        made.close()
+        trial.close()
 
 
-def draw(made: Trial, path: str) -> None:
-    """Instances ready, answers a second and the cold server's arrivals against what it bears, over the run."""
+def draw_plot(trial: Trial, path: str) -> None:
+    """Plots ready instances, responses per second, and arrivals at the cold server against its capacity over time."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    zero = made.marks[0][0]
-    figure, (top, middle, low) = pyplot.subplots(3, 1, figsize=(12, 9), sharex=True)
-    top.step([t - zero for t, _ in made.ready], [n for _, n in made.ready], where="post", color="tab:blue")
+    origin = trial.marks[0][0]
+    figure, (top, middle, bottom) = pyplot.subplots(3, 1, figsize=(12, 9), sharex=True)
+    top.step(
+        [t - origin for t, _ in trial.ready_counts], [n for _, n in trial.ready_counts], where="post", color="tab:blue"
+    )
     top.set_ylabel("instances ready")
-    seconds = int(made.marks[-1][0] - zero) + 1
+    seconds = int(trial.marks[-1][0] - origin) + 1
     for name, wanted, colour in (
         ("served", (200,), "tab:green"),
-        ("turned away", (429, 503), "tab:orange"),
-        ("no answer", (0,), "tab:red"),
+        ("refused", (429, 503), "tab:orange"),
+        ("no response", (0,), "tab:red"),
     ):
         counts = [0] * (seconds + 20)
-        for one in made.load.tries:
-            if one.status in wanted:
-                counts[min(seconds + 19, int(one.ended - zero))] += 1
+        for message in trial.load.tries:
+            if message.status in wanted:
+                counts[min(seconds + 19, int(message.ended - origin))] += 1
         middle.plot(counts[:seconds], label=name, color=colour)
-    middle.set_ylabel("tries ended a second")
+    middle.set_ylabel("messages ended per second")
     middle.legend(loc="upper left")
-    for cold in made.colds:
-        begin = cold["at"]
-        times = [begin + n * 0.25 for n in range(int(4 * COLD))]
-        bears = [
-            MULTIPLE * FALL * made.cold.full * (COLD_FROM + (1 - COLD_FROM) * max(0.0, t - FALL / 2 - begin) / COLD)
+    for cold in trial.cold_starts:
+        started_at = cold["at"]
+        times = [started_at + n * 0.25 for n in range(int(4 * COLD_START_S))]
+        capacities = [
+            OVERLOAD_FACTOR
+            * OVERLOAD_WINDOW_S
+            * trial.cold.full
+            * (COLD_FRACTION + (1 - COLD_FRACTION) * max(0.0, t - OVERLOAD_WINDOW_S / 2 - started_at) / COLD_START_S)
             for t in times
         ]
-        seen = [sum(t - FALL < a <= t for a in cold.get("seen", [])) for t in times]
-        low.plot([t - zero for t in times], bears, color="tab:red", label="bears" if cold is made.colds[0] else None)
-        low.plot([t - zero for t in times], seen, color="tab:blue", label="sent" if cold is made.colds[0] else None)
-    low.set_ylabel(f"cold server, in {FALL:g} s")
-    low.legend(loc="upper left")
-    low.set_xlabel("s")
-    for axis in (top, middle, low):
-        for at, what in made.marks[:-1]:
-            axis.axvline(at - zero, color="grey", linewidth=0.7)
+        arrival_counts = [sum(t - OVERLOAD_WINDOW_S < a <= t for a in cold.get("seen", [])) for t in times]
+        bottom.plot(
+            [t - origin for t in times],
+            capacities,
+            color="tab:red",
+            label="capacity" if cold is trial.cold_starts[0] else None,
+        )
+        bottom.plot(
+            [t - origin for t in times],
+            arrival_counts,
+            color="tab:blue",
+            label="arrivals" if cold is trial.cold_starts[0] else None,
+        )
+    bottom.set_ylabel(f"cold server, per {OVERLOAD_WINDOW_S:g} s")
+    bottom.legend(loc="upper left")
+    bottom.set_xlabel("s")
+    for axis in (top, middle, bottom):
+        for at, description in trial.marks[:-1]:
+            axis.axvline(at - origin, color="grey", linewidth=0.7)
             if axis is top:
-                axis.text(at - zero, made.instances * 0.03, " " + what, rotation=90, fontsize=8, va="bottom")
-    figure.suptitle(f"{made.instances} instances, one supervisor")
+                axis.text(at - origin, trial.instances * 0.03, " " + description, rotation=90, fontsize=8, va="bottom")
+    figure.suptitle(f"{trial.instances} instances, one supervisor")
     figure.tight_layout()
     figure.savefig(path, dpi=90)
 
 
-def usage(pid: int) -> tuple[float, int]:
-    """CPU s so far, and resident KB."""
+def measure_process(pid: int) -> tuple[float, int]:
+    """Returns the CPU time in seconds that a process has used and its resident memory in KB."""
     text = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text()
-    return (int(text[11]) + int(text[12])) / TICK, next(
+    return (int(text[11]) + int(text[12])) / CLOCK_TICKS_PER_S, next(
         int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS")
     )
 
 
-def idle(instances: int, seconds: float) -> dict[str, Any]:
-    """Fleets without and with membership, and lone ingresses, beside each other: means of an idle instance."""
+def measure_idle(instances: int, seconds: float) -> dict[str, Any]:
+    """Measures idle instances of fleets without and with membership, and single daemons, all at the same time."""
     from benchmarks.ledger_cost import Process
 
     fleets = [Trial(instances, 1, 0.0, 40.0, members) for members in (False, True)]
-    lone = [
+    single_daemons = [
         Process(
             fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.text, fleets[0].counter.listener.text, ""
         )
         for n, port in enumerate(free_ports(4))
     ]
     try:
-        for made in fleets:
-            made.run()
+        for trial in fleets:
+            trial.start_supervisor()
 
-        def wait(span: float) -> None:
-            end = time.monotonic() + span
+        def run_all_for(duration_s: float) -> None:
+            end = time.monotonic() + duration_s
             while time.monotonic() < end:
-                for made in fleets:
-                    made.loop.run_once(0.01)
-
-        wait(3.0)
-        for made in fleets:
-            made.ask("POST", "/v1/fleet/scale", {"instances": instances})
-        wait(10.0)
-        for made in fleets:
-            made.front.running = False
-        kinds = {"lone": [p.process.pid for p in lone]}
-        for name, made in zip(("fleet", "members"), fleets, strict=True):
-            kinds[name] = [r["pid"] for r in made.status()["places"] if r["state"] == "ready"]
-            kinds["supervisor of " + name] = [made.supervisor.pid] if made.supervisor else []
-        before = {name: [usage(pid) for pid in pids] for name, pids in kinds.items()}
-        wait(seconds)
-        found: dict[str, Any] = {"instances": instances, "seconds": seconds}
-        for name, pids in kinds.items():
-            now = [usage(pid) for pid in pids]
-            spent = sum(a[0] - b[0] for a, b in zip(now, before[name], strict=True)) / len(pids) / seconds
-            found[name] = {
-                "cpuPercent": round(100 * spent, 3),
+                for trial in fleets:
+                    trial.loop.run_once(0.01)
+
+        run_all_for(3.0)
+        for trial in fleets:
+            trial.call_supervisor("POST", "/v1/fleet/scale", {"instances": instances})
+        run_all_for(10.0)
+        for trial in fleets:
+            trial.router.is_running = False
+        pids_by_kind = {"lone": [daemon.process.pid for daemon in single_daemons]}
+        for name, trial in zip(("fleet", "members"), fleets, strict=True):
+            pids_by_kind[name] = [r["pid"] for r in trial.read_status()["places"] if r["state"] == "ready"]
+            pids_by_kind["supervisor of " + name] = [trial.supervisor.pid] if trial.supervisor else []
+        previous = {name: [measure_process(pid) for pid in pids] for name, pids in pids_by_kind.items()}
+        run_all_for(seconds)
+        results: dict[str, Any] = {"instances": instances, "seconds": seconds}
+        for name, pids in pids_by_kind.items():
+            now = [measure_process(pid) for pid in pids]
+            cpu_fraction = sum(a[0] - b[0] for a, b in zip(now, previous[name], strict=True)) / len(pids) / seconds
+            results[name] = {
+                "cpuPercent": round(100 * cpu_fraction, 3),
                 "residentMb": round(sum(a[1] for a in now) / len(pids) / 1024, 1),
             }
         for name in ("fleet", "members"):
-            found[f"{name}ToLone"] = {
-                key: round(found[name][key] / max(1e-9, found["lone"][key]), 2) for key in ("cpuPercent", "residentMb")
+            results[f"{name}ToLone"] = {
+                key: round(results[name][key] / max(1e-9, results["lone"][key]), 2)
+                for key in ("cpuPercent", "residentMb")
             }
-        return found
+        return results
     finally:
-        for p in lone:
-            p.process.terminate()
-        for made in fleets:
-            made.close()
+        for daemon in single_daemons:
+            daemon.process.terminate()
+        for trial in fleets:
+            trial.close()
 
 
 def main() -> int:
+    """Runs the command line and returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--instances", type=int, default=40)
     parser.add_argument("--seed", type=int, default=3)
-    parser.add_argument("--rate", type=float, default=0.0, help="tries a second; else 8 an instance")
-    parser.add_argument("--full", type=float, default=40.0, help="of the cold server: attempts a second when warm")
-    parser.add_argument("--members", action="store_true", help="membership between the instances")
+    parser.add_argument("--rate", type=float, default=0.0, help="messages per second; 0 = 8 per instance")
+    parser.add_argument("--full", type=float, default=40.0, help="relays per second of the cold server when warm")
+    parser.add_argument("--members", action="store_true", help="enable membership between the instances")
     parser.add_argument("--idle", action="store_true")
-    parser.add_argument("--cold", action="store_true", help="twenty that start at once, told of three and of twenty")
-    parser.add_argument("--seconds", type=float, default=20.0, help="of --idle")
-    parser.add_argument("--plot", default="", help="a picture of the run")
-    parser.add_argument("--json", default="", help="a file for the report")
-    told = parser.parse_args()
-    if told.cold:
+    parser.add_argument(
+        "--cold", action="store_true", help="start twenty ingresses at once, configured as three and as twenty"
+    )
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of --idle")
+    parser.add_argument("--plot", default="", help="file for a plot of the run")
+    parser.add_argument("--json", default="", help="file for the report")
+    options = parser.parse_args()
+    if options.cold:
         report = {
             "pairs": [
-                cold_start(20, told.seed, believes, reports, starts=5)
-                for believes, reports in ((3, False), (3, True), (0, True))
+                run_cold_start(20, options.seed, believed_count, reports, starts=5)
+                for believed_count, reports in ((3, False), (3, True), (0, True))
             ]
         }
-        report["faults"] = [f"fell {pair['fell']} times" for pair in report["pairs"][2:] if pair["fell"]]
-    elif told.idle:
-        report = idle(min(told.instances, 12), told.seconds)
+        report["faults"] = [
+            f"the cold server failed {pair['fell']} times" for pair in report["pairs"][2:] if pair["fell"]
+        ]
+    elif options.idle:
+        report = measure_idle(min(options.instances, 12), options.seconds)
     else:
-        report = trial(told.instances, told.seed, told.rate, told.full, members=told.members, plot=told.plot)
+        report = run_trial(
+            options.instances, options.seed, options.rate, options.full, members=options.members, plot=options.plot
+        )
     text = json.dumps(report, indent=1)
     print(text)
-    if told.json:
-        Path(told.json).write_text(text + "\n")
+    if options.json:
+        Path(options.json).write_text(text + "\n")
     return 1 if report.get("faults") else 0
 
 
