--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -29,7 +29,7 @@
 import xxhash
 
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import ROOT, free_ports
+from benchmarks.plan_changes import ROOT, find_free_ports
 from benchmarks.relay import usage
 from brackenpulley.bodies.memory import BodyMemory
 from brackenpulley.metrics import Metrics
@@ -487,7 +487,7 @@
 def run(seconds: float, memory_mb: int, seed: int, rounds: int = 6) -> dict[str, Any]:
     trial = Trial(memory_mb)
     with tempfile.TemporaryDirectory(prefix="bracken-bodies-") as name:
-        ports = free_ports(2)
+        ports = find_free_ports(2)
         daemon = Process(
             Path(name),
             "daemon",
--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -15,7 +15,7 @@
 
 from benchmarks.fleet import Trial, measure_process
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import free_ports
+from benchmarks.plan_changes import find_free_ports
 from benchmarks.relay import Closed, SimServer
 from brackenpulley.fleet.caller import Call
 from brackenpulley.metrics import Metrics
@@ -72,7 +72,7 @@
     servers = [SimServer(loop, f"real-{n}", random.Random(n)) for n in range(REAL)]
     discovery = Large(loop, [*servers], size)
     with tempfile.TemporaryDirectory(prefix="bracken-capacity-") as name:
-        port = free_ports(1)[0]
+        port = find_free_ports(1)[0]
         daemon = Process(Path(name), "daemon", port, discovery.listener.text, "127.0.0.1:1", "")
         try:
             state = {"ready": False, "out": False}
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -22,7 +22,7 @@
 
 from benchmarks.bodies import Asker, Plan, Trial
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import free_ports
+from benchmarks.plan_changes import find_free_ports
 from brackenpulley.net.loop import READ, Loop
 
 GAP, LONGEST, GRACE, THINK = 0.05, 1.0, 1.0, 0.4  # s
@@ -109,7 +109,7 @@
 def run(seconds: float, clients: int, bodies: int, seed: int) -> dict[str, Any]:
     trial = Trial(80)
     with tempfile.TemporaryDirectory(prefix="bracken-console-") as name:
-        ports = free_ports(2)
+        ports = find_free_ports(2)
         daemon = Process(
             Path(name),
             "daemon",
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -31,7 +31,7 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from benchmarks.plan_changes import ROOT, free_ports
+from benchmarks.plan_changes import ROOT, find_free_ports
 from brackenpulley.control.client import Control, ControlError
 from brackenpulley.fleet.caller import Call
 from brackenpulley.fleet.files import Base
@@ -121,7 +121,7 @@
             OVERLOAD_WINDOW_S,
         )
         self.discovery, self.counter = Discovery(self.loop, [*self.servers, self.cold]), Counter(self.loop)
-        ports = free_ports(2 * instances)
+        ports = find_free_ports(2 * instances)
         self.addresses = [("127.0.0.1", port) for port in ports[:instances]]
         self.members = [f"127.0.0.1:{port}" for port in ports[instances:]] if members else []
         firms = [Firm(n + 1, "county", rate / 60, 3, n % instances) for n in range(60)]
@@ -577,7 +577,7 @@
         Process(
             fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.text, fleets[0].counter.listener.text, ""
         )
-        for n, port in enumerate(free_ports(4))
+        for n, port in enumerate(find_free_ports(4))
     ]
     try:
         for trial in fleets:
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -23,7 +23,7 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from benchmarks.plan_changes import ROOT, free_ports
+from benchmarks.plan_changes import ROOT, find_free_ports
 from brackenpulley.ledger import files
 from brackenpulley.ledger.store import Store
 from brackenpulley.ledger.tally import Entry, Key, Tally
@@ -102,7 +102,7 @@
     servers = [SimServer(loop, f"s-{n}", random.Random(n), 0.002) for n in range(4)]
     discovery, counter, billing = Discovery(loop, servers), Counter(loop), Billing(loop)
     with tempfile.TemporaryDirectory(prefix="bracken-cost-") as name:
-        folder, ports = Path(name), free_ports(2)
+        folder, ports = Path(name), find_free_ports(2)
         told = (
             f'[ledger]\npath = "{folder}/ledger"\nperiod_s = 5.0\ngrace_s = 0.5\n[ledger.export]\n'
             f'url = "http://{billing.listener.text}/use"\n'
--- a/benchmarks/plan_changes.py
+++ b/benchmarks/plan_changes.py
@@ -1,10 +1,12 @@
-"""Plans changing under load: counted use = exported use = what ran, with kills, a failing billing and a silent counter.
+"""Changes plans under load and checks that counted use, exported use and the units that ran are equal.
 
-    python -m benchmarks.plan_changes --minutes 10          the proof
-    python -m benchmarks.plan_changes --seconds 20          its short form, which the tests run
+    python -m benchmarks.plan_changes --minutes 10          the full run
+    python -m benchmarks.plan_changes --seconds 20          the short run, which the tests use
 
-Three daemons are real processes on loopback, everything around them stands in this one. Exits 1 where anything does
-not match, or a firm was let in for more than 2 % beyond its allowance."""
+Daemons are killed, the billing service fails and the counter is silent meanwhile. Three daemons are real processes on
+loopback; all other services run in this process. Exits with 1 if the units do not match, or if a firm got more than 2 %
+above its allowance.
+"""
 
 from __future__ import annotations
 
@@ -41,16 +43,19 @@
 from brackenpulley.standins.settings import PLANS, settings
 
 ROOT = Path(__file__).resolve().parent.parent
-GATEWAYS, SERVERS, FIRMS = 3, 4, 12
-MOST_OVER = 0.02
-BILLING = ("takes", "lost", "409", "part", "500", "413", "takes", "429", "lost")
+INGRESS_COUNT = 3
+SERVER_COUNT = 4
+FIRM_COUNT = 12
+MAX_EXCESS = 0.02  # of its allowance, for one firm
+# Behaviour of the billing service in turn, as `Billing.mode` names it.
+BILLING_MODES = ("takes", "lost", "409", "part", "500", "413", "takes", "429", "lost")
 
 
-class Ingress:
-    """One daemon as a process, its files, its control socket."""
+class IngressProcess:
+    """One daemon as a child process, with its files and its control socket."""
 
     def __init__(self, trial: Trial, number: int, port: int) -> None:
-        self.trial, self.number, self.at = trial, number, ("127.0.0.1", port)
+        self.trial, self.number, self.address = trial, number, ("127.0.0.1", port)
         self.folder = trial.folder / f"n{number}"
         self.folder.mkdir()
         self.process: subprocess.Popen[bytes] | None = None
@@ -61,19 +66,20 @@
             "discovery": trial.discovery.listener.text,
             "counter": trial.counter.listener.text,
             "seed": f"{trial.seed + number:x}",
-            "settings": settings(GATEWAYS, number),
+            "settings": settings(INGRESS_COUNT, number),
         }
         (self.folder / "config.json").write_text(json.dumps(config))
         (self.folder / "operator.toml").write_text(
             f'[control]\nlisten = "unix:{self.folder}/control.sock"\n'
             f'[plans]\nsnapshot = "{self.folder}/plans"\n[reservations]\n'
-            + ("[leases]\n" if trial.exact else "")
-            + f'[ledger]\npath = "{self.folder}/ledger"\nperiod_s = {trial.period}\ngrace_s = 1.0\n'
+            + ("[leases]\n" if trial.has_leases else "")
+            + f'[ledger]\npath = "{self.folder}/ledger"\nperiod_s = {trial.period_s}\ngrace_s = 1.0\n'
             f'[ledger.export]\nurl = "http://{trial.billing.listener.text}/use"\nlongest_wait_s = 1.0\n'
             "timeout_s = 1.0\nbatch = 40\n"
         )
 
     def start(self) -> None:
+        """Starts the daemon."""
         env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
@@ -93,28 +99,32 @@
                 stderr=log,
             )
 
-    def up(self) -> bool:
+    def is_ready(self) -> bool:
+        """Tells whether the daemon answers on its control socket and is ready."""
         try:
             return bool(self.control.call("GET", "/v1/status")["ready"])
         except ControlError:
             return False
 
-    def status(self) -> dict[str, Any]:
-        found: dict[str, Any] = self.control.call("GET", "/v1/status")
-        return found
+    def read_status(self) -> dict[str, Any]:
+        """Returns the status from the control socket."""
+        status: dict[str, Any] = self.control.call("GET", "/v1/status")
+        return status
 
     def catch_up(self, changes: list[Change]) -> None:
-        """What the operators decided while it was away, in order."""
-        known = self.control.call("GET", "/v1/plans")["revision"]
-        for change in changes[known:]:
-            self.tell(change)
+        """Sends the changes that the daemon does not know yet, in order."""
+        known_revision = self.control.call("GET", "/v1/plans")["revision"]
+        for change in changes[known_revision:]:
+            self.send_change(change)
 
-    def tell(self, change: Change) -> None:
+    def send_change(self, change: Change) -> None:
+        """Submits one change on the control socket."""
         import msgspec
 
         self.control.call("POST", "/v1/changes", msgspec.to_builtins(change))
 
-    def memory_kb(self) -> int:
+    def read_memory_kb(self) -> int:
+        """Returns the resident memory in KB, or 0 if the process has ended."""
         assert self.process is not None
         try:
             text = Path(f"/proc/{self.process.pid}/status").read_text()
@@ -124,230 +134,236 @@
 
 
 class Trial:
-    def __init__(self, seconds: float, exact: bool, seed: int, every: float, plot: str = "") -> None:
+    """Daemons, stand-in services and clients of one run, and the events scheduled in it."""
+
+    def __init__(self, seconds: float, has_leases: bool, seed: int, change_interval_s: float, plot: str = "") -> None:
         self.plot = plot
-        self.seconds, self.exact, self.seed, self.every = seconds, exact, seed, every
-        self.period = 2.0 if seconds < 120 else 10.0
+        self.seconds, self.has_leases, self.seed, self.change_interval_s = seconds, has_leases, seed, change_interval_s
+        self.period_s = 2.0 if seconds < 120 else 10.0
         self.rng = random.Random(seed)
         self.folder = Path(tempfile.mkdtemp(prefix="bracken-plans-"))
         self.clock = wall_clock()
         self.metrics = Metrics()
         self.loop = Loop(self.clock, self.metrics, structlog.get_logger())
-        self.servers = [SimServer(self.loop, f"s-{n}", random.Random(seed + n), 0.06) for n in range(SERVERS)]
+        self.servers = [SimServer(self.loop, f"s-{n}", random.Random(seed + n), 0.06) for n in range(SERVER_COUNT)]
         for server in self.servers:
-            server.script = self._script
+            server.script = self._draw_outcome
         self.discovery, self.counter = Discovery(self.loop, self.servers), Counter(self.loop)
         self.billing = Billing(self.loop)
-        self.rough = False
-        ports = free_ports(GATEWAYS)
-        self.ingresses = [Ingress(self, n, ports[n]) for n in range(GATEWAYS)]
+        self.has_faults = False
+        ports = find_free_ports(INGRESS_COUNT)
+        self.ingresses = [IngressProcess(self, n, ports[n]) for n in range(INGRESS_COUNT)]
         names = sorted(PLANS)
-        # A third of the firms ask for more than their plan lets in, the others stay under it.
+        # A third of the firms ask for more than their plan allows, the others for less.
         self.firms = [
             Firm(
                 0xB4D60000 + n,
                 names[n % 2],
                 (PLANS[names[n % 2]]["QuotaRate"] / 1.7) * (1.6 if n % 3 == 0 else 0.5),
                 2 + n % 2,
-                n % GATEWAYS,
+                n % INGRESS_COUNT,
             )
-            for n in range(FIRMS)
+            for n in range(FIRM_COUNT)
         ]
-        self.load = Load(self.loop, [one.at for one in self.ingresses], self.firms, self.rng)
+        self.load = Load(self.loop, [ingress.address for ingress in self.ingresses], self.firms, self.rng)
         self.changes: list[Change] = []
         self.killed: dict[str, set[str]] = {}
         self.down_once: set[int] = set()
         self.memory: list[list[int]] = []
         self.notes: list[str] = []
 
-    def _script(self, rng: random.Random) -> str:
-        """A few attempts in a hundred go wrong while it is rough."""
-        if not self.rough:
+    def _draw_outcome(self, rng: random.Random) -> str:
+        """Draws the outcome of a relay; a few in a hundred fail while faults are enabled."""
+        if not self.has_faults:
             return "ok"
         return rng.choices(("ok", "error", "full", "reset"), (94, 2, 3, 1))[0]
 
-    def turn_until(self, done: Any, longest: float, what: str) -> None:
-        end = time.monotonic() + longest
-        while not done():
+    def wait_until(self, condition: Any, timeout_s: float, description: str) -> None:
+        """Runs the event loop until the condition holds; exits with a message after `timeout_s` seconds."""
+        end = time.monotonic() + timeout_s
+        while not condition():
             if time.monotonic() > end:
-                raise SystemExit(f"waited in vain for {what}; logs in {self.folder}")
+                raise SystemExit(f"timed out waiting for {description}; logs are in {self.folder}")
             self.loop.run_once(0.02)
 
     def run(self, progress: Progress) -> dict[str, Any]:
-        for one in self.ingresses:
-            one.start()
-        asked = [0.0]
+        """Runs the trial to its end and returns the report."""
+        for ingress in self.ingresses:
+            ingress.start()
+        last_check = [0.0]
 
-        def all_up() -> bool:
-            if time.monotonic() - asked[0] < 0.2:
+        def are_all_ready() -> bool:
+            if time.monotonic() - last_check[0] < 0.2:
                 return False
-            asked[0] = time.monotonic()
-            return all(one.up() for one in self.ingresses)
+            last_check[0] = time.monotonic()
+            return all(ingress.is_ready() for ingress in self.ingresses)
 
-        self.turn_until(all_up, 30, "the daemons")
+        self.wait_until(are_all_ready, 30, "the daemons")
         begin = self.clock()
-        task = progress.add_task("plans changing", total=self.seconds)
+        task = progress.add_task("plan changes", total=self.seconds)
         self.load.start()
-        self.rough = True
-        self._plan_script(begin)
+        self.has_faults = True
+        self._schedule_events(begin)
         while (now := self.clock()) < begin + self.seconds:
             self.loop.run_once(0.05)
             progress.update(task, completed=now - begin)
         self.load.stop()
         end = self.clock()
-        self.turn_until(lambda: self.load.out == 0, 15, "the last answers")
-        self.rough = False
+        self.wait_until(lambda: self.load.out == 0, 15, "the last responses")
+        self.has_faults = False
         self.billing.mode = "takes"
         self.counter.speak("answers")
-        self.turn_until(self._exported, 60, "the export of what is left")
-        return self._verdict(begin, end)
+        self.wait_until(self._is_exported, 60, "the export of the remaining entries")
+        return self._build_report(begin, end)
 
-    def _exported(self) -> bool:
-        if time.monotonic() - getattr(self, "_asked", 0.0) < 0.3:
+    def _is_exported(self) -> bool:
+        if time.monotonic() - getattr(self, "_last_check", 0.0) < 0.3:
             return False
-        self._asked = time.monotonic()
-        told = [one.status()["ledger"] for one in self.ingresses]
-        return all(t["openSums"] == 0 and t["backlog"] == 0 for t in told)
+        self._last_check = time.monotonic()
+        ledgers = [ingress.read_status()["ledger"] for ingress in self.ingresses]
+        return all(t["openSums"] == 0 and t["backlog"] == 0 for t in ledgers)
 
-    def _plan_script(self, begin: float) -> None:
+    def _schedule_events(self, begin: float) -> None:
         def at(when: float, call: Any) -> None:
             self.loop.call_at(begin + when, call)
 
-        every = self.every
-        number, when = 0, every / 2
-        while when < self.seconds - every / 4:
+        change_interval_s = self.change_interval_s
+        number, when = 0, change_interval_s / 2
+        while when < self.seconds - change_interval_s / 4:
             at(when, partial(self._change, number))
-            number, when = number + 1, when + every
+            number, when = number + 1, when + change_interval_s
 
         def speak(mode: str) -> None:
             self.billing.mode = mode
 
-        for n in range(int(self.seconds / every * 2)):
-            at(n * every / 2, partial(speak, BILLING[n % len(BILLING)]))
+        for n in range(int(self.seconds / change_interval_s * 2)):
+            at(n * change_interval_s / 2, partial(speak, BILLING_MODES[n % len(BILLING_MODES)]))
         at(self.seconds * 0.35, lambda: self._kill(1))
-        at(self.seconds * 0.35 + min(3.0, every / 2), lambda: self._restart(1))
-        for part in (0.2, 0.6):  # the counter says nothing while a change takes effect
+        at(self.seconds * 0.35 + min(3.0, change_interval_s / 2), lambda: self._restart(1))
+        for part in (0.2, 0.6):  # the counter does not answer while a change takes effect
             at(self.seconds * part, lambda: self.counter.speak("silent"))
-            at(self.seconds * part + min(2.0, every / 3), lambda: self.counter.speak("answers"))
+            at(self.seconds * part + min(2.0, change_interval_s / 3), lambda: self.counter.speak("answers"))
         for n in range(20):
-            at(self.seconds * n / 20, self._look)
+            at(self.seconds * n / 20, self._sample_memory)
 
-    def _look(self) -> None:
-        self.memory.append([one.memory_kb() for one in self.ingresses])
+    def _sample_memory(self) -> None:
+        self.memory.append([ingress.read_memory_kb() for ingress in self.ingresses])
 
     def _change(self, number: int) -> None:
-        """Moves to and fro, new figures, a change due later, two at one instant, one that is withdrawn."""
+        """Makes one of five kinds of change: moves, new figures, a late change, two at one instant, one withdrawn."""
         now, firm = self.clock(), self.rng.choice(self.firms)
-        lead = min(5.0, self.every / 3)
+        lead = min(5.0, self.change_interval_s / 3)
         kind = number % 5
         plan = self.rng.choice([name for name in PLANS if name != firm.plan])
         if kind in (0, 1):
-            self._decide(kind="move", firm=format_firm(firm.key), plan=plan, since=now + lead, at=now)
-            if kind == 1:  # a second one for the same instant: the later revision holds
-                self._decide(kind="move", firm=format_firm(firm.key), plan=firm.plan, since=now + lead, at=now)
+            self._apply_change(kind="move", firm=format_firm(firm.key), plan=plan, since=now + lead, at=now)
+            if kind == 1:  # two moves at the same instant: the later revision applies
+                self._apply_change(kind="move", firm=format_firm(firm.key), plan=firm.plan, since=now + lead, at=now)
         elif kind == 2:
             name = self.rng.choice(sorted(PLANS))
             figures = Figures(
                 rate=PLANS[name]["QuotaRate"] * self.rng.choice((0.8, 1.0, 1.25)), burst=PLANS[name]["Burst"]
             )
-            self._decide(kind="set", plan=name, figures=figures, since=now + lead, at=now)
-        elif kind == 3:  # comes late: it holds since a second ago, and takes effect where it is heard
-            self._decide(kind="move", firm=format_firm(firm.key), plan="county", since=now - 1.0, at=now)
+            self._apply_change(kind="set", plan=name, figures=figures, since=now + lead, at=now)
+        elif kind == 3:  # in force since a second ago, but applied where it arrives
+            self._apply_change(kind="move", firm=format_firm(firm.key), plan="county", since=now - 1.0, at=now)
         else:
-            self._decide(kind="move", firm=format_firm(firm.key), plan=plan, since=now + lead, at=now)
-            self._decide(kind="withdraw", of=len(self.changes), at=now)
+            self._apply_change(kind="move", firm=format_firm(firm.key), plan=plan, since=now + lead, at=now)
+            self._apply_change(kind="withdraw", of=len(self.changes), at=now)
 
-    def _decide(self, **told: Any) -> None:
-        change = Change(revision=len(self.changes) + 1, **told)
+    def _apply_change(self, **fields: Any) -> None:
+        change = Change(revision=len(self.changes) + 1, **fields)
         self.changes.append(change)
-        late = min(5.0, self.every / 3) * 0.9  # ingress 0 hears of each change so much later than the others
-        for one in self.ingresses:
-            if one.number == 0:
-                self.loop.call_in(late, partial(self._tell, one))
+        delay_s = min(5.0, self.change_interval_s / 3) * 0.9  # ingress 0 gets each change this much later
+        for ingress in self.ingresses:
+            if ingress.number == 0:
+                self.loop.call_in(delay_s, partial(self._send_change, ingress))
             else:
-                self._tell(one)
+                self._send_change(ingress)
 
-    def _tell(self, one: Ingress) -> None:
-        if one.process is None or one.number in self.load.down:
+    def _send_change(self, ingress: IngressProcess) -> None:
+        if ingress.process is None or ingress.number in self.load.down:
             return
         try:
-            one.catch_up(self.changes)
+            ingress.catch_up(self.changes)
         except ControlError as error:
-            self.notes.append(f"n{one.number}: {error}")
+            self.notes.append(f"n{ingress.number}: {error}")
 
     def _kill(self, number: int) -> None:
-        one = self.ingresses[number]
-        assert one.process is not None
-        out = {t.id for t in self.load.tries if t.ingress == number and not t.ended}
-        one.process.send_signal(signal.SIGKILL)
-        one.process.wait()
+        ingress = self.ingresses[number]
+        assert ingress.process is not None
+        in_flight = {t.id for t in self.load.tries if t.ingress == number and not t.ended}
+        ingress.process.send_signal(signal.SIGKILL)
+        ingress.process.wait()
         self.load.down.add(number)
         self.down_once.add(number)
-        store = Store(str(one.folder / "ledger"))
+        store = Store(str(ingress.folder / "ledger"))
         counted = set(store.last_turn())
         store.end()
-        # What it had counted in its last turn may have left or not; what it had not counted has not left.
-        self.loop.call_in(0.5, lambda: self._after_kill(number, out, counted))
+        # Responses counted in its last turn may or may not have been sent; those not counted were not sent.
+        self.loop.call_in(0.5, lambda: self._after_kill(number, in_flight, counted))
 
-    def _after_kill(self, number: int, out: set[str], counted: set[str]) -> None:
-        unanswered = {t.id for t in self.load.tries if t.id in out and t.status == 0}
+    def _after_kill(self, number: int, in_flight: set[str], counted: set[str]) -> None:
+        unanswered = {t.id for t in self.load.tries if t.id in in_flight and t.status == 0}
         self.killed[f"n{number}"] = unanswered - counted
 
     def _restart(self, number: int) -> None:
-        one = self.ingresses[number]
-        one.start()
+        ingress = self.ingresses[number]
+        ingress.start()
 
         def ready() -> None:
-            if one.up():
-                one.catch_up(self.changes)
+            if ingress.is_ready():
+                ingress.catch_up(self.changes)
                 self.load.down.discard(number)
             else:
                 self.loop.call_in(0.1, ready)
 
         ready()
 
-    def _verdict(self, begin: float, end: float) -> dict[str, Any]:
-        statuses = [one.status() for one in self.ingresses]
-        counters = [one.control.call("GET", "/v1/counters") for one in self.ingresses]
-        for one in self.ingresses:
-            assert one.process is not None
-            one.process.send_signal(signal.SIGTERM)
-        self.turn_until(
-            lambda: all(one.process is not None and one.process.poll() is not None for one in self.ingresses),
+    def _build_report(self, begin: float, end: float) -> dict[str, Any]:
+        statuses = [ingress.read_status() for ingress in self.ingresses]
+        counters = [ingress.control.call("GET", "/v1/counters") for ingress in self.ingresses]
+        for ingress in self.ingresses:
+            assert ingress.process is not None
+            ingress.process.send_signal(signal.SIGTERM)
+        self.wait_until(
+            lambda: all(
+                ingress.process is not None and ingress.process.poll() is not None for ingress in self.ingresses
+            ),
             20,
             "the daemons to end",
         )
-        codes = [one.process.returncode for one in self.ingresses if one.process is not None]
+        exit_codes = [ingress.process.returncode for ingress in self.ingresses if ingress.process is not None]
         counted: dict[audit.Key, int] = {}
-        faults = [f"n{n} ended with {code}" for n, code in enumerate(codes) if code]
+        faults = [f"n{n} exited with code {code}" for n, code in enumerate(exit_codes) if code]
         entries = 0
-        for one in self.ingresses:
-            store = Store(str(one.folder / "ledger"))
-            faults += [f"n{one.number}: {fault}" for fault, _ in store.verify() if fault]
+        for ingress in self.ingresses:
+            store = Store(str(ingress.folder / "ledger"))
+            faults += [f"n{ingress.number}: {fault}" for fault, _ in store.verify() if fault]
             for key, units in store.totals().items():
                 counted[key] = counted.get(key, 0) + units
             entries += store.heads().next_seq - 1
             store.end()
-        book = Book(decode_settings(settings(GATEWAYS)).plans)
+        book = Book(decode_settings(settings(INGRESS_COUNT)).plans)
         load(str(self.ingresses[2].folder / "plans"), book, self.clock())
         if book.revision != len(self.changes):
-            faults.append(f"book: revision {book.revision}, and {len(self.changes)} were decided")
+            faults.append(f"book: revision {book.revision}, expected {len(self.changes)}")
         ran = [row for server in self.servers for row in server.ran]
         verdict = audit.reconcile(ran, self.killed, counted, self.billing.units())
         faults += verdict.faults + self.billing.faults
         faults += audit.answered_once(self.load.tries, self.down_once)
-        over = audit.excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
+        excesses = audit.excess(ran, book, {firm.key: firm.plan for firm in self.firms}, begin, end)
         faults += [
-            f"firm {one.firm:016x}: {one.over:.1f} units over an allowance of {one.allowed:.0f}"
-            for one in over
-            if one.share > MOST_OVER
+            f"firm {excess.firm:016x}: {excess.over:.1f} units above an allowance of {excess.allowed:.0f}"
+            for excess in excesses
+            if excess.share > MAX_EXCESS
         ]
         if self.plot:
-            self._draw(ran, book, begin, end)
+            self._draw_plot(ran, book, begin, end)
         statuses_now = [t.status for t in self.load.tries]
         return {
             "seconds": round(end - begin, 1),
-            "exact": self.exact,
+            "exact": self.has_leases,
             "changes": len(self.changes),
             "tries": len(self.load.tries),
             "served": statuses_now.count(200),
@@ -363,9 +379,10 @@
             "eventsTwice": sum(1 for count in self.billing.had.values() if count > 1),
             "billingAnswers": dict(self.billing.answers),
             "firms": {
-                f"{one.firm:016x}": [round(one.over, 2), round(one.used, 1), round(one.allowed, 1)] for one in over
+                f"{excess.firm:016x}": [round(excess.over, 2), round(excess.used, 1), round(excess.allowed, 1)]
+                for excess in excesses
             },
-            "mostExcess": round(max((one.share for one in over), default=0.0), 4),
+            "mostExcess": round(max((excess.share for excess in excesses), default=0.0), 4),
             "counterCalls": self.counter.calls,
             "callsATry": round(self.counter.calls / max(1, len(ran)), 3),
             "memoryKb": self.memory,
@@ -377,8 +394,8 @@
             "faults": faults,
         }
 
-    def _draw(self, ran: list[Ran], book: Book, begin: float, end: float) -> None:
-        """Use of the firms whose plans changed most, against what their plans let in, over the run."""
+    def _draw_plot(self, ran: list[Ran], book: Book, begin: float, end: float) -> None:
+        """Plots use against allowance over the run for four firms, moved ones and high rates first."""
         import matplotlib
 
         matplotlib.use("Agg")
@@ -392,16 +409,16 @@
             ]
             for firm in self.firms
         }
-        shown = sorted(self.firms, key=lambda firm: (not moves[firm.key], -firm.rate))[:4]
+        plotted_firms = sorted(self.firms, key=lambda firm: (not moves[firm.key], -firm.rate))[:4]
         figure, axes = pyplot.subplots(2, 2, figsize=(13, 8), sharex=True)
-        final = audit.due(ran)
-        for firm, axis in zip(shown, axes.flat, strict=False):
-            first = {one.id: one for one in sorted(ran, key=lambda row: -row.at) if one.firm == firm.key}
-            rows = sorted(first.values(), key=lambda row: row.at)
+        final_costs = audit.due(ran)
+        for firm, axis in zip(plotted_firms, axes.flat, strict=False):
+            first = {row.id: row for row in sorted(ran, key=lambda row: -row.at) if row.firm == firm.key}
+            firm_rows = sorted(first.values(), key=lambda row: row.at)
             times, used, total = [0.0], [0.0], 0.0
-            for one in rows:
-                total += final[one.id].units / audit.MICRO
-                times.append(one.at - begin)
+            for row in firm_rows:
+                total += final_costs[row.id].units / audit.MICRO
+                times.append(row.at - begin)
                 used.append(total)
             grid = [begin + (end - begin) * n / 400 for n in range(401)]
             plan = book.find_spec(book.plan_of(firm.key, begin, firm.plan)[0], begin)
@@ -413,10 +430,11 @@
                 label="burst and integral of the rate",
             )
             axis.step(times, used, where="post", color="tab:blue", label="units that ran")
-            for change in {change.since: change for change in moves[firm.key]}.values():  # at one instant the later
+            # Of two changes at one instant, the later one counts.
+            for change in {change.since: change for change in moves[firm.key]}.values():
                 axis.axvline(change.since - begin, color="grey", linewidth=0.8, linestyle=":")
                 axis.annotate(change.plan, (change.since - begin, 0), rotation=90, fontsize=8, va="bottom")
-            axis.set_title(f"firm {format_firm(firm.key)}, began on {firm.plan}", fontsize=10)
+            axis.set_title(f"firm {format_firm(firm.key)}, initially on {firm.plan}", fontsize=10)
             axis.set_ylabel("units")
             axis.legend(loc="upper left", fontsize=8)
         for axis in axes[-1]:
@@ -427,10 +445,11 @@
         pyplot.close(figure)
 
     def close(self) -> None:
-        for one in self.ingresses:
-            if one.process is not None and one.process.poll() is None:
-                one.process.kill()
-                one.process.wait()
+        """Kills the daemons that still run and closes all sockets."""
+        for ingress in self.ingresses:
+            if ingress.process is not None and ingress.process.poll() is None:
+                ingress.process.kill()
+                ingress.process.wait()
         self.load.close()
         for listener in (
             self.discovery.listener,
@@ -442,48 +461,57 @@
         self.loop.close()
 
 
-def free_ports(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
+    """Returns that many loopback ports that were free a moment ago."""
     import socket
 
-    socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [sock.getsockname()[1] for sock in socks]
-    for sock in socks:
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
         sock.close()
     return ports
 
 
-def trial(
-    seconds: float, exact: bool = True, seed: int = 7, every: float = 30.0, quiet: bool = False, plot: str = ""
+def run_trial(
+    seconds: float,
+    has_leases: bool = True,
+    seed: int = 7,
+    change_interval_s: float = 30.0,
+    quiet: bool = False,
+    plot: str = "",
 ) -> dict[str, Any]:
-    """One run; the report that is also printed. The folder is kept where something did not match."""
-    made = Trial(seconds, exact, seed, every, plot)
+    """Runs one trial and returns the report; the folder is kept if a check failed."""
+    trial = Trial(seconds, has_leases, seed, change_interval_s, plot)
     try:
         with Progress(console=Console(stderr=True), disable=quiet) as progress:
-            report = made.run(progress)
+            report = trial.run(progress)
     finally:
-        made.close()
+        trial.close()
     if report["faults"]:
-        report["folder"] = str(made.folder)
+        report["folder"] = str(trial.folder)
     else:
-        shutil.rmtree(made.folder, ignore_errors=True)
+        shutil.rmtree(trial.folder, ignore_errors=True)
     return report
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--minutes", type=float, default=0.0)
-    words.add_argument("--seconds", type=float, default=0.0)
-    words.add_argument("--estimate", action="store_true", help="without leases: the platform's estimating counter")
-    words.add_argument("--seed", type=int, default=7)
-    words.add_argument("--out", default="", help="also write the report as JSON to this file")
-    words.add_argument("--plot", default="", help="a picture of use against allowance, as PNG")
-    told = words.parse_args()
-    seconds = told.minutes * 60 + told.seconds or 20.0
-    report = trial(seconds, not told.estimate, told.seed, 30.0 if seconds >= 120 else 3.0, plot=told.plot)
+    """Runs the command line and returns the exit code."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--minutes", type=float, default=0.0)
+    parser.add_argument("--seconds", type=float, default=0.0)
+    parser.add_argument(
+        "--estimate", action="store_true", help="disable leases, so that the counter is used by estimates"
+    )
+    parser.add_argument("--seed", type=int, default=7)
+    parser.add_argument("--out", default="", help="file to which the report is also written as JSON")
+    parser.add_argument("--plot", default="", help="PNG file for a plot of use against allowance")
+    options = parser.parse_args()
+    seconds = options.minutes * 60 + options.seconds or 20.0
+    report = run_trial(seconds, not options.estimate, options.seed, 30.0 if seconds >= 120 else 3.0, plot=options.plot)
     text = json.dumps(report, indent=1)
     print(text)
-    if told.out:
-        Path(told.out).write_text(text + "\n")
+    if options.out:
+        Path(options.out).write_text(text + "\n")
     return 1 if report["faults"] else 0
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -29,7 +29,7 @@
 import structlog
 
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import ROOT, free_ports
+from benchmarks.plan_changes import ROOT, find_free_ports
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import READ, Loop
 from brackenpulley.serve import wall_clock
@@ -151,7 +151,7 @@
     servers = [SimServer(loop, f"s-{n}", random.Random(n)) for n in range(SERVERS)]
     discovery = Discovery(loop, [*servers])
     with tempfile.TemporaryDirectory(prefix="bracken-relay-") as name:
-        ports = free_ports(2)
+        ports = find_free_ports(2)
         daemon = Process(Path(name), "daemon", ports[0], discovery.listener.text, "127.0.0.1:1", "")
         relay = subprocess.Popen(
             [sys.executable, "-m", "benchmarks.relay", "--bare", str(ports[1]), "--to", str(servers[0].listener.at[1])],
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from benchmarks.plan_changes import free_ports
+from benchmarks.plan_changes import find_free_ports
 from brackenpulley.address import ConfigError
 from brackenpulley.consensus.machine import Command, encode
 from brackenpulley.operator import decode, load
@@ -58,7 +58,7 @@
     keys = tmp_path / "keys"
     keys.write_text(base64.b64encode(b"w" * 32).decode())
     keys.chmod(0o600)
-    own, other = free_ports(2)
+    own, other = find_free_ports(2)
     at = f"127.0.0.1:{own}"
     consensus: dict[str, Any] = {"voters": {"n0": at} if voter else {"elsewhere": f"127.0.0.1:{other}"}}
     if voter:
--- a/tests/test_plan_trial.py
+++ b/tests/test_plan_trial.py
@@ -6,11 +6,11 @@
 import subprocess
 import sys
 
-from benchmarks.plan_changes import trial
+from benchmarks.plan_changes import run_trial
 
 
 def test_three_daemons_count_and_export_exactly_the_units_that_ran_while_plans_change() -> None:
-    report = trial(16.0, seed=11, every=3.0, quiet=True)
+    report = run_trial(16.0, seed=11, change_interval_s=3.0, quiet=True)
     assert report["faults"] == [] and report["mostExcess"] <= 0.02
     assert report["ranUnits"] == report["countedUnits"] == report["exportedUnits"] > 500
     assert report["changes"] >= 6 and report["eventsTwice"] > 0 and set(report["killed"]) == {"n1"}
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import free_ports
+from benchmarks.plan_changes import find_free_ports
 from brackenpulley.core.exchange import RelayResult
 from brackenpulley.core.ingress import Ingress
 from brackenpulley.core.message import Message
@@ -256,7 +256,9 @@
     )
 
     def start_process() -> Process:
-        return Process(tmp_path, "n0", free_ports(1)[0], discovery.listener.text, counter.listener.text, operator_text)
+        return Process(
+            tmp_path, "n0", find_free_ports(1)[0], discovery.listener.text, counter.listener.text, operator_text
+        )
 
     def run_until(done: Any) -> None:
         end = time.monotonic() + 20
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -14,7 +14,7 @@
 import structlog
 
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import free_ports
+from benchmarks.plan_changes import find_free_ports
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.serve import wall_clock
@@ -29,7 +29,7 @@
     loop = Loop(wall_clock(), Metrics(), structlog.get_logger())
     servers = [SimServer(loop, f"s-{n}", random.Random(seed + n), mean) for n in range(4)]
     discovery, counter = Discovery(loop, servers), Counter(loop)
-    port = free_ports(1)[0]
+    port = find_free_ports(1)[0]
     daemon = Process(tmp_path, "n0", port, discovery.listener.text, counter.listener.text, "")
     firm = Firm(1, "county", 0.0, 1, 0)
     load = Load(loop, [("127.0.0.1", port)], [firm], random.Random(seed))
