--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -515,11 +515,11 @@
             alone, beside = Shorts(trial, at, 50), Shorts(trial, at, 50)
             trial.turn(max(2.0, seconds / 6), alone)
             trial.turn(0.5)
-            idle, peak = daemon.resident_kb(), [0]
+            idle, peak = daemon.read_resident_kb(), [0]
 
             def watched() -> None:
                 beside()
-                peak[0] = max(peak[0], daemon.resident_kb()) if len(beside.times) % 5 == 0 else peak[0]
+                peak[0] = max(peak[0], daemon.read_resident_kb()) if len(beside.times) % 5 == 0 else peak[0]
 
             trial.mix(at, seconds, seed, watched)
             mixed = dict(trial.words)
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -1,10 +1,11 @@
-"""What the ledger costs: CPU a message with it on against off in one run; recovery, verify and export by size.
+"""Measures the cost of the ledger: CPU per message with and without it; recovery, verification and export by size.
 
     python -m benchmarks.ledger_cost                 both parts
     python -m benchmarks.ledger_cost --entries 1000000 --seconds 20
 
-Both daemons run at once beside the same stand-ins and take turns at the load, so that a noisy machine is noisy for
-both. Exits 1 where a bound is passed."""
+Both daemons run at the same time with the same stand-in services and get the load in turns, so that noise of the
+machine affects both alike. Exits with 1 if a limit is exceeded.
+"""
 
 from __future__ import annotations
 
@@ -35,12 +36,14 @@
 from brackenpulley.standins.servers import Counter, Discovery, SimServer
 from brackenpulley.standins.settings import settings
 
-MOST_RATIO, MOST_RECOVERY, LEAST_RATE = 1.10, 5.0, 20_000.0
-TICK = os.sysconf("SC_CLK_TCK")
+MAX_COST_RATIO = 1.10  # CPU per message with the ledger to that without
+MAX_RECOVERY_S = 5.0
+MIN_ENTRIES_PER_SECOND = 20_000.0  # of verification and export
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Process:
-    """A daemon of its own."""
+    """A single daemon as a child process, with its configuration and log in a folder."""
 
     def __init__(
         self,
@@ -53,10 +56,10 @@
         limits: dict[str, int] | None = None,
         console: str = "",
     ) -> None:
-        self.at = ("127.0.0.1", port)
+        self.address = ("127.0.0.1", port)
         raw = settings(1)
         for plan in raw["TiersOfService"]:
-            plan.update(QuotaRate=1e6, Burst=1e6)  # the cost is asked for, not the quota
+            plan.update(QuotaRate=1e6, Burst=1e6)  # quotas must not limit the load
         config = {
             "name": name,
             "listen": f"127.0.0.1:{port}",
@@ -85,43 +88,44 @@
                 stderr=log,
             )
 
-    def cpu(self) -> float:
-        """Seconds so far, user and system."""
+    def read_cpu_seconds(self) -> float:
+        """Returns the CPU time in seconds that the daemon has used so far, user and system."""
         text = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(text[11]) + int(text[12])) / TICK
+        return (int(text[11]) + int(text[12])) / CLOCK_TICKS_PER_S
 
-    def resident_kb(self) -> int:
+    def read_resident_kb(self) -> int:
+        """Returns the resident memory in KB."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return next(int(line.split()[1]) for line in text.splitlines() if line.startswith("VmRSS"))
 
 
-def cost(seconds: float, rate: float, progress: Progress) -> dict[str, Any]:
-    """CPU a message at this load, `seconds` s for each of the two, in turns of a second."""
+def measure_message_cost(seconds: float, rate: float, progress: Progress) -> dict[str, Any]:
+    """Measures CPU time per message at a load, `seconds` seconds each with and without ledger, in turns of a second."""
     clock = wall_clock()
     loop = Loop(clock, Metrics(), structlog.get_logger())
     servers = [SimServer(loop, f"s-{n}", random.Random(n), 0.002) for n in range(4)]
     discovery, counter, billing = Discovery(loop, servers), Counter(loop), Billing(loop)
     with tempfile.TemporaryDirectory(prefix="bracken-cost-") as name:
         folder, ports = Path(name), find_free_ports(2)
-        told = (
+        operator_text = (
             f'[ledger]\npath = "{folder}/ledger"\nperiod_s = 5.0\ngrace_s = 0.5\n[ledger.export]\n'
             f'url = "http://{billing.listener.text}/use"\n'
         )
         daemons = [
             Process(folder, "off", ports[0], discovery.listener.text, counter.listener.text, ""),
-            Process(folder, "on", ports[1], discovery.listener.text, counter.listener.text, told),
+            Process(folder, "on", ports[1], discovery.listener.text, counter.listener.text, operator_text),
         ]
         firms = [Firm(n + 1, "county", rate / 20, 1, 0) for n in range(20)]
-        loads = [Load(loop, [d.at], firms, random.Random(5)) for d in daemons]
+        loads = [Load(loop, [daemon.address], firms, random.Random(5)) for daemon in daemons]
         end = time.monotonic() + 5.0
         while time.monotonic() < end:
             loop.run_once(0.05)
-        used, taken, memory = [0.0, 0.0], [0, 0], [d.resident_kb() for d in daemons]
-        task = progress.add_task(f"{rate:g} messages a second", total=2 * seconds)
+        cpu_seconds, message_counts, memory = [0.0, 0.0], [0, 0], [daemon.read_resident_kb() for daemon in daemons]
+        task = progress.add_task(f"{rate:g} messages per second", total=2 * seconds)
         for turn in range(int(2 * seconds)):
-            which = turn % 2
-            load, daemon = loads[which], daemons[which]
-            before, count = daemon.cpu(), len(load.tries)
+            index = turn % 2
+            load, daemon = loads[index], daemons[index]
+            cpu_before, count_before = daemon.read_cpu_seconds(), len(load.tries)
             load.start()
             end = time.monotonic() + 1.0
             while time.monotonic() < end:
@@ -129,12 +133,12 @@
             load.stop()
             while load.out:
                 loop.run_once(0.01)
-            if turn >= 2:  # the first turn of each warms up
-                used[which] += daemon.cpu() - before
-                taken[which] += len(load.tries) - count
+            if turn >= 2:  # the first turn of each is a warm-up
+                cpu_seconds[index] += daemon.read_cpu_seconds() - cpu_before
+                message_counts[index] += len(load.tries) - count_before
             progress.update(task, advance=1)
-        grown = [d.resident_kb() - kb for d, kb in zip(daemons, memory, strict=True)]
-        served = [sum(one.status == 200 for one in load.tries) for load in loads]
+        memory_growth = [daemon.read_resident_kb() - kb for daemon, kb in zip(daemons, memory, strict=True)]
+        served = [sum(message.status == 200 for message in load.tries) for load in loads]
         for daemon in daemons:
             daemon.process.terminate()
         while any(daemon.process.poll() is None for daemon in daemons):
@@ -144,31 +148,31 @@
         for listener in (discovery.listener, counter.listener, billing.listener, *(s.listener for s in servers)):
             listener.stop()
         loop.close()
-    off, on = (used[n] / taken[n] * 1e6 for n in (0, 1))
+    off_us, on_us = (cpu_seconds[n] / message_counts[n] * 1e6 for n in (0, 1))
     return {
         "rate": rate,
-        "messages": taken,
+        "messages": message_counts,
         "served": served,
-        "offUs": round(off, 1),
-        "onUs": round(on, 1),
-        "ratio": round(on / off, 3),
-        "grownKb": grown,
+        "offUs": round(off_us, 1),
+        "onUs": round(on_us, 1),
+        "ratio": round(on_us / off_us, 3),
+        "grownKb": memory_growth,
         "events": len(billing.events),
     }
 
 
-def sizes(entries: int, progress: Progress) -> dict[str, Any]:
-    """Recovery, verify and export of a ledger of so many entries; a tenth of them as well, to see how it grows."""
-    found: dict[str, Any] = {}
+def measure_sizes(entries: int, progress: Progress) -> dict[str, Any]:
+    """Measures recovery, verification and export of ledgers of that many entries and of a tenth, to show the growth."""
+    results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="bracken-size-") as name:
         for count in (entries // 10, entries):
             folder = f"{name}/{count}"
-            fill(folder, count, progress)
-            began = time.perf_counter()
+            fill_ledger(folder, count, progress)
+            started_at = time.perf_counter()
             store = Store(folder, "n0", 4 << 30)
             heads, _, _, _ = store.begin()
-            recovery = time.perf_counter() - began
-            began = time.perf_counter()
+            recovery = time.perf_counter() - started_at
+            started_at = time.perf_counter()
             task = progress.add_task("verify", total=count)
             faults = []
             for fault, seen in store.verify():
@@ -176,15 +180,15 @@
                     faults.append(fault)
                 if seen % 5000 == 0:
                     progress.update(task, completed=seen)
-            verify = time.perf_counter() - began
+            verify = time.perf_counter() - started_at
             rates = {}
             for kind in ("jsonl", "csv"):
                 task = progress.add_task(kind, total=count)
-                began = time.perf_counter()
-                for done in files.export(store, f"{name}/{count}.{kind}", kind):
-                    progress.update(task, completed=done)
-                rates[kind] = round(count / (time.perf_counter() - began))
-            found[str(count)] = {
+                started_at = time.perf_counter()
+                for exported_count in files.export(store, f"{name}/{count}.{kind}", kind):
+                    progress.update(task, completed=exported_count)
+                rates[kind] = round(count / (time.perf_counter() - started_at))
+            results[str(count)] = {
                 "recoverySeconds": round(recovery, 4),
                 "verifyPerSecond": round(count / verify),
                 "faults": faults,
@@ -192,56 +196,62 @@
                 **{f"{kind}PerSecond": rate for kind, rate in rates.items()},
             }
             store.end()
-    return found
+    return results
 
 
-def fill(folder: str, count: int, progress: Progress) -> None:
+def fill_ledger(folder: str, count: int, progress: Progress) -> None:
+    """Writes a ledger with that many entries."""
     store = Store(folder, "n0", 4 << 30)
     heads, _, _, _ = store.begin()
     tally = Tally(heads, 60_000, 0, 1 << 40)
     task = progress.add_task(f"{count} entries", total=count)
     while heads.next_seq <= count:
-        first, most = heads.next_seq, min(20_000, count - heads.next_seq + 1)
-        made = []
-        for seq in range(first, first + most):
+        first_seq, batch_size = heads.next_seq, min(20_000, count - heads.next_seq + 1)
+        entries = []
+        for seq in range(first_seq, first_seq + batch_size):
             key = Key("use", seq // 500 * 60_000, (seq // 500 + 1) * 60_000, seq % 500, "school", seq // 100_000)
-            made.append(Entry(seq, f"n0/{heads.epoch}/{seq}", key, 1_500_000, 1))
-        heads.next_seq += most
-        heads.counted += most * 1_500_000
-        heads.tries += most
-        store.fold(tally.heads, {}, made, [])
-        progress.update(task, advance=most)
+            entries.append(Entry(seq, f"n0/{heads.epoch}/{seq}", key, 1_500_000, 1))
+        heads.next_seq += batch_size
+        heads.counted += batch_size * 1_500_000
+        heads.tries += batch_size
+        store.fold(tally.heads, {}, entries, [])
+        progress.update(task, advance=batch_size)
     store.end()
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--entries", type=int, default=1_000_000)
-    words.add_argument("--seconds", type=float, default=15.0)
-    words.add_argument("--rates", default="60,300,900")
-    words.add_argument("--out", default="")
-    told = words.parse_args()
+    """Runs the command line and returns the exit code."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--entries", type=int, default=1_000_000)
+    parser.add_argument("--seconds", type=float, default=15.0)
+    parser.add_argument("--rates", default="60,300,900")
+    parser.add_argument("--out", default="")
+    options = parser.parse_args()
     with Progress(console=Console(stderr=True)) as progress:
-        rates = [float(rate) for rate in told.rates.split(",") if rate]
+        rates = [float(rate) for rate in options.rates.split(",") if rate]
         report: dict[str, Any] = {
-            "cost": [cost(told.seconds, rate, progress) for rate in rates],
-            "sizes": sizes(told.entries, progress) if told.entries else {},
+            "cost": [measure_message_cost(options.seconds, rate, progress) for rate in rates],
+            "sizes": measure_sizes(options.entries, progress) if options.entries else {},
         }
     text = json.dumps(report, indent=1)
     print(text)
-    if told.out:
-        Path(told.out).write_text(text + "\n")
-    slow = [f"{one['rate']:g} a second: ratio {one['ratio']}" for one in report["cost"] if one["ratio"] > MOST_RATIO]
-    for count, one in report["sizes"].items():
+    if options.out:
+        Path(options.out).write_text(text + "\n")
+    failures = [
+        f"{row['rate']:g} messages per second: ratio {row['ratio']}"
+        for row in report["cost"]
+        if row["ratio"] > MAX_COST_RATIO
+    ]
+    for count, row in report["sizes"].items():
         if (
-            one["recoverySeconds"] > MOST_RECOVERY
-            or one["faults"]
-            or min(one["verifyPerSecond"], one["jsonlPerSecond"], one["csvPerSecond"]) < LEAST_RATE
+            row["recoverySeconds"] > MAX_RECOVERY_S
+            or row["faults"]
+            or min(row["verifyPerSecond"], row["jsonlPerSecond"], row["csvPerSecond"]) < MIN_ENTRIES_PER_SECOND
         ):
-            slow.append(f"{count} entries: {one}")
-    for line in slow:
+            failures.append(f"{count} entries: {row}")
+    for line in failures:
         print(line, file=sys.stderr)
-    return 1 if slow else 0
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
