--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -1,11 +1,12 @@
-"""Long bodies through one daemon: whole, told as cut off, refused, wrong or lost; memory, CPU, short messages beside.
+"""Sends long bodies through one daemon and checks their outcomes, memory, CPU and the latency of short messages.
 
     python -m benchmarks.bodies --seconds 60 [--memory-mb 80] [--seed 1]
 
-Clients ask for bodies of 1 KB to 32 MB and send such, fast, at 64 kB/s, in pieces, breaking off, or never reading; sim
-servers do the same on their side. Both ends compare digests. Then the same bodies go through the daemon and through a
-bare relay in turns, for the CPU of a megabyte, and short messages beside them are timed against short ones alone. Exits
-1 where a body is wrong or lost, or where memory passes its bound."""
+Clients request and send bodies of 1 KB to 32 MB: fast, at 64 kB/s, in small pieces, with an abort, or without reading;
+sim servers do the same. Both ends compare digests. Then the daemon and a bare relay transfer the same bodies in turns,
+which gives the CPU time per megabyte. Short messages are timed alone and beside the bodies. Exits with 1 if a body is
+wrong or lost, or if memory exceeds its limit.
+"""
 
 from __future__ import annotations
 
@@ -39,30 +40,34 @@
 from brackenpulley.standins.servers import Discovery, SimServer
 from brackenpulley.standins.wire import Line
 
-PIECE, SLOW, TICK = 65536, 64_000, 0.1  # bytes at once; bytes a second; s between pieces of a slow one
-SIZES = [1 << 10, 30 << 10, 65 << 10, 300 << 10, 1 << 20, 4 << 20, 32 << 20]
+PIECE_BYTES = 65536
+SLOW_BYTES_PER_SECOND = 64_000
+SLOW_INTERVAL_S = 0.1  # between two pieces of a slow transfer
+SIZES_BYTES = [1 << 10, 30 << 10, 65 << 10, 300 << 10, 1 << 20, 4 << 20, 32 << 20]
 WEIGHTS = [20, 10, 10, 10, 8, 6, 1]
-FORMS, CLIENTS, SERVERS, PATIENCE = ("length", "chunked", "close"), 40, 4, 20.0
-MOST_MB = 24.0  # resident, over the idle daemon
+# An exchange may take EXCHANGE_TIMEOUT_S plus the time of both bodies at the slow rate.
+FRAMINGS, CLIENT_COUNT, SERVER_COUNT, EXCHANGE_TIMEOUT_S = ("length", "chunked", "close"), 40, 4, 20.0
+MAX_MEMORY_MB = 24.0  # resident, above the idle daemon
 NOISE = random.Random(7).randbytes(1 << 20)
 
 
-def piece(at: int, size: int, seed: int) -> bytes:
-    """Bytes of the endless body `seed`, from `at` on."""
-    start = (at + seed * 4099) % len(NOISE)
+def make_piece(offset: int, size: int, seed: int) -> bytes:
+    """Returns a part of the endless pseudo-random body that `seed` selects."""
+    start = (offset + seed * 4099) % len(NOISE)
     return NOISE[start : start + size] + NOISE[: max(0, start + size - len(NOISE))]
 
 
-def digest(size: int, seed: int) -> str:
-    made = xxhash.xxh3_64()
-    for at in range(0, size, PIECE):
-        made.update(piece(at, min(PIECE, size - at), seed))
-    return made.hexdigest()
+def compute_digest(size: int, seed: int) -> str:
+    """Returns the digest of the first `size` bytes of a body."""
+    digest = xxhash.xxh3_64()
+    for offset in range(0, size, PIECE_BYTES):
+        digest.update(make_piece(offset, min(PIECE_BYTES, size - offset), seed))
+    return digest.hexdigest()
 
 
 @dataclass
 class Plan:
-    """One exchange: what goes up and what comes down, and how either side behaves."""
+    """One exchange: the sizes of the request and response bodies, and how either side behaves."""
 
     up: int
     down: int
@@ -70,20 +75,21 @@
     up_form: str = "length"
     down_form: str = "length"
     up_pace: str = "fast"  # fast, slow, pieces
-    down_pace: str = "fast"  # of the server's writing
-    take: str = "fast"  # fast, slow, never
-    up_cut: int = -1  # the client breaks off there
-    down_cut: int = -1  # the server does
+    down_pace: str = "fast"  # at which the server writes
+    take: str = "fast"  # how the client reads: fast, slow, never
+    up_cut: int = -1  # offset at which the client aborts, or -1
+    down_cut: int = -1  # offset at which the server aborts, or -1
 
     def query(self) -> str:
+        """Returns the query string that tells the sim server how to answer and which digest to expect."""
         return (
             f"size={self.down}&seed={self.seed}&form={self.down_form}&pace={self.down_pace}&cut={self.down_cut}"
-            f"&up={digest(self.up, self.seed + 1) if self.up_cut < 0 and self.up else ''}"
+            f"&up={compute_digest(self.up, self.seed + 1) if self.up_cut < 0 and self.up else ''}"
         )
 
 
 class Writer:
-    """Writes a body to a line at a pace, and breaks off where it is told to."""
+    """Writes a body at a pace and stops at the offset `cut`, if that is not negative."""
 
     def __init__(
         self,
@@ -98,33 +104,38 @@
         end: Callable[[bool], None],
     ) -> None:
         self.loop, self.send, self.drained, self.size, self.seed = loop, send, drained, size, seed
-        self.form, self.pace, self.cut, self.end, self.at = form, pace, cut, end, 0
+        self.form, self.pace, self.cut, self.end, self.offset = form, pace, cut, end, 0
         self.rng = random.Random(seed)
 
-    def go(self) -> None:
-        many = {"fast": PIECE, "slow": int(SLOW * TICK), "pieces": self.rng.choice((1, 7, 1000, 30_000))}[self.pace]
-        if self.at >= self.size:
+    def write_next(self) -> None:
+        """Writes the next piece, or reports the end: True if complete, False if cut off."""
+        piece_bytes = {
+            "fast": PIECE_BYTES,
+            "slow": int(SLOW_BYTES_PER_SECOND * SLOW_INTERVAL_S),
+            "pieces": self.rng.choice((1, 7, 1000, 30_000)),
+        }[self.pace]
+        if self.offset >= self.size:
             if self.form == "chunked":
                 self.send(b"0\r\n\r\n")
             self.end(True)
             return
-        if 0 <= self.cut <= self.at:
+        if 0 <= self.cut <= self.offset:
             self.end(False)
             return
-        part = piece(self.at, min(many, self.size - self.at), self.seed)
-        self.at += len(part)
-        self.drained(self._again)
+        part = make_piece(self.offset, min(piece_bytes, self.size - self.offset), self.seed)
+        self.offset += len(part)
+        self.drained(self._on_drained)
         self.send(b"%x\r\n%s\r\n" % (len(part), part) if self.form == "chunked" else part)
 
-    def _again(self) -> None:
+    def _on_drained(self) -> None:
         if self.pace == "fast":
-            self.go()
+            self.write_next()
         else:
-            self.loop.call_in(TICK if self.pace == "slow" else self.rng.random() * 0.01, self.go)
+            self.loop.call_in(SLOW_INTERVAL_S if self.pace == "slow" else self.rng.random() * 0.01, self.write_next)
 
 
-class Sim(SimServer):
-    """A sim server that answers with the body the path asks for, once what came has the digest the path names."""
+class BodyServer(SimServer):
+    """Sim server that checks the digest of the request body and answers with the body described by the query."""
 
     def __init__(self, loop: Loop, name: str, wrong: Counter[str]) -> None:
         super().__init__(loop, name, random.Random(1))
@@ -136,24 +147,26 @@
         if stream is None:
             self._answer(line, payload, xxhash.xxh3_64(payload.body).hexdigest() if payload.body else "")
             return
-        seen = xxhash.xxh3_64()
+        received = xxhash.xxh3_64()
 
-        def more() -> None:
+        def read_available() -> None:
             for part in stream.take(1 << 30):
-                seen.update(part)
+                received.update(part)
             if stream.is_complete:
                 stream.drop()
-                self._answer(line, payload, seen.hexdigest())
+                self._answer(line, payload, received.hexdigest())
 
         stream.begin()
-        stream.on_change = more
-        more()
-
-    def _answer(self, line: Line, payload: Payload, seen: str) -> None:
-        told = {k: v[0] for k, v in parse_qs(payload.target.decode().partition("?")[2], keep_blank_values=True).items()}
-        if told["up"] and told["up"] != seen:
-            self.wrong["a server got a wrong body"] += 1
-        size, form = int(told["size"]), told["form"]
+        stream.on_change = read_available
+        read_available()
+
+    def _answer(self, line: Line, payload: Payload, received: str) -> None:
+        query = {
+            k: v[0] for k, v in parse_qs(payload.target.decode().partition("?")[2], keep_blank_values=True).items()
+        }
+        if query["up"] and query["up"] != received:
+            self.wrong["a server received a wrong body"] += 1
+        size, form = int(query["size"]), query["form"]
         head = {
             "length": f"Content-Length: {size}\r\n",
             "chunked": "Transfer-Encoding: chunked\r\n",
@@ -173,34 +186,34 @@
             line.send,
             lambda call: setattr(line, "drained", call),
             size,
-            int(told["seed"]),
+            int(query["seed"]),
             form,
-            told["pace"],
-            int(told["cut"]),
+            query["pace"],
+            int(query["cut"]),
             end,
-        ).go()
+        ).write_next()
 
 
-class Asker:
-    """One client with one plan: what became of it is one word."""
+class Client:
+    """Client that carries out one plan on a connection of its own and reports its outcome as one word."""
 
     def __init__(
-        self, loop: Loop, at: tuple[str, int], plan: Plan, ident: int, done: Callable[[Asker, str], None]
+        self, loop: Loop, address: tuple[str, int], plan: Plan, message_id: int, done: Callable[[Client, str], None]
     ) -> None:
-        self.loop, self.plan, self.done, self.began = loop, plan, done, loop.clock()
-        self.sock = socket.create_connection(at)
+        self.loop, self.plan, self.done, self.started_at = loop, plan, done, loop.clock()
+        self.sock = socket.create_connection(address)
         self.sock.setblocking(False)
-        self.out: deque[bytes] = deque()
+        self.pending: deque[bytes] = deque()
         self.drained: Callable[[], None] | None = None
-        self.seen, self.head, self.size, self.left = xxhash.xxh3_64(), b"", 0, -1
-        self.data, self.chunked, self.ended, self.first = b"", False, False, 0.0
-        self.taking = plan.take != "never"
+        self.digest, self.head, self.size, self.remaining = xxhash.xxh3_64(), b"", 0, -1
+        self.buffer, self.is_chunked, self.has_ended, self.first_byte_s = b"", False, False, 0.0
+        self.is_reading = plan.take != "never"
         loop.register(self.sock, READ, self._event)
         framing = f"Content-Length: {plan.up}\r\n" if plan.up_form == "length" else "Transfer-Encoding: chunked\r\n"
         self.send(
             (
-                f"{'POST' if plan.up else 'GET'} /{'submit-result' if plan.up else 'load-sim'}/{ident:016x}"
-                f"?{plan.query()} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {ident:016x}\r\nX-Tariff: county\r\n"
+                f"{'POST' if plan.up else 'GET'} /{'submit-result' if plan.up else 'load-sim'}/{message_id:016x}"
+                f"?{plan.query()} HTTP/1.1\r\nHost: sims\r\nX-Request-ID: {message_id:016x}\r\nX-Tariff: county\r\n"
                 f"X-Timeout: 7000m\r\n{framing if plan.up else ''}\r\n"
             ).encode()
         )
@@ -214,277 +227,292 @@
                 plan.up_form,
                 plan.up_pace,
                 plan.up_cut,
-                lambda whole: None if whole else self._end("left"),
-            ).go()
-        self.timer = loop.call_in(PATIENCE + (plan.up + plan.down) / SLOW, lambda: self._end("lost"))
-        if not self.taking:
-            loop.call_in(3.0, lambda: self._end("left"))
+                lambda whole: None if whole else self._finish("left"),
+            ).write_next()
+        self.timer = loop.call_in(
+            EXCHANGE_TIMEOUT_S + (plan.up + plan.down) / SLOW_BYTES_PER_SECOND, lambda: self._finish("lost")
+        )
+        if not self.is_reading:
+            loop.call_in(3.0, lambda: self._finish("left"))
 
     def send(self, data: bytes) -> None:
-        if self.ended:
+        """Queues data and writes as much as the socket takes; calls `drained` once all is written."""
+        if self.has_ended:
             return
         if data:
-            self.out.append(data)
+            self.pending.append(data)
         try:
-            while self.out:
-                sent = self.sock.send(self.out[0])
-                if sent < len(self.out[0]):
-                    self.out[0] = self.out[0][sent:]
+            while self.pending:
+                sent = self.sock.send(self.pending[0])
+                if sent < len(self.pending[0]):
+                    self.pending[0] = self.pending[0][sent:]
                 else:
-                    self.out.popleft()
+                    self.pending.popleft()
         except BlockingIOError:
             pass
         except OSError:
-            self.out.clear()  # the answer tells why
+            self.pending.clear()  # the response has the reason
             self.drained = None
-        self._want()
-        if not self.out and self.drained is not None:
+        self._update_interest()
+        if not self.pending and self.drained is not None:
             call, self.drained = self.drained, None
-            self.loop.call_soon(lambda: None if self.ended else call())
+            self.loop.call_soon(lambda: None if self.has_ended else call())
 
-    def _want(self) -> None:
-        if not self.ended:
-            self.loop.set_interest(self.sock, (READ if self.taking else 0) | (WRITE if self.out else 0), self._event)
+    def _update_interest(self) -> None:
+        if not self.has_ended:
+            self.loop.set_interest(
+                self.sock, (READ if self.is_reading else 0) | (WRITE if self.pending else 0), self._event
+            )
 
     def _event(self, events: int) -> None:
         if events & WRITE:
             self.send(b"")
-        if not events & READ or self.ended:
+        if not events & READ or self.has_ended:
             return
         try:
-            data = self.sock.recv(int(SLOW * TICK) if self.plan.take == "slow" else PIECE * 4)
+            data = self.sock.recv(
+                int(SLOW_BYTES_PER_SECOND * SLOW_INTERVAL_S) if self.plan.take == "slow" else PIECE_BYTES * 4
+            )
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if self.plan.take == "slow" and data:
-            self.taking = False
-            self.loop.call_in(TICK, self._take)
-        self._fed(data)
+            self.is_reading = False
+            self.loop.call_in(SLOW_INTERVAL_S, self._resume_reading)
+        self._receive(data)
 
-    def _take(self) -> None:
-        self.taking = True
-        self._want()
+    def _resume_reading(self) -> None:
+        self.is_reading = True
+        self._update_interest()
 
-    def _fed(self, data: bytes) -> None:
-        self.data += data
+    def _receive(self, data: bytes) -> None:
+        self.buffer += data
         if not self.head:
-            head, end, rest = self.data.partition(b"\r\n\r\n")
+            head, end, rest = self.buffer.partition(b"\r\n\r\n")
             if not end:
-                return self._end("lost" if self.plan.up_cut < 0 else "left") if not data else self._want()
-            self.head, self.data, self.first = head, rest, self.loop.clock() - self.began
+                return self._finish("lost" if self.plan.up_cut < 0 else "left") if not data else self._update_interest()
+            self.head, self.buffer, self.first_byte_s = head, rest, self.loop.clock() - self.started_at
             fields = dict(row.lower().split(b": ", 1) for row in head.split(b"\r\n")[1:])
-            self.chunked = b"transfer-encoding" in fields
-            self.left = int(fields.get(b"content-length", b"-1"))
+            self.is_chunked = b"transfer-encoding" in fields
+            self.remaining = int(fields.get(b"content-length", b"-1"))
             if not self.head.startswith(b"HTTP/1.1 200"):
                 status = self.head[9:12].decode()
-                return self._end("refused" if status in ("429", "503") else f"failed {status}")
-        if self.chunked:
-            whole = self._chunks()
+                return self._finish("refused" if status in ("429", "503") else f"failed {status}")
+        if self.is_chunked:
+            whole = self._decode_chunks()
         else:
-            self.seen.update(self.data)
-            self.size, self.data = self.size + len(self.data), b""
-            whole = self.size == self.left
+            self.digest.update(self.buffer)
+            self.size, self.buffer = self.size + len(self.buffer), b""
+            whole = self.size == self.remaining
         if whole:
-            good = self.size == self.plan.down and self.seen.hexdigest() == digest(self.plan.down, self.plan.seed)
-            self._end("whole" if good else "wrong")
+            is_intact = self.size == self.plan.down and self.digest.hexdigest() == compute_digest(
+                self.plan.down, self.plan.seed
+            )
+            self._finish("whole" if is_intact else "wrong")
         elif not data:
-            self._end("told as cut off" if self.plan.down_cut >= 0 else "cut off for nothing")
+            self._finish("told as cut off" if self.plan.down_cut >= 0 else "cut off for nothing")
         else:
-            self._want()
+            self._update_interest()
 
-    def _chunks(self) -> bool:
+    def _decode_chunks(self) -> bool:
         while True:
-            if self.left > 0:
-                part, self.data = self.data[: self.left], self.data[self.left :]
-                self.seen.update(part)
-                self.size, self.left = self.size + len(part), self.left - len(part)
-                if self.left:
+            if self.remaining > 0:
+                part, self.buffer = self.buffer[: self.remaining], self.buffer[self.remaining :]
+                self.digest.update(part)
+                self.size, self.remaining = self.size + len(part), self.remaining - len(part)
+                if self.remaining:
                     return False
-                self.left = -2  # its line's end comes
-            if self.left == -2:
-                if len(self.data) < 2:
+                self.remaining = -2  # the line end after the chunk is next
+            if self.remaining == -2:
+                if len(self.buffer) < 2:
                     return False
-                self.data, self.left = self.data[2:], -1
-            row, end, rest = self.data.partition(b"\r\n")
+                self.buffer, self.remaining = self.buffer[2:], -1
+            row, end, rest = self.buffer.partition(b"\r\n")
             if not end:
                 return False
-            self.data, self.left = rest, int(row, 16)
-            if not self.left:
+            self.buffer, self.remaining = rest, int(row, 16)
+            if not self.remaining:
                 return True
 
-    def _end(self, word: str) -> None:
-        if not self.ended:
-            self.ended = True
+    def _finish(self, outcome: str) -> None:
+        if not self.has_ended:
+            self.has_ended = True
             self.timer.cancel()
             self.loop.set_interest(self.sock, 0, self._event)
             self.sock.close()
-            self.done(self, word)
+            self.done(self, outcome)
 
 
-def drawn(rng: random.Random, seed: int) -> Plan:
-    """A plan of the mix; a slow one stays small enough to end."""
-    size = rng.choices(SIZES, WEIGHTS)[0]
+def draw_plan(rng: random.Random, seed: int) -> Plan:
+    """Draws a plan of the mix; slow ones are small enough to complete."""
+    size = rng.choices(SIZES_BYTES, WEIGHTS)[0]
     up = rng.random() < 0.4
-    plan = Plan(size if up else 0, 200 if up else size, seed, rng.choice(FORMS[:2]), rng.choice(FORMS))
-    odd = rng.random()
-    slow = min(size, 400_000)
-    if odd < 0.15:
-        plan.up, plan.down = (slow, 200) if up else (0, slow)
+    plan = Plan(size if up else 0, 200 if up else size, seed, rng.choice(FRAMINGS[:2]), rng.choice(FRAMINGS))
+    choice = rng.random()
+    slow_size = min(size, 400_000)
+    if choice < 0.15:
+        plan.up, plan.down = (slow_size, 200) if up else (0, slow_size)
         plan.up_pace = plan.down_pace = "slow"
-    elif odd < 0.3:
-        plan.up, plan.down = (slow, 200) if up else (0, slow)
+    elif choice < 0.3:
+        plan.up, plan.down = (slow_size, 200) if up else (0, slow_size)
         plan.take = "slow"
-    elif odd < 0.4:
+    elif choice < 0.4:
         plan.up, plan.down = (min(size, 60_000), 200) if up else (0, min(size, 60_000))
         plan.up_pace = plan.down_pace = "pieces"
-    elif odd < 0.5 and size > PIECE:
+    elif choice < 0.5 and size > PIECE_BYTES:
         plan.up_cut, plan.down_cut = (size // 2, -1) if up else (-1, size // 2)
-    elif odd < 0.55 and not up:
+    elif choice < 0.55 and not up:
         plan.take = "never"
     return plan
 
 
 @dataclass
 class Trial:
-    """A daemon, its sim servers and a mix of clients."""
+    """The stand-in services for one daemon and a mix of clients."""
 
     memory_mb: int
-    words: Counter[str] = field(default_factory=Counter)
+    outcomes: Counter[str] = field(default_factory=Counter)
     wrong: Counter[str] = field(default_factory=Counter)
-    ident: int = 0
+    last_id: int = 0
 
     def __post_init__(self) -> None:
         self.loop = Loop(wall_clock(), Metrics(), structlog.get_logger())
-        self.servers = [Sim(self.loop, f"s-{n}", self.wrong) for n in range(SERVERS)]
+        self.servers = [BodyServer(self.loop, f"s-{n}", self.wrong) for n in range(SERVER_COUNT)]
         self.discovery = Discovery(self.loop, [*self.servers])
 
-    def turn(self, seconds: float, each: Callable[[], None] = lambda: None) -> None:
+    def run_for(self, seconds: float, on_turn: Callable[[], None] = lambda: None) -> None:
+        """Runs the event loop for that long and calls `on_turn` after each turn."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.loop.run_once(0.01)
-            each()
+            on_turn()
 
-    def ask(self, at: tuple[str, int], plan: Plan, done: Callable[[Asker, str], None]) -> Asker:
-        self.ident += 1
-        return Asker(self.loop, at, plan, self.ident, done)
+    def send(self, address: tuple[str, int], plan: Plan, done: Callable[[Client, str], None]) -> Client:
+        """Starts a client; `done` gets its outcome."""
+        self.last_id += 1
+        return Client(self.loop, address, plan, self.last_id, done)
 
-    def mix(self, at: tuple[str, int], seconds: float, seed: int, short: Callable[[], None]) -> None:
-        """`CLIENTS` plans at a time for so long, and then until all have ended."""
-        rng, out = random.Random(seed), set[Asker]()
+    def run_mix(self, address: tuple[str, int], seconds: float, seed: int, short_messages: Callable[[], None]) -> None:
+        """Keeps CLIENT_COUNT clients busy for that long and then waits up to 40 s until all have ended."""
+        rng, out = random.Random(seed), set[Client]()
         end = time.monotonic() + seconds
 
-        def done(one: Asker, word: str) -> None:
-            out.discard(one)
-            self.words[word] += 1
+        def done(client: Client, outcome: str) -> None:
+            out.discard(client)
+            self.outcomes[outcome] += 1
 
-        def each() -> None:
-            while len(out) < CLIENTS and time.monotonic() < end:
-                out.add(self.ask(at, drawn(rng, rng.randrange(1 << 20)), done))
-            short()
+        def on_turn() -> None:
+            while len(out) < CLIENT_COUNT and time.monotonic() < end:
+                out.add(self.send(address, draw_plan(rng, rng.randrange(1 << 20)), done))
+            short_messages()
 
-        self.turn(seconds, each)
-        last = time.monotonic() + 40.0
-        while out and time.monotonic() < last:
+        self.run_for(seconds, on_turn)
+        give_up_at = time.monotonic() + 40.0
+        while out and time.monotonic() < give_up_at:
             self.loop.run_once(0.01)
-        self.words["lost"] += len(out)
+        self.outcomes["lost"] += len(out)
 
 
-class Shorts:
-    """Short messages at an even pace; their times from the first byte sent to the last one read."""
+class ShortMessages:
+    """Sends short messages at an even rate and records their times from connecting to the last byte."""
 
-    def __init__(self, trial: Trial, at: tuple[str, int], rate: float) -> None:
-        self.trial, self.at, self.gap = trial, at, 1 / rate
-        self.next, self.times = 0.0, list[float]()
+    def __init__(self, trial: Trial, address: tuple[str, int], rate: float) -> None:
+        self.trial, self.address, self.interval_s = trial, address, 1 / rate
+        self.next_at, self.times = 0.0, list[float]()
 
     def __call__(self) -> None:
+        """Sends a message if one is due."""
         now = self.trial.loop.clock()
-        if now < self.next:
+        if now < self.next_at:
             return
-        self.next = now + self.gap
+        self.next_at = now + self.interval_s
 
-        def done(one: Asker, word: str) -> None:
-            if word == "whole":
-                self.times.append(self.trial.loop.clock() - one.began)
+        def done(client: Client, outcome: str) -> None:
+            if outcome == "whole":
+                self.times.append(self.trial.loop.clock() - client.started_at)
 
-        self.trial.ask(self.at, Plan(0, 200, self.trial.ident), done)
+        self.trial.send(self.address, Plan(0, 200, self.trial.last_id), done)
 
-    def high(self) -> float:
-        """99th percentile, ms."""
+    def compute_p99_ms(self) -> float:
+        """Returns the 99th percentile of the times in milliseconds."""
         return sorted(self.times)[int(0.99 * (len(self.times) - 1))] * 1000 if self.times else 0.0
 
 
-def bare(port: int, to: int) -> None:
-    """Bytes as they come, each way, with one slice in hand: what a relay costs that looks at nothing."""
+def run_bare_relay(port: int, to: int) -> None:
+    """Runs a relay that forwards bytes both ways unparsed, with one slice in memory, as the baseline for CPU."""
     selector = selectors.DefaultSelector()
     listener = socket.create_server(("127.0.0.1", port))
     selector.register(listener, selectors.EVENT_READ)
-    buffer = bytearray(PIECE)
+    buffer = bytearray(PIECE_BYTES)
     while True:
         for key, events in selector.select():
             if key.data is None:
                 pair = [listener.accept()[0], socket.create_connection(("127.0.0.1", to))]
-                for one, other in (pair, pair[::-1]):
-                    one.setblocking(False)
-                    selector.register(one, selectors.EVENT_READ, [other, b""])
+                for sock, other in (pair, pair[::-1]):
+                    sock.setblocking(False)
+                    selector.register(sock, selectors.EVENT_READ, [other, b""])
                 continue
-            here: Any = key.fileobj
-            there, waiting = key.data
+            source: Any = key.fileobj
+            destination, unsent = key.data
             if events & selectors.EVENT_READ:
                 try:
-                    count = here.recv_into(buffer)
+                    count = source.recv_into(buffer)
                 except OSError:
                     count = 0
                 if not count:
-                    for one in (here, there):
-                        selector.unregister(one)
-                        one.close()
+                    for sock in (source, destination):
+                        selector.unregister(sock)
+                        sock.close()
                     break
                 data = bytes(memoryview(buffer)[:count])
                 try:
-                    data = data[there.send(data) :]
+                    data = data[destination.send(data) :]
                 except BlockingIOError:
                     pass
                 except OSError:
                     data = b""
-                if data:  # nothing more is read from here until the other side has taken this
-                    back = selector.get_key(there)
-                    selector.modify(there, back.events | selectors.EVENT_WRITE, [back.data[0], data])
-                    selector.unregister(here)
+                if data:  # stop reading here until the other side has taken this
+                    destination_key = selector.get_key(destination)
+                    selector.modify(
+                        destination, destination_key.events | selectors.EVENT_WRITE, [destination_key.data[0], data]
+                    )
+                    selector.unregister(source)
             elif events & selectors.EVENT_WRITE:
-                data = waiting[here.send(waiting) :]
+                data = unsent[source.send(unsent) :]
                 if not data:
-                    selector.modify(here, selectors.EVENT_READ, [there, b""])
-                    selector.register(there, selectors.EVENT_READ, [here, b""])
+                    selector.modify(source, selectors.EVENT_READ, [destination, b""])
+                    selector.register(destination, selectors.EVENT_READ, [source, b""])
                 else:
-                    selector.modify(here, events, [there, data])
+                    selector.modify(source, events, [destination, data])
 
 
-def cost(trial: Trial, pids: list[int], ports: list[int], rounds: int) -> list[float]:
-    """CPU ms a megabyte of the daemon and of the bare relay, the same bodies in turns."""
-    used, moved = [0.0, 0.0], [0, 0]
+def measure_cost(trial: Trial, pids: list[int], ports: list[int], rounds: int) -> list[float]:
+    """Returns the CPU milliseconds per megabyte of the daemon and of the bare relay, for the same bodies in turns."""
+    cpu_seconds, megabytes = [0.0, 0.0], [0, 0]
     for turn in range(2 * rounds + 2):
-        which = turn % 2
-        before, left = usage(pids[which]), [8]
+        index = turn % 2
+        cpu_before, remaining = usage(pids[index]), [8]
 
-        def done(one: Asker, word: str, left: list[int] = left) -> None:
-            left[0] -= 1
-            trial.words["relayed" if word == "whole" else f"relayed {word}"] += 1
+        def done(client: Client, outcome: str, remaining: list[int] = remaining) -> None:
+            remaining[0] -= 1
+            trial.outcomes["relayed" if outcome == "whole" else f"relayed {outcome}"] += 1
 
-        for n in range(left[0]):
+        for n in range(remaining[0]):
             size = 4 << 20
             plan = Plan(size, 200, n) if n % 2 else Plan(0, size, n)
-            trial.ask(("127.0.0.1", ports[which]), plan, done)
-        while left[0]:
+            trial.send(("127.0.0.1", ports[index]), plan, done)
+        while remaining[0]:
             trial.loop.run_once(0.01)
-        time.sleep(0.02)  # the kernel's account of CPU is in ticks
+        time.sleep(0.02)  # the kernel accounts CPU time in ticks
         if turn > 1:
-            used[which] += usage(pids[which]) - before
-            moved[which] += 32
-    return [1000 * used[n] / moved[n] for n in (0, 1)]
+            cpu_seconds[index] += usage(pids[index]) - cpu_before
+            megabytes[index] += 32
+    return [1000 * cpu_seconds[n] / megabytes[n] for n in (0, 1)]
 
 
 def run(seconds: float, memory_mb: int, seed: int, rounds: int = 6) -> dict[str, Any]:
+    """Runs the benchmark and returns the report."""
     trial = Trial(memory_mb)
     with tempfile.TemporaryDirectory(prefix="bracken-bodies-") as name:
         ports = find_free_ports(2)
@@ -510,56 +538,59 @@
             cwd=ROOT,
         )
         try:
-            trial.turn(3.0)
-            at = ("127.0.0.1", ports[0])
-            alone, beside = Shorts(trial, at, 50), Shorts(trial, at, 50)
-            trial.turn(max(2.0, seconds / 6), alone)
-            trial.turn(0.5)
-            idle, peak = daemon.read_resident_kb(), [0]
-
-            def watched() -> None:
-                beside()
-                peak[0] = max(peak[0], daemon.read_resident_kb()) if len(beside.times) % 5 == 0 else peak[0]
-
-            trial.mix(at, seconds, seed, watched)
-            mixed = dict(trial.words)
-            per_mb = cost(trial, [daemon.process.pid, relay.pid], ports, rounds)
+            trial.run_for(3.0)
+            address = ("127.0.0.1", ports[0])
+            alone, under_load = ShortMessages(trial, address, 50), ShortMessages(trial, address, 50)
+            trial.run_for(max(2.0, seconds / 6), alone)
+            trial.run_for(0.5)
+            idle_kb, peak_kb = daemon.read_resident_kb(), [0]
+
+            def on_turn() -> None:
+                under_load()
+                peak_kb[0] = (
+                    max(peak_kb[0], daemon.read_resident_kb()) if len(under_load.times) % 5 == 0 else peak_kb[0]
+                )
+
+            trial.run_mix(address, seconds, seed, on_turn)
+            outcomes = dict(trial.outcomes)
+            per_mb = measure_cost(trial, [daemon.process.pid, relay.pid], ports, rounds)
         finally:
             for process in (daemon.process, relay):
                 process.terminate()
                 process.wait()
-        last = [row for row in Path(name, "daemon.log").read_text().splitlines() if "longest_turn_us=" in row][-1:]
-    turn_ms = int(last[0].partition("longest_turn_us=")[2].split()[0]) / 1000 if last else -1.0
+        lines = [row for row in Path(name, "daemon.log").read_text().splitlines() if "longest_turn_us=" in row][-1:]
+    turn_ms = int(lines[0].partition("longest_turn_us=")[2].split()[0]) / 1000 if lines else -1.0
     return {
         "seconds": seconds,
         "memoryMb": memory_mb,
-        "outcomes": mixed,
-        "wrong": mixed.get("wrong", 0) + sum(trial.wrong.values()),
-        "lost": mixed.get("lost", 0),
-        "cutOffForNothing": mixed.get("cut off for nothing", 0),
-        "idleMb": round(idle / 1024, 1),
-        "peakOverIdleMb": round((peak[0] - idle) / 1024, 1),
+        "outcomes": outcomes,
+        "wrong": outcomes.get("wrong", 0) + sum(trial.wrong.values()),
+        "lost": outcomes.get("lost", 0),
+        "cutOffForNothing": outcomes.get("cut off for nothing", 0),
+        "idleMb": round(idle_kb / 1024, 1),
+        "peakOverIdleMb": round((peak_kb[0] - idle_kb) / 1024, 1),
         "longestTurnMs": round(turn_ms, 2),
         "cpuMsAMegabyte": [round(ms, 3) for ms in per_mb],
         "ratio": round(per_mb[0] / per_mb[1], 2) if per_mb[1] else 0.0,
-        "shortP99Ms": [round(alone.high(), 2), round(beside.high(), 2)],
+        "shortP99Ms": [round(alone.compute_p99_ms(), 2), round(under_load.compute_p99_ms(), 2)],
     }
 
 
 def main() -> int:
+    """Runs the command line and returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--memory-mb", type=int, default=80)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--bare", type=int, default=0, help=argparse.SUPPRESS)
     parser.add_argument("--to", type=int, default=0, help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.bare:
-        bare(told.bare, told.to)
-    report = run(told.seconds, told.memory_mb, told.seed)
+    options = parser.parse_args()
+    if options.bare:
+        run_bare_relay(options.bare, options.to)
+    report = run(options.seconds, options.memory_mb, options.seed)
     print(json.dumps(report, indent=1))
-    bad = report["wrong"] or report["lost"] or report["cutOffForNothing"]
-    return int(bool(bad) or report["peakOverIdleMb"] > MOST_MB)
+    has_failed = report["wrong"] or report["lost"] or report["cutOffForNothing"]
+    return int(bool(has_failed) or report["peakOverIdleMb"] > MAX_MEMORY_MB)
 
 
 if __name__ == "__main__":
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.bodies import Asker, Plan, Trial
+from benchmarks.bodies import Client, Plan, Trial
 from benchmarks.ledger_cost import Process
 from benchmarks.plan_changes import find_free_ports
 from brackenpulley.net.loop import READ, Loop
@@ -77,22 +77,22 @@
     def __init__(self, trial: Trial, at: tuple[str, int], clients: int, bodies: int, seed: int) -> None:
         self.trial, self.at, self.rng, self.going = trial, at, random.Random(seed), True
         self.short, self.long = Counter[str](), Counter[str]()
-        self.flowing: set[Asker] = set()
+        self.flowing: set[Client] = set()
         for _ in range(clients):
             trial.loop.call_in(self.rng.random() * THINK, self._ask)
         for _ in range(bodies):
             self._flow()
 
     def _ask(self) -> None:
-        def done(one: Asker, word: str) -> None:
+        def done(one: Client, word: str) -> None:
             self.short[word] += 1
             self.trial.loop.call_in(THINK, self._ask)
 
         if self.going:
-            self.trial.ask(self.at, Plan(0, 200, self.trial.ident), done)
+            self.trial.send(self.at, Plan(0, 200, self.trial.last_id), done)
 
     def _flow(self) -> None:
-        def done(one: Asker, word: str) -> None:
+        def done(one: Client, word: str) -> None:
             self.flowing.discard(one)
             self.long[word] += 1
             self._flow()
@@ -103,7 +103,7 @@
         size = self.rng.randrange(300_000, 400_000) if slow else self.rng.randrange(1 << 20, 4 << 20)
         pace = "slow" if slow else "fast"
         plan = Plan(size, 200, seed, up_pace=pace) if self.rng.random() < 0.5 else Plan(0, size, seed, take=pace)
-        self.flowing.add(self.trial.ask(self.at, plan, done))
+        self.flowing.add(self.trial.send(self.at, plan, done))
 
 
 def run(seconds: float, clients: int, bodies: int, seed: int) -> dict[str, Any]:
@@ -121,21 +121,21 @@
             console=f"127.0.0.1:{ports[1]}",
         )
         try:
-            trial.turn(3.0)
+            trial.run_for(3.0)
             load, calls = Load(trial, ("127.0.0.1", ports[0]), clients, bodies, seed), Calls(trial.loop, ports[1])
-            trial.turn(seconds)
+            trial.run_for(seconds)
             loaded, most = calls.worst(), len(load.flowing)
             load.going, at_end = False, len(load.flowing)
             calls.call("PUT /control/out-of-service")
-            trial.turn(GRACE)
+            trial.run_for(GRACE)
             calls.going = False
-            trial.turn(0.2)
+            trial.run_for(0.2)
             began = time.monotonic()
             daemon.process.send_signal(signal.SIGTERM)
             while daemon.process.poll() is None and time.monotonic() < began + 60.0:
                 trial.loop.run_once(0.01)
             ended = time.monotonic() - began
-            trial.turn(1.0)
+            trial.run_for(1.0)
         finally:
             daemon.process.kill()
             daemon.process.wait()
