--- a/benchmarks/capacity/kinds/processes.py
+++ b/benchmarks/capacity/kinds/processes.py
@@ -13,9 +13,9 @@
 
 import structlog
 
-from benchmarks.fleet import Trial, usage
+from benchmarks.fleet import Trial, measure_process
 from benchmarks.ledger_cost import Process
-from benchmarks.plan_changes import free_ports
+from benchmarks.plan_changes import find_free_ports
 from benchmarks.relay import Closed, SimServer
 from brackenpulley.fleet.caller import Call
 from brackenpulley.metrics import Metrics
@@ -78,7 +78,7 @@
     servers = [SimServer(loop, f"real-{n}", random.Random(n)) for n in range(REAL_SERVERS)]
     discovery = LargeDiscovery(loop, [*servers], size)
     with tempfile.TemporaryDirectory(prefix="bracken-capacity-") as name:
-        port = free_ports(1)[0]
+        port = find_free_ports(1)[0]
         daemon = Process(Path(name), "daemon", port, discovery.listener.address_text, "127.0.0.1:1", "")
         try:
             state = {"ready": False, "out": False}
@@ -96,7 +96,7 @@
             wait_until(loop, lambda: bool(discovery.watchers), 30.0)
             run_loop(loop, 0.7)  # until the list from the watch is applied
             pid = daemon.process.pid
-            before, resident = read_cpu_seconds(pid), usage(pid)[1]
+            before, resident = read_cpu_seconds(pid), measure_process(pid)[1]
             run_loop(loop, 1.5)
             rest = (read_cpu_seconds(pid) - before) / 1.5
             discovery.drain()
@@ -159,14 +159,14 @@
     trial = Trial(instances, 1, 0.0, 40.0, True)
 
     def pids() -> list[int]:
-        return [row["pid"] for row in trial.status()["places"] if row["state"] == "ready"]
+        return [row["pid"] for row in trial.read_status()["places"] if row["state"] == "ready"]
 
     measurements = []
     try:
-        trial.run()
-        trial.all_ready(max(1, instances // 2), 30.0, "the first")
-        trial.ask("POST", "/v1/fleet/scale", {"instances": instances})
-        trial.all_ready(instances, 30.0, "all")
+        trial.start_supervisor()
+        trial.wait_all_ready(max(1, instances // 2), 30.0, "the first")
+        trial.call_supervisor("POST", "/v1/fleet/scale", {"instances": instances})
+        trial.wait_all_ready(instances, 30.0, "all")
         assert trial.supervisor is not None
         own = trial.supervisor.pid
         for _ in range(repeats):
@@ -175,7 +175,7 @@
             before, mine = [read_cpu_seconds(pid) for pid in at], read_cpu_seconds(own)
             run_loop(trial.loop, seconds)
             now, then = [read_cpu_seconds(pid) for pid in at], read_cpu_seconds(own)
-            resident = sum(usage(pid)[1] for pid in at) / instances / 1024
+            resident = sum(measure_process(pid)[1] for pid in at) / instances / 1024
             os.kill(at[0], signal.SIGKILL)
             started = time.monotonic()
             while at[0] in (ready := pids()) or len(ready) < instances:
@@ -185,7 +185,7 @@
             measurements.append(
                 {
                     "supervisor": (then - mine) / seconds * 100,
-                    "memory": usage(own)[1] / 1024,
+                    "memory": measure_process(own)[1] / 1024,
                     "again": time.monotonic() - started,
                     "resident": resident,
                     "instance": sum(b - a for a, b in zip(before, now, strict=True)) / instances / seconds * 100,
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from benchmarks.fleet import Trial, cold_start, trial
+from benchmarks.fleet import Trial, run_cold_start, run_trial
 from benchmarks.plan_changes import ROOT
 from brackenpulley.control.client import ControlClient, ControlError
 from brackenpulley.fleet.files import load_state
@@ -41,7 +41,7 @@
 
 def command(fleet: Trial, *arguments: str) -> subprocess.CompletedProcess[str]:
     """Run a `fleet` command and keep the stand-ins running meanwhile."""
-    arguments = (arguments[0], str(fleet.file), *arguments[1:])
+    arguments = (arguments[0], str(fleet.fleet_file), *arguments[1:])
     process = subprocess.Popen(
         [sys.executable, "-m", "brackenpulley", "fleet", *arguments],
         cwd=ROOT,
@@ -50,19 +50,19 @@
         stderr=subprocess.PIPE,
     )
     while process.poll() is None:
-        fleet.turn(0.02)
+        fleet.run_for(0.02)
     out, err = process.communicate()
     return subprocess.CompletedProcess(arguments, process.returncode, out, err)
 
 
 def replace_in_description(fleet: Trial, old: str, new: str) -> None:
-    text = fleet.file.read_text()
+    text = fleet.fleet_file.read_text()
     assert old in text
-    fleet.file.write_text(text.replace(old, new))
+    fleet.fleet_file.write_text(text.replace(old, new))
 
 
 def test_a_whole_day_of_eight_instances() -> None:
-    report = trial(8, pause=1.0, quiet=True, at_once=4)
+    report = run_trial(8, pause=1.0, quiet=True, at_once=4)
     assert report["faults"] == []
     assert report["served"] > 500
     assert [cold["fell"] for cold in report["cold"]] == [False] * 3
@@ -70,7 +70,7 @@
 
 
 def test_twenty_at_once_do_not_overload_a_small_cold_server() -> None:
-    report = cold_start(20, 5, seconds=6.0)
+    report = run_cold_start(20, 5, seconds=6.0)
     assert report["fell"] == 0 and report["worst"][0] < 1
     assert report["refused"] > 50  # the server was in demand: alone it can't serve a tenth of the load
 
@@ -78,31 +78,31 @@
 def test_a_port_in_use_is_a_crash_loop_of_one_instance_and_the_others_serve(make_trial: Callable[..., Trial]) -> None:
     fleet = make_trial(3)
     replace_in_description(fleet, "crashes = 10", "crashes = 3\nfirst_s = 0.05")
-    listener = socket.create_server(fleet.at[1])
-    fleet.run()
+    listener = socket.create_server(fleet.addresses[1])
+    fleet.start_supervisor()
     last_status = {}
 
     def has_crashed(status: dict[str, Any]) -> bool:
         last_status.update(status)
         return [row["state"] for row in status["places"]] == ["ready", "crashed", "ready"]
 
-    fleet.until(has_crashed, 30, "crash loop")
+    fleet.wait_until(has_crashed, 30, "crash loop")
     row = last_status["places"][1]
     assert row["restarts"] == 3 and "Address already in use" in row["why"]
     # its share goes to the others, and returns before it starts again
-    fleet.until(lambda s: [r["sharing"] for r in s["places"]] == [2, None, 2], 30, "shares widened")
+    fleet.wait_until(lambda s: [r["sharing"] for r in s["places"]] == [2, None, 2], 30, "shares widened")
     assert command(fleet, "status", "--json").returncode == 3
     listener.close()
     done = command(fleet, "start", "--instances", "1", "--json")
     assert done.returncode == 0 and json.loads(done.stdout)["ready"] == 3
-    fleet.until(lambda s: [r["sharing"] for r in s["places"]] == [3, 3, 3], 30, "shares narrowed")
+    fleet.wait_until(lambda s: [r["sharing"] for r in s["places"]] == [3, 3, 3], 30, "shares narrowed")
 
 
 def test_an_invalid_file_changes_no_instance_and_a_valid_one_changes_all(make_trial: Callable[..., Trial]) -> None:
     fleet = make_trial(2, watchdog=30.0)  # longer than the reload timeout
-    fleet.run()
-    fleet.all_ready(2, 30, "start")
-    before = [(r["pid"], r["life"]) for r in fleet.status()["places"]]
+    fleet.start_supervisor()
+    fleet.wait_all_ready(2, 30, "start")
+    before = [(r["pid"], r["life"]) for r in fleet.read_status()["places"]]
     config = fleet.folder / "ingress.json"
     valid_config = config.read_text()
     config.write_text(valid_config.replace('"Resolution": 0.001', '"Resolution": "often"'))
@@ -117,24 +117,24 @@
     replace_in_description(fleet, "instances = 2", "instances = 3")
     done = command(fleet, "reload", "--json")
     assert json.loads(done.stdout)["oldUntilRestarted"] == [0, 1]
-    fleet.all_ready(3, 30, "one more")
-    assert [(r["pid"], r["life"]) for r in fleet.status()["places"]][:2] == before
+    fleet.wait_all_ready(3, 30, "one more")
+    assert [(r["pid"], r["life"]) for r in fleet.read_status()["places"]][:2] == before
     # If one instance does not answer, all return to the old files.
     os.kill(before[1][0], signal.SIGSTOP)
     config.write_text(valid_config.replace('"Resolution": 0.001', '"Resolution": 0.004'))
-    fleet.ask("POST", "/v1/fleet/reload", {})
-    fleet.until(lambda s: not s["reloading"], 20, "reload given up")
+    fleet.call_supervisor("POST", "/v1/fleet/reload", {})
+    fleet.wait_until(lambda s: not s["reloading"], 20, "reload given up")
     os.kill(before[1][0], signal.SIGCONT)
-    assert fleet.status()["reloadFailed"] == "instance 1: did not answer within 5 s"
+    assert fleet.read_status()["reloadFailed"] == "instance 1: did not answer within 5 s"
     assert json.loads((fleet.folder / "run" / "0.json").read_text())["settings"]["Resolution"] == 0.002
 
 
 def test_a_fleet_has_one_supervisor_and_a_host_may_have_two_fleets(make_trial: Callable[..., Trial]) -> None:
     first, second = make_trial(1), make_trial(1)
-    first.run()
-    second.run()
-    first.all_ready(1, 30, "first")
-    second.all_ready(1, 30, "second")
+    first.start_supervisor()
+    second.start_supervisor()
+    first.wait_all_ready(1, 30, "first")
+    second.wait_all_ready(1, 30, "second")
     assert first.supervisor is not None
     second_run = command(first, "run")
     assert second_run.returncode == 2
@@ -142,36 +142,36 @@
     assert command(first, "stop", "--supervisor").returncode == 0
     assert first.supervisor.wait(20) == 0
     assert find_processes(first.folder / "run") == []
-    assert second.status()["ready"] == 1
+    assert second.read_status()["ready"] == 1
 
 
 def test_instances_of_a_killed_supervisor_serve_and_are_reaped_or_adopted(make_trial: Callable[..., Trial]) -> None:
     fleet = make_trial(2)
-    fleet.run()
-    fleet.all_ready(2, 30, "start")
-    fleet.ask("POST", "/v1/fleet/scale", {"instances": 3})
-    fleet.all_ready(3, 30, "scale")
-    pids = [row["pid"] for row in fleet.status()["places"]]
+    fleet.start_supervisor()
+    fleet.wait_all_ready(2, 30, "start")
+    fleet.call_supervisor("POST", "/v1/fleet/scale", {"instances": 3})
+    fleet.wait_all_ready(3, 30, "scale")
+    pids = [row["pid"] for row in fleet.read_status()["places"]]
     assert fleet.supervisor is not None
     fleet.supervisor.kill()
     fleet.supervisor.wait()
     os.kill(pids[2], signal.SIGKILL)  # ends while no supervisor runs
     assert sorted(f.pid for f in find_processes(fleet.folder / "run") if f.number < 2) == sorted(pids[:2])
-    fleet.run()
-    fleet.all_ready(3, 30, "adopted, at the count it was scaled to")
-    status = fleet.status()
+    fleet.start_supervisor()
+    fleet.wait_all_ready(3, 30, "adopted, at the count it was scaled to")
+    status = fleet.read_status()
     assert [row["pid"] for row in status["places"]][:2] == pids[:2]
     assert [row["adopted"] for row in status["places"]] == [True, True, False]
     text = command(fleet, "logs", "--lines", "2000").stdout
     assert f"event=adopted instance=0 pid={pids[0]}" in text
     os.kill(pids[0], signal.SIGUSR1)  # the output of an adopted instance still arrives
-    fleet.until(
+    fleet.wait_until(
         lambda s: "event=counters" in command(fleet, "logs", "--instance", "0").stdout,
         20,
         "log of the adopted instance",
     )
     os.kill(pids[0], signal.SIGKILL)  # its end is detected although it is no child of this supervisor
-    fleet.until(lambda s: s["ready"] == 3 and s["places"][0]["pid"] != pids[0], 30, "replaced")
+    fleet.wait_until(lambda s: s["ready"] == 3 and s["places"][0]["pid"] != pids[0], 30, "replaced")
     assert fleet.supervisor is not None
     fleet.supervisor.kill()
     fleet.supervisor.wait()
@@ -186,25 +186,25 @@
         replace_in_description(fleet, "[restart]", '[log]\npath = "/dev/full"\n[restart]')
     read, write = os.pipe()
     fleet.supervisor = subprocess.Popen(
-        [sys.executable, "-m", "brackenpulley", "fleet", "run", str(fleet.file)],
+        [sys.executable, "-m", "brackenpulley", "fleet", "run", str(fleet.fleet_file)],
         cwd=ROOT,
         stdout=write,
         stderr=subprocess.DEVNULL,
     )
     os.close(write)
-    fleet.all_ready(1, 30, "start")
-    pid = fleet.status()["places"][0]["pid"]
+    fleet.wait_all_ready(1, 30, "start")
+    pid = fleet.read_status()["places"][0]["pid"]
 
     def is_log_blocked(status: dict[str, Any]) -> bool:
         for _ in range(50):
             os.kill(pid, signal.SIGUSR1)
-            fleet.turn(0.002)
+            fleet.run_for(0.002)
         log = status["log"]
         return bool(log["failing"] == "No space left on device" if "disk" in target else log["waiting"] > 100_000)
 
-    fleet.until(is_log_blocked, 60, target)
-    fleet.until(lambda s: s["ready"] == 1 and s["places"][0]["healthSeconds"] < 3, 10, "still ready")
-    assert fleet.status()["places"][0]["life"] == 1
+    fleet.wait_until(is_log_blocked, 60, target)
+    fleet.wait_until(lambda s: s["ready"] == 1 and s["places"][0]["healthSeconds"] < 3, 10, "still ready")
+    assert fleet.read_status()["places"][0]["life"] == 1
     os.close(read)
 
 
@@ -217,12 +217,12 @@
     outer_socket.settimeout(20)
     monkeypatch.setenv("NOTIFY_SOCKET", str(fleet.folder / "above"))
     monkeypatch.setenv("WATCHDOG_USEC", "900000")
-    fleet.run()
+    fleet.start_supervisor()
     seen: list[dict[str, str]] = []
     end = time.monotonic() + 20
     outer_socket.setblocking(False)
     while not any("READY" in fields for fields in seen) and time.monotonic() < end:
-        fleet.turn(0.02)
+        fleet.run_for(0.02)
         try:
             seen.append(parse_fields(outer_socket.recv(4096)))
         except BlockingIOError:
@@ -231,7 +231,7 @@
     assert any(fields.get("WATCHDOG") == "1" for fields in seen)
     assert fleet.supervisor is not None
     fleet.supervisor.terminate()
-    fleet.until(lambda s: fleet.supervisor is not None and fleet.supervisor.poll() is not None, 20, "end")
+    fleet.wait_until(lambda s: fleet.supervisor is not None and fleet.supervisor.poll() is not None, 20, "end")
     while True:
         try:
             seen.append(parse_fields(outer_socket.recv(4096)))
@@ -243,8 +243,8 @@
 
 def test_members_find_each_other_though_a_seed_is_down_at_the_start(make_trial: Callable[..., Trial]) -> None:
     fleet = make_trial(3, members=True)
-    fleet.run()
-    fleet.all_ready(3, 30, "start")
+    fleet.start_supervisor()
+    fleet.wait_all_ready(3, 30, "start")
     control = ControlClient(f"unix:{fleet.folder}/run/1.sock")
 
     def has_members(count: int) -> Callable[[dict[str, Any]], bool]:
@@ -256,13 +256,13 @@
 
         return has_count
 
-    fleet.until(has_members(3), 30, "joined")
-    fleet.ask("POST", "/v1/fleet/stop", {"instances": [0, 2]})
-    fleet.until(has_members(1), 30, "left")
-    fleet.ask("POST", "/v1/fleet/restart", {"instances": [1]})  # its seeds, 0 and 2, are down while it starts
-    fleet.until(lambda s: bool(s["rolling"]["over"]) and s["ready"] == 1, 30, "alone")
-    fleet.ask("POST", "/v1/fleet/start", {"instances": [0, 2]})
-    fleet.until(has_members(3), 30, "together again")
+    fleet.wait_until(has_members(3), 30, "joined")
+    fleet.call_supervisor("POST", "/v1/fleet/stop", {"instances": [0, 2]})
+    fleet.wait_until(has_members(1), 30, "left")
+    fleet.call_supervisor("POST", "/v1/fleet/restart", {"instances": [1]})  # its seeds, 0 and 2, are down while it starts
+    fleet.wait_until(lambda s: bool(s["rolling"]["over"]) and s["ready"] == 1, 30, "alone")
+    fleet.call_supervisor("POST", "/v1/fleet/start", {"instances": [0, 2]})
+    fleet.wait_until(has_members(3), 30, "together again")
     done = subprocess.run(
         [
             sys.executable,
@@ -290,20 +290,20 @@
         plan.update(QuotaRate=6.0, Burst=24.0)
     (fleet.folder / "ingress.json").write_text(json.dumps(config))
     fleet.load.firms = [Firm(7, "county", 30.0, 2, 0)]
-    fleet.run()
-    fleet.all_ready(1, 30, "start")
+    fleet.start_supervisor()
+    fleet.wait_all_ready(1, 30, "start")
     fleet.load.start()
-    fleet.until(lambda s: fleet.counter.calls > 3, 30, "counting")
+    fleet.wait_until(lambda s: fleet.counter.calls > 3, 30, "counting")
     # Processes started from here on have a time of day that is an hour ahead.
     (fleet.folder / "sitecustomize.py").write_text("import time\nreal = time.time\ntime.time = lambda: real() + 3600\n")
-    fleet.file.write_text(fleet.file.read_text() + f'[environment]\nPYTHONPATH = "{fleet.folder}"\n')
+    fleet.fleet_file.write_text(fleet.fleet_file.read_text() + f'[environment]\nPYTHONPATH = "{fleet.folder}"\n')
     replace_in_description(fleet, "instances = 1", "instances = 2")
-    fleet.ask("POST", "/v1/fleet/reload", {})
-    fleet.all_ready(2, 30, "instance after the clock step")
-    pid = fleet.status()["places"][1]["pid"]
+    fleet.call_supervisor("POST", "/v1/fleet/reload", {})
+    fleet.wait_all_ready(2, 30, "instance after the clock step")
+    pid = fleet.read_status()["places"][1]["pid"]
     assert str(fleet.folder).encode() in Path(f"/proc/{pid}/environ").read_bytes()
     second_control = ControlClient(f"unix:{fleet.folder}/run/1.sock")
-    fleet.until(lambda s: second_control.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "second instance counts")
+    fleet.wait_until(lambda s: second_control.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "second instance counts")
     period = int(fleet.clock() // 30)
     assert {int(name) >> 33 for name in fleet.counter.totals} <= {period - 2, period - 1, period}
     fleet.load.stop()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from benchmarks.scale.__main__ import play, words
-from benchmarks.scale.child import Silent
-from benchmarks.scale.report import compared, limits, messages
+from benchmarks.scale.__main__ import build_parser, run_benchmark
+from benchmarks.scale.child import NullLogger
+from benchmarks.scale.report import compare_hollow_with_real, compute_membership_rates, find_exceeded_limits
 from brackenpulley.metrics import Metrics
 from brackenpulley.net.loop import Loop
 from brackenpulley.operator import decode, decode_text
@@ -37,7 +37,7 @@
     """Hollow ingresses on one loop. The first is the seed of the others; there is no agreed log, hence no voter."""
 
     def __init__(self, folder: Path, count: int) -> None:
-        self.loop = Loop(wall_clock(), Metrics(), Silent())
+        self.loop = Loop(wall_clock(), Metrics(), NullLogger())
         self.sims = [SimServer(self.loop, f"s-{n}", random.Random(n)) for n in range(2)]
         self.discovery, self.counter = Discovery(self.loop, self.sims), Counter(self.loop)
         (folder / "keys").write_text("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\n")
@@ -63,7 +63,7 @@
         tables["members"].update(seeds=seeds)
         del tables["members"]["advertise"]
         ingress = HollowIngress(
-            self.loop, spec, config, tables, [Firm(7, "school", 20.0, self.count, 0)], Silent(), number
+            self.loop, spec, config, tables, [Firm(7, "school", 20.0, self.count, 0)], NullLogger(), number
         )
         ingress.start()
         self.ingresses.append(ingress)
@@ -152,7 +152,7 @@
         members_heard_carry_agree=4,
         members_dropped_forged=3,
     )
-    assert messages(counts, 2.0, 4) == {
+    assert compute_membership_rates(counts, 2.0, 4) == {
         "ping": {"outMessages": 1.0, "outBytes": 100.0},
         "carry_agree": {"inMessages": 0.5},
     }
@@ -170,9 +170,9 @@
 
 def test_each_exceeded_limit_is_reported_as_one_line() -> None:
     bare = {"residentMb": {"most": 30.0}}
-    assert limits(build_part(2.0, 62.0, 14_000.0), build_part(90.0, 62.0, 14_000.0), bare) == []
+    assert find_exceeded_limits(build_part(2.0, 62.0, 14_000.0), build_part(90.0, 62.0, 14_000.0), bare) == []
     assert [
-        text.split()[2] for text in limits(build_part(2.1, 62.1, 14_001.0), build_part(0.0, 0.0, 15_000.0), bare)
+        text.split()[2] for text in find_exceeded_limits(build_part(2.1, 62.1, 14_001.0), build_part(0.0, 0.0, 15_000.0), bare)
     ] == [
         "2.10",
         "32.1",
@@ -191,18 +191,18 @@
         }
 
     part = {"seconds": 100.0, "real": group(1.0, 0.1), "hollow": group(1.12, 0.3)}
-    assert {(row["kind"], row["what"]): row["near"] for row in compared(part)} == {
+    assert {(row["kind"], row["what"]): row["near"] for row in compare_hollow_with_real(part)} == {
         ("members ping", "outMessages"): False,
         ("members ping", "outBytes"): False,
         ("members sync", "outMessages"): None,
     }
     part["hollow"] = group(1.08, 0.3)
-    assert all(row["near"] in (True, None) for row in compared(part))
+    assert all(row["near"] in (True, None) for row in compare_hollow_with_real(part))
 
 
 def test_short_scale_run() -> None:
     """60 hollow ingresses, 3 real ones and 3 voters. The CPU limit depends on the machine, so it is not checked."""
-    arguments = words().parse_args(
+    arguments = build_parser().parse_args(
         [
             "--hollow",
             "60",
@@ -222,7 +222,7 @@
             "3",
         ]
     )
-    report = play(arguments)
+    report = run_benchmark(arguments)
     assert report["wrong"] == []
     assert [text for text in report["limits"] if "core" not in text] == []
     assert report["times"]["agreedToAll"][0]["of"] == 60 and report["times"]["deathKnown"][0]["of"] == 59
