--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -146,7 +146,11 @@
             plan.update(QuotaRate=1e6, Burst=1e6)
         (self.folder / "ingress.json").write_text(
             json.dumps(
-                {"discovery": self.discovery.listener.address_text, "counter": self.counter.listener.address_text, "settings": raw}
+                {
+                    "discovery": self.discovery.listener.address_text,
+                    "counter": self.counter.listener.address_text,
+                    "settings": raw,
+                }
             )
         )
         text = (
@@ -575,7 +579,12 @@
     fleets = [Trial(instances, 1, 0.0, 40.0, members) for members in (False, True)]
     single_daemons = [
         Process(
-            fleets[0].folder, f"lone-{n}", port, fleets[0].discovery.listener.address_text, fleets[0].counter.listener.address_text, ""
+            fleets[0].folder,
+            f"lone-{n}",
+            port,
+            fleets[0].discovery.listener.address_text,
+            fleets[0].counter.listener.address_text,
+            "",
         )
         for n, port in enumerate(find_free_ports(4))
     ]
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -113,7 +113,9 @@
         )
         daemons = [
             Process(folder, "off", ports[0], discovery.listener.address_text, counter.listener.address_text, ""),
-            Process(folder, "on", ports[1], discovery.listener.address_text, counter.listener.address_text, operator_text),
+            Process(
+                folder, "on", ports[1], discovery.listener.address_text, counter.listener.address_text, operator_text
+            ),
         ]
         firms = [Firm(n + 1, "county", rate / 20, 1, 0) for n in range(20)]
         loads = [Load(loop, [daemon.address], firms, random.Random(5)) for daemon in daemons]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -154,7 +154,15 @@
         ports = find_free_ports(2)
         daemon = Process(Path(name), "daemon", ports[0], discovery.listener.address_text, "127.0.0.1:1", "")
         relay = subprocess.Popen(
-            [sys.executable, "-m", "benchmarks.relay", "--bare", str(ports[1]), "--to", str(servers[0].listener.address[1])],
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.relay",
+                "--bare",
+                str(ports[1]),
+                "--to",
+                str(servers[0].listener.address[1]),
+            ],
             cwd=ROOT,
         )
         try:
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -141,7 +141,8 @@
             host.ask("traffic", on=False)
         world.client_load.stop()
         self.run_step(
-            "clients", lambda: world.wait_until(lambda: not world.client_load.in_flight, 12.0, "clients have their responses")
+            "clients",
+            lambda: world.wait_until(lambda: not world.client_load.in_flight, 12.0, "clients have their responses"),
         )
         messages = world.client_load.messages
         served = sum(message.status == 200 for message in messages)
@@ -375,7 +376,11 @@
     parser.add_argument("--profile", default="", help="file for a cProfile of the first host of hollow ingresses")
     parser.add_argument("--factor", type=float, default=1.0, help="multiplier of the 3,700 restarts a day")
     parser.add_argument("--tries", type=float, default=2.0, help="messages per second at each ingress, hollow or real")
-    parser.add_argument("--parts", default=",".join(DEFAULT_SECTIONS), help=f"comma-separated features out of {', '.join(OPERATOR_SECTIONS)}")
+    parser.add_argument(
+        "--parts",
+        default=",".join(DEFAULT_SECTIONS),
+        help=f"comma-separated features out of {', '.join(OPERATOR_SECTIONS)}",
+    )
     parser.add_argument("--changes", type=int, default=3)
     parser.add_argument("--deaths", type=int, default=1)
     parser.add_argument(
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -310,7 +310,9 @@
             "name": place.name,
             "listen": listen,
             "counter": self.counter_addresses[group],
-            "discovery": self.bare_discovery.listener.address_text if kind == "bare" else self.discovery_addresses[group],
+            "discovery": self.bare_discovery.listener.address_text
+            if kind == "bare"
+            else self.discovery_addresses[group],
             "seed": f"{self.seed * 10000 + place.number:x}",
             "settings": build_settings(self.ingress_count, place.number),
         }
--- a/tests/test_fleet_together.py
+++ b/tests/test_fleet_together.py
@@ -259,7 +259,9 @@
     fleet.wait_until(has_members(3), 30, "joined")
     fleet.call_supervisor("POST", "/v1/fleet/stop", {"instances": [0, 2]})
     fleet.wait_until(has_members(1), 30, "left")
-    fleet.call_supervisor("POST", "/v1/fleet/restart", {"instances": [1]})  # its seeds, 0 and 2, are down while it starts
+    fleet.call_supervisor(
+        "POST", "/v1/fleet/restart", {"instances": [1]}
+    )  # its seeds, 0 and 2, are down while it starts
     fleet.wait_until(lambda s: bool(s["rolling"]["over"]) and s["ready"] == 1, 30, "alone")
     fleet.call_supervisor("POST", "/v1/fleet/start", {"instances": [0, 2]})
     fleet.wait_until(has_members(3), 30, "together again")
@@ -303,7 +305,9 @@
     pid = fleet.read_status()["places"][1]["pid"]
     assert str(fleet.folder).encode() in Path(f"/proc/{pid}/environ").read_bytes()
     second_control = ControlClient(f"unix:{fleet.folder}/run/1.sock")
-    fleet.wait_until(lambda s: second_control.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "second instance counts")
+    fleet.wait_until(
+        lambda s: second_control.call("GET", "/v1/counters").get("counts", 0) > 3, 30, "second instance counts"
+    )
     period = int(fleet.clock() // 30)
     assert {int(name) >> 33 for name in fleet.counter.totals} <= {period - 2, period - 1, period}
     fleet.load.stop()
--- a/tests/test_plans_together.py
+++ b/tests/test_plans_together.py
@@ -96,7 +96,9 @@
         )
         self.ingress = Ingress(decision_module, lambda: self.now, self.loop, None, self.loop.metrics, NullLog())  # type: ignore
         options = LedgerOptions(f"{folder}/ledger", 2.0, 0.5, 16 << 20, 1.0, False, 100, 10_000, None)
-        self.ledger = self.ingress.ledger = LedgerService(self.loop, Pool(), options, "n0", self.loop.metrics, NullLog())
+        self.ledger = self.ingress.ledger = LedgerService(
+            self.loop, Pool(), options, "n0", self.loop.metrics, NullLog()
+        )
         self.plans = PlanService(self.loop, self.ingress, PLANS, f"{folder}/plans", self.loop.metrics, NullLog())
         self.ingress.plans = self.plans
         self.reservation_service = self.ingress.reservations = ReservationService(
@@ -201,7 +203,10 @@
             heads, store = core.ledger.tally.state, core.ledger.store
             closed = sum(entry.units for entry in store.read_entries())
             assert heads.counted_micro_units == expected_units * MICRO_UNITS_PER_UNIT
-            assert heads.counted_micro_units == closed + sum(e.units for e in core.ledger.unstored_entries) + core.ledger.tally.sum_open_units()
+            assert (
+                heads.counted_micro_units
+                == closed + sum(e.units for e in core.ledger.unstored_entries) + core.ledger.tally.sum_open_units()
+            )
             assert find_faults(store) == [] and core.loop.metrics.counts["faults"] == 0
         core.ledger.stop()
         core.loop.close()
@@ -231,7 +236,10 @@
         assert wait_for_result(r, stub.Check.future(make_check(1, x_weight="units=4"), timeout=5)).status.code == 0
         name, heads = f"{1:016x}", r.daemon.ledger.tally.state
         level = r.daemon.ingress.decision_module.firms[7].level
-        assert call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted" and heads.counted_micro_units == 0
+        assert (
+            call(r, tmp_path, "GET", f"/v1/reservations/{name}")[1]["kind"] == "granted"
+            and heads.counted_micro_units == 0
+        )
         if end == "committed":
             assert call(r, tmp_path, "POST", f"/v1/reservations/{name}/commit", {"units": 1.0})[0] == 200
         elif end == "released":
@@ -257,7 +265,12 @@
 
     def start_process() -> Process:
         return Process(
-            tmp_path, "n0", find_free_ports(1)[0], discovery.listener.address_text, counter.listener.address_text, operator_text
+            tmp_path,
+            "n0",
+            find_free_ports(1)[0],
+            discovery.listener.address_text,
+            counter.listener.address_text,
+            operator_text,
         )
 
     def run_until(done: Any) -> None:
@@ -279,7 +292,9 @@
     second.process.terminate()
     run_until(lambda: second.process.poll() is not None)
     assert second.process.returncode == 0 and billing.faults == []
-    assert {billing.delivery_counts[ident] for ident in before} == {2} and sum(billing.sum_micro_units().values()) == tally.state.counted_micro_units
+    assert {billing.delivery_counts[ident] for ident in before} == {2} and sum(
+        billing.sum_micro_units().values()
+    ) == tally.state.counted_micro_units
     last = Store(str(tmp_path / "ledger"))
     assert last.read_state().acked_seq == 24 and find_faults(last) == []
     last.close()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -69,7 +69,9 @@
     counts = dict(word.split("=", 1) for word in log_file.read_text().splitlines()[-1].split() if "=" in word)
     answered = [attempt for attempt in load.messages if attempt.status]
     assert int(counts["messages"]) == len(answered) and all(attempt.answer_count == 1 for attempt in answered)
-    assert sum(attempt.sent_at > sigterm_at for attempt in answered) >= KEPT_CONNECTIONS / 2  # clients did go on sending
+    assert (
+        sum(attempt.sent_at > sigterm_at for attempt in answered) >= KEPT_CONNECTIONS / 2
+    )  # clients did go on sending
     unanswered = [attempt for attempt in load.messages if not attempt.status]
     assert len(unanswered) <= KEPT_CONNECTIONS and not {attempt.id for attempt in unanswered} & {
         ran.id for server in servers for ran in server.received_relays
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -172,7 +172,8 @@
     bare = {"residentMb": {"most": 30.0}}
     assert find_exceeded_limits(build_part(2.0, 62.0, 14_000.0), build_part(90.0, 62.0, 14_000.0), bare) == []
     assert [
-        text.split()[2] for text in find_exceeded_limits(build_part(2.1, 62.1, 14_001.0), build_part(0.0, 0.0, 15_000.0), bare)
+        text.split()[2]
+        for text in find_exceeded_limits(build_part(2.1, 62.1, 14_001.0), build_part(0.0, 0.0, 15_000.0), bare)
     ] == [
         "2.10",
         "32.1",
