--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -263,7 +263,7 @@
         origin = self.marks[0][0]
         return [
             f"message {message.id}: accepted by instance {message.ingress} at {message.sent_at - origin:.2f} s, "
-            f"{message.answer_count} responses, ended_at at {message.ended_at - origin:.2f} s"
+            f"{message.answer_count} responses, ended at {message.ended_at - origin:.2f} s"
             for message in self.load.messages
             if message.is_written and message.answer_count != 1 and not is_lost(message)
         ]
--- a/brackenpulley/consensus/raft.py
+++ b/brackenpulley/consensus/raft.py
@@ -340,7 +340,7 @@
         return inf if self.is_halted else max(self.now, min(times))
 
     def propose(self, now: float, data: bytes) -> tuple[int, list[Effect]]:
-        """Append a command and return the index it gets if it is committed, or 0 where this voter does not lead."""
+        """Append a command and return the index it gets if it is committed, or 0 where this voter is not the leader."""
         self.now = max(self.now, now)
         if self.role != LEADER or self.is_halted:
             return 0, []
