--- a/brackenpulley/plans/book.py
+++ b/brackenpulley/plans/book.py
@@ -98,7 +98,8 @@
     for name in figures.__struct_fields__:
         value = getattr(figures, name)
         if not math.isfinite(value) or value < 0:
-            raise PlanChangeError(400, f"figures.{name}", f"{value!r} is not a finite number from 0")
+            # The agreed log stores this text as the reason of a refusal: it must be the same in all versions.
+            raise PlanChangeError(400, f"figures.{name}", f"{value!r} is no figure from 0")
     try:
         return PlanSpec(plan, **msgspec.structs.asdict(figures))
     except SettingsError as error:
